--- a/packages/core/foxtaildale/holdings.py
+++ b/packages/core/foxtaildale/holdings.py
@@ -1,11 +1,11 @@
-"""A request that waits for a place in a plan, and one that has it."""
+"""A request that waits for a placement, and one that has a placement."""
 
 from foxtaildale import growth
 from foxtaildale import messages
 
 
 class Waiter:
-    """A request that waits for a place."""
+    """A request that waits for a placement."""
 
     __slots__ = (
         'arrived_at',
@@ -21,21 +21,22 @@
         self, msg: messages.AskPlace, arrived_at: float, *, came_back: bool
     ) -> None:
         self.msg = msg
-        # When its first try came, seconds.
+        # When its first attempt arrived, seconds.
         self.arrived_at = arrived_at
-        # Whether an earlier try of it was not served.
+        # Whether an earlier attempt of it was not served.
         self.came_back = came_back
+        # When its entry VM last polled, seconds.
         self.asked_at = 0.0
-        # Waiters before it at the last look.
+        # Number of waiters ahead of it at the last scheduling pass.
         self.position = 0
-        # What there was too little of for it at the last look.
+        # Resource that it lacked at the last scheduling pass.
         self.short_of = ''
-        # Granted already, to be told at the next ask.
+        # Granted already; sent as the reply to the next poll.
         self.place: messages.Place | None = None
 
 
 class Held:
-    """A granted place."""
+    """A request with a granted placement."""
 
     __slots__ = (
         'digest',
@@ -55,11 +56,12 @@
         digest: int = 0,
     ) -> None:
         self.holder = holder
-        # Without a prefill worker where that is not known or none was given.
+        # Its prefill worker is empty if it is not known or none was granted.
         self.place = place
-        # Shared by the tries of its request; 0 if that is not known.
+        # Shared by the attempts of its request; 0 if not known.
         self.digest = digest
         self.running = running
+        # When its holder last renewed it, seconds.
         self.kept_at = now
-        # Whether no prompt was before its own at its prefill worker.
+        # Whether no other prompt was ahead of its own at its prefill worker.
         self.read_alone = False
--- a/packages/core/foxtaildale/packing.py
+++ b/packages/core/foxtaildale/packing.py
@@ -1,7 +1,7 @@
-"""Decode workers as one look at a plan finds them, and who fits where.
+"""Memory of the decode workers in one scheduling pass, and who fits where.
 
-What counts is the memory that the requests at a worker will have at the worst
-moment to come (`growth`), against a part of what the worker has.
+A request fits if the peak memory of all requests at the worker (`growth`) stays
+within a part of the worker's memory.
 """
 
 from collections.abc import Callable
@@ -14,35 +14,36 @@
 from foxtaildale import growth
 from foxtaildale import routes
 
-# Part of an engine's memory that is planned with. Less leaves it empty in a
-# burst, more has requests preempted, whose prompts are read again.
+# Part of an engine's memory that is planned with. A smaller part leaves memory
+# unused in a burst; with a larger one engines preempt requests, whose prompts
+# are prefilled again.
 FILL: Final = 0.95
-# Part of that memory by which a worker may have less room than the roomiest and
-# be taken all the same, since it is in the data centre in which the prompt is
-# read: its memory is moved twice as slowly, and as dearly, between data centres.
-# It is less than the memory of one request, so that
-# workers stay evenly full.
+# A worker in the data centre of the prefill worker is preferred while it has
+# less room than the roomiest worker by at most this part of the planned memory.
+# A transfer between data centres takes twice as long and costs twice as much.
+# The part is less than the memory of one request, so that workers stay evenly
+# full.
 NEAR_PART: Final = 0.1
 
 
 class Packing:
-    """The decode workers of one service that are open to whoever fits.
+    """The decode workers of one service that accept further requests.
 
     Args:
         now: Seconds.
         service: Memory and slots of an engine.
-        decoders: Those that may get work.
-        running: What is planned, as pairs of a worker's id and a request.
+        decoders: Decode workers that may get work.
+        running: The planned requests, as pairs of a worker's id and a request.
         token_s: Returns the time of one token at a worker, seconds.
     """
 
     __slots__ = (
         '_data_centres',
-        '_limit',
+        '_memory_limit',
         '_now',
-        '_open',
+        '_open_workers',
+        '_requests',
         '_slots',
-        '_there',
         '_token_s',
         'event_tokens',
     )
@@ -57,25 +58,29 @@
     ) -> None:
         self._now = now
         self.event_tokens = service.event_tokens
-        self._limit = FILL * service.kv_tokens
+        # Tokens.
+        self._memory_limit = FILL * service.kv_tokens
         self._slots = service.slots or math.inf
         # Ids in order of preference.
-        self._open = []
+        self._open_workers = []
         self._data_centres: dict[str, str] = {}
         for tally in decoders:
-            self._open.append(tally.backend.id)
+            self._open_workers.append(tally.backend.id)
             self._data_centres[tally.backend.id] = tally.backend.data_centre
-        self._there: dict[str, list[growth.Running]] = {}
+        # By worker id.
+        self._requests: dict[str, list[growth.Running]] = {}
         for worker, request in running:
             self.give(worker, request)
-        # Worked out once a look: it takes a median over all engines, and every
-        # waiter is tried at every worker.
-        self._token_s = {worker: token_s(worker) for worker in self._open}
+        # Computed once for each scheduling pass: it takes a median over all
+        # engines, and every waiter is tried at every worker.
+        self._token_s = {
+            worker: token_s(worker) for worker in self._open_workers
+        }
 
     @property
     def full(self) -> bool:
-        """Whether no worker is open."""
-        return not self._open
+        """Whether no worker accepts further requests."""
+        return not self._open_workers
 
     def roomiest(
         self,
@@ -83,39 +88,41 @@
         avoid: Collection[str],
         near: str = '',
     ) -> tuple[str, bool]:
-        """Returns the worker with the most room, and whether that suffices.
+        """Returns the worker with the most room, and whether the request fits.
 
-        Empty where the request may go to none of them.
+        The id is empty if the request may go to no worker.
 
         Args:
-            request: What it should have room for.
+            request: The request to place.
             avoid: Workers that it must not go to.
-            near: Data centre in which its prompt is read; empty for none. A
+            near: Data centre of its prefill worker; empty for none. A decode
                 worker there is preferred among those with room.
         """
-        best, least = '', math.inf
-        nearest, least_near = '', math.inf
-        for worker in self._open:
-            there = self._there.get(worker, [])
-            if worker in avoid or len(there) >= self._slots:
+        best, min_peak = '', math.inf
+        nearest, min_near_peak = '', math.inf
+        for worker in self._open_workers:
+            requests = self._requests.get(worker, [])
+            if worker in avoid or len(requests) >= self._slots:
                 continue
             token_s = self._token_s[worker]
-            most = growth.peak([*there, request], self._now, token_s)
-            if not there:
-                # An engine of its own has to do for the largest.
-                most = min(most, self._limit)
-            if most < least:
-                best, least = worker, most
-            if self._data_centres[worker] == near and most < least_near:
-                nearest, least_near = worker, most
-        if least_near <= min(self._limit, least + NEAR_PART * self._limit):
+            peak = growth.peak([*requests, request], self._now, token_s)
+            if not requests:
+                # Even the largest request is accepted by an idle engine.
+                peak = min(peak, self._memory_limit)
+            if peak < min_peak:
+                best, min_peak = worker, peak
+            if self._data_centres[worker] == near and peak < min_near_peak:
+                nearest, min_near_peak = worker, peak
+        if min_near_peak <= min(
+            self._memory_limit, min_peak + NEAR_PART * self._memory_limit
+        ):
             return nearest, True
-        return best, least <= self._limit
+        return best, min_peak <= self._memory_limit
 
     def give(self, worker: str, request: growth.Running) -> None:
         """Adds a request to a worker."""
-        self._there.setdefault(worker, []).append(request)
+        self._requests.setdefault(worker, []).append(request)
 
     def keep(self, worker: str) -> None:
-        """Closes a worker to all others for this look."""
-        self._open.remove(worker)
+        """Closes a worker to all other requests in this scheduling pass."""
+        self._open_workers.remove(worker)
--- a/packages/core/foxtaildale/queues.py
+++ b/packages/core/foxtaildale/queues.py
@@ -1,12 +1,12 @@
-"""Who waits for a place at a service's engines, and in which order.
+"""Who waits for a placement at a service's engines, and in which order.
 
-Load answered: bursts in which more is asked for than the engines can take. A
-request that can still meet its target goes before one that can't: served in
-order of arrival, an overload of some seconds would make every request late. One
-that was refused and came back counts from when it came first. Its target is
-missed, so it makes nobody else late, and it is the first of those that wait for
-what is left. Before all others goes a stream that broke: its caller has a part
-of the answer, and if it goes on at once the pause is hardly seen.
+The queue is made for bursts in which requests need more than the engines have.
+A request that can still meet its target is served before one that can't: in
+order of arrival, an overload of some seconds would make every request late. A
+refused request that is retried counts from its first attempt. Its target is
+already missed, so it delays no other request, and it comes first among the late
+requests. A broken stream goes before all others: its caller has a part of the
+response, and the caller hardly notices the pause if the stream resumes at once.
 
 The time is an argument.
 """
@@ -18,117 +18,126 @@
 from foxtaildale import room
 from foxtaildale import tries
 
-# A waiter that did not ask again for this long has gone, seconds: twice the
-# longest time between asks.
+# A waiter that has not polled for this long is removed, seconds: twice the
+# longest poll interval.
 WAITER_S: Final = 0.5
-# Least time between two tries of one request, seconds; what differs by less is
-# one try as two clocks see it.
+# Shortest time between two attempts of one request, seconds. A smaller
+# difference is one attempt as seen by the clocks of two VMs.
 AGAIN_S: Final = 0.05
-# Time between asks of a waiter, milliseconds: the first one's, what each one
-# before it adds, and the longest.
+# Poll interval of a waiter, milliseconds: of the first waiter, the increment
+# for each waiter before it, and the maximum.
 AGAIN_MS: Final = 40
 AGAIN_STEP_MS: Final = 12
 AGAIN_MOST_MS: Final = 250
-# Longest time between two grants that is learned from, seconds; a longer one
-# means that nobody asked.
+# Longest time between two placements that enters the average, seconds; a longer
+# one means that no request was waiting.
 BETWEEN_MOST_S: Final = 1.0
-# How much a new measurement counts.
-_LEARN: Final = 0.1
+# Weight of a new measurement in the moving average.
+_NEW_WEIGHT: Final = 0.1
 
 
 class Queue:
     """The waiters of one service."""
 
-    __slots__ = ('_between_s', '_granted_at', '_tries', '_waiting')
+    __slots__ = (
+        '_first_attempts',
+        '_last_granted_at',
+        '_mean_interval_s',
+        '_waiters',
+    )
 
     def __init__(self) -> None:
         # By request.
-        self._waiting: dict[str, holdings.Waiter] = {}
-        self._tries = tries.FirstTries()
-        # Smoothed time between grants, seconds, and when the last one was.
-        self._between_s = 0.0
-        self._granted_at = 0.0
+        self._waiters: dict[str, holdings.Waiter] = {}
+        self._first_attempts = tries.FirstTries()
+        # Smoothed time between placements, and when the last one was granted,
+        # seconds.
+        self._mean_interval_s = 0.0
+        self._last_granted_at = 0.0
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._waiters)
 
     def get(self, request: str) -> holdings.Waiter | None:
         """Returns a waiter; None if it is not known."""
-        return self._waiting.get(request)
+        return self._waiters.get(request)
 
     def join(self, now: float, msg: messages.AskPlace) -> holdings.Waiter:
-        """Adds a request, behind those that wait for a place."""
-        came_at = now - msg.waited_ms / 1000
-        first_at = self._tries.came_first(now, msg.digest, came_at)
-        came_back = first_at < came_at - AGAIN_S
-        waiter = holdings.Waiter(msg, first_at, came_back=came_back)
+        """Adds a request behind those that wait for a placement."""
+        arrived_at = now - msg.waited_ms / 1000
+        first_at = self._first_attempts.came_first(now, msg.digest, arrived_at)
+        is_retry = first_at < arrived_at - AGAIN_S
+        waiter = holdings.Waiter(msg, first_at, came_back=is_retry)
         waiter.position = self.unplaced()
-        self._waiting[msg.request] = waiter
+        self._waiters[msg.request] = waiter
         return waiter
 
     def leave(self, request: str) -> None:
-        """Forgets a waiter; harmless if it is not known."""
-        self._waiting.pop(request, None)
+        """Removes a waiter; does nothing if it is not known."""
+        self._waiters.pop(request, None)
 
     def served(self, digest: int) -> None:
-        """Takes the end of a whole answer."""
-        self._tries.served(digest)
+        """Records that a request got its complete response."""
+        self._first_attempts.served(digest)
 
     def unplaced(self) -> int:
-        """Returns how many wait for a place.
+        """Returns how many requests wait for a placement.
 
-        Those that have one and did not ask for it yet are not counted. A waiter
-        is told to ask later the more there are before it; with them counted,
-        a burst that is over would go on delaying everybody, since some that have
-        just got a place are always there.
+        Waiters that have one and have not polled for it yet are not counted.
+        The poll interval grows with the number of waiters ahead. If placed
+        waiters counted, a burst that is over would go on delaying every new
+        request, since there are always some that have just been placed.
         """
-        return sum(waiter.place is None for waiter in self._waiting.values())
+        return sum(waiter.place is None for waiter in self._waiters.values())
 
     def ranked(self, now: float, reading_s: float) -> list[holdings.Waiter]:
-        """Returns those that wait for a place, first the one that is next.
+        """Returns the waiters without a placement, the next one first.
 
         Args:
             now: Seconds.
-            reading_s: Mean time from a place to a read prompt.
+            reading_s: Mean time from a placement to the end of its prefill,
+                seconds.
         """
-        waiters = [w for w in self._waiting.values() if w.place is None]
+        waiters = [w for w in self._waiters.values() if w.place is None]
         waiters.sort(key=lambda waiter: _rank(now, waiter, reading_s))
         return waiters
 
     def granted(self, now: float) -> None:
-        """Learns how fast places are given."""
-        between_s = min(now - self._granted_at, BETWEEN_MOST_S)
-        self._granted_at = now
-        self._between_s += _LEARN * (between_s - self._between_s)
+        """Records a granted placement, to learn the rate of placements."""
+        interval_s = min(now - self._last_granted_at, BETWEEN_MOST_S)
+        self._last_granted_at = now
+        self._mean_interval_s += _NEW_WEIGHT * (
+            interval_s - self._mean_interval_s
+        )
 
     def told(self, waiter: holdings.Waiter) -> messages.Queued:
-        """Returns what a waiter is told."""
-        again_ms = AGAIN_MS + AGAIN_STEP_MS * waiter.position
+        """Returns the reply to a request that has to wait."""
+        poll_ms = AGAIN_MS + AGAIN_STEP_MS * waiter.position
         return messages.Queued(
-            again_in_ms=min(again_ms, AGAIN_MOST_MS),
+            again_in_ms=min(poll_ms, AGAIN_MOST_MS),
             position=waiter.position,
-            wait_ms=int(waiter.position * self._between_s * 1000),
+            wait_ms=int(waiter.position * self._mean_interval_s * 1000),
             came_back=waiter.came_back,
             short_of=waiter.short_of,
         )
 
     def expire(self, now: float) -> list[holdings.Waiter]:
-        """Forgets waiters that stopped asking; returns them."""
-        gone = [
+        """Removes and returns the waiters that stopped polling."""
+        expired = [
             waiter
-            for waiter in self._waiting.values()
+            for waiter in self._waiters.values()
             if now - waiter.asked_at > WAITER_S
         ]
-        for waiter in gone:
-            del self._waiting[waiter.msg.request]
-        return gone
+        for waiter in expired:
+            del self._waiters[waiter.msg.request]
+        return expired
 
 
 def _rank(
-    now: float, waiter: holdings.Waiter, reading_s: float
+    now: float, waiter: holdings.Waiter, prefill_s: float
 ) -> tuple[bool, bool, int, float, str]:
     msg = waiter.msg
     age_s = now - waiter.arrived_at
-    late = room.too_late(age_s, msg.target_ms / 1000, reading_s)
-    rest = msg.priority, waiter.arrived_at, msg.request
-    return not msg.started, late, *rest
+    is_late = room.too_late(age_s, msg.target_ms / 1000, prefill_s)
+    tie_break = msg.priority, waiter.arrived_at, msg.request
+    return not msg.started, is_late, *tie_break
