--- a/packages/core/foxtaildale/lengths.py
+++ b/packages/core/foxtaildale/lengths.py
@@ -1,35 +1,38 @@
-"""How long answers of a service are thought to get."""
+"""Expected lengths of a service's responses."""
 
 import math
 from typing import Final
 
 from foxtaildale import growth
 
-# How much a new measurement counts.
-_LEARN: Final = 0.1
+# Weight of a new measurement in the moving average.
+_NEW_WEIGHT: Final = 0.1
 
 
 class Lengths:
-    """Lengths of whole answers, on a log scale, as they spread there evenly."""
+    """Mean length of complete responses.
 
-    __slots__ = ('_typical_log',)
+    The mean is taken on a log scale, since lengths spread evenly there.
+    """
+
+    __slots__ = ('_mean_log',)
 
     def __init__(self) -> None:
-        # Mean logarithm of the tokens of an answer; 0 before the first.
-        self._typical_log = 0.0
+        # Mean logarithm of the tokens of a response; 0 before the first.
+        self._mean_log = 0.0
 
     def note(self, tokens: int) -> None:
-        """Takes the length of a whole answer, tokens."""
+        """Records the length of a complete response, tokens."""
         log = math.log(tokens)
-        before = self._typical_log or log
-        self._typical_log = before + _LEARN * (log - before)
+        old_mean = self._mean_log or log
+        self._mean_log = old_mean + _NEW_WEIGHT * (log - old_mean)
 
     def expected(self, hinted: int, longest: int) -> float:
-        """Returns how long an answer is thought to get, tokens.
+        """Returns the expected length of a response, tokens.
 
         Args:
-            hinted: The caller's guess; 0 for none.
-            longest: The bound that the caller gave.
+            hinted: The caller's hint; 0 for none.
+            longest: The maximum that the caller set; 0 for none.
         """
-        typical = math.exp(self._typical_log) if self._typical_log else 0.0
+        typical = math.exp(self._mean_log) if self._mean_log else 0.0
         return growth.expected_tokens(hinted, longest, typical)
--- a/packages/core/foxtaildale/ownreads.py
+++ b/packages/core/foxtaildale/ownreads.py
@@ -1,81 +1,84 @@
-"""When a decode worker reads a prompt itself.
+"""When a decode worker prefills a prompt itself.
 
-Load answered: a prefill worker of two crashes or leaves in a burst. The other
-one reads half of what comes; requests wait at it, while half of the decode
-memory is free, until an engine has changed its stage some fifteen seconds
-later. A decode worker reads as well, at half the speed, between the tokens of
-its answers, and all of those stand still meanwhile. So one prompt at a time,
-only one so short that no caller sees a pause, and only where the prefill
-workers are busy for longer than their bound.
+Local prefills bridge the time after one of two prefill workers crashes or leaves
+in a burst. The other one can prefill only half of the arriving prompts;
+requests wait for it, with half of the decode memory free, until an engine has
+changed its stage about fifteen seconds later. A decode worker prefills at half
+the speed of a prefill worker, between the tokens of its responses, and all of
+those stop meanwhile. A decode worker therefore prefills one prompt at a time,
+only a prompt so short that no caller notices the pause, and only while the
+prefill workers are busy for longer than their limit.
 
 The time is an argument.
 """
 
 from typing import Final
 
-# Speed of a decode worker at a prompt, against a prefill worker's. Engines tell
-# no figure of it; half is what their protocol says.
+# Prefill speed of a decode worker relative to a prefill worker. Engines do not
+# report it; half is the value in their protocol.
 SPEED: Final = 0.5
-# Part of the longest pause between events that a prompt may take, together with
-# the event whose tokens it stands between.
+# Part of the maximum pause between events that may be spent on a local prefill
+# and on the tokens of the event that it delays.
 PAUSE_PART: Final = 0.8
-# Workers remembered; those that read last.
-_MOST: Final = 256
+# Maximum number of remembered workers; those with the latest local prefills stay.
+_MAX_WORKERS: Final = 256
 
 
 class OwnReads:
-    """The decode workers of one service that read now."""
+    """Local prefills of one service's decode workers."""
 
     __slots__ = ('_free_at',)
 
     def __init__(self) -> None:
-        # When each may read again, seconds, by id.
+        # When each may do the next local prefill, seconds, by id.
         self._free_at: dict[str, float] = {}
 
     def forget(self, server: str) -> None:
-        """Forgets a server that started again."""
+        """Discards what is known of a server that has restarted."""
         self._free_at.pop(server, None)
 
     def busy(self, now: float) -> frozenset[str]:
-        """Returns the workers that may not read a prompt now."""
+        """Returns the workers that may not prefill a prompt now."""
         return frozenset(
-            worker for worker, at in self._free_at.items() if now < at
+            worker
+            for worker, free_at in self._free_at.items()
+            if now < free_at
         )
 
     def give(
         self, now: float, worker: str, took_s: float, gap_s: float
     ) -> None:
-        """Notes that a worker reads, and that its callers saw a pause.
+        """Records a local prefill, which pauses the worker's responses.
 
         Args:
             now: Seconds.
             worker: Its id.
-            took_s: Time of the prompt, seconds.
-            gap_s: Longest pause between events; the next prompt must not
-                stand in the same one.
+            took_s: Time of the prefill, seconds.
+            gap_s: Maximum pause between events; the next local prefill must not
+                fall into the same pause.
         """
         self._free_at.pop(worker, None)
         self._free_at[worker] = now + took_s + gap_s
-        if len(self._free_at) > _MOST:
+        if len(self._free_at) > _MAX_WORKERS:
             del self._free_at[next(iter(self._free_at))]
 
 
 def read_s(prompt: int, per_s: float) -> float:
-    """Returns how long a decode worker reads a prompt, seconds.
+    """Returns how long a decode worker prefills a prompt, seconds.
 
     Args:
         prompt: Tokens.
-        per_s: Prompt tokens that a prefill worker reads in a second.
+        per_s: Speed of a prefill worker, prompt tokens a second.
     """
     return prompt / (SPEED * per_s)
 
 
 def unseen(read_s: float, event_s: float, gap_s: float) -> bool:
-    """Whether callers of the worker's other answers see no pause.
+    """Whether callers of the worker's other responses notice no pause.
 
     Args:
-        read_s: Time of the prompt, seconds.
+        read_s: Time of the prefill, seconds.
         event_s: Time of the tokens of one event, seconds.
-        gap_s: Longest pause between events that is on time, seconds.
+        gap_s: Maximum pause between events that meets the target, seconds.
     """
     return read_s + event_s <= PAUSE_PART * gap_s
--- a/packages/core/foxtaildale/prefills.py
+++ b/packages/core/foxtaildale/prefills.py
@@ -1,8 +1,8 @@
-"""The prefill workers of a service, as its plan sees them: when each is free.
+"""When each prefill worker of a service is free, as its plan computes it.
 
-Nothing is asked of the workers. What was given to each and how fast prompts
-are read says when it is through; what holders measured says how fast that is,
-and which worker is slower than the others. The time is an argument.
+The workers are not queried. The plan knows which prompts it assigned to each
+worker, and learns from the holders' measurements how fast prompts are prefilled
+and which workers are slower than the others. The time is an argument.
 """
 
 from collections.abc import Collection
@@ -15,66 +15,70 @@
 from foxtaildale import reading
 from foxtaildale import speeds
 
-# Work of a prefill worker before a prompt beyond which its place is not given
-# yet, seconds. Given it, the prompt would wait there with its memory held at the
-# decode worker, behind prompts that can't be overtaken any more; an engine that
-# reads too many at once runs out of memory and reads some of them again.
+# Maximum time that a prompt may wait at a prefill worker, seconds; beyond it the
+# placement is not granted yet. The prompt would wait there with its memory
+# reserved at the decode worker, behind prompts that it can't overtake any more.
+# An engine that prefills too many prompts at once runs out of memory and
+# prefills some of them again.
 AHEAD_S: Final = 0.3
-# Prompts wait for each other at the prefill workers if a prompt takes this many
-# times as long, from its place on, as an engine needs to read it.
+# Prompts count as waiting for each other at the prefill workers if the time from
+# placement to the end of the prefill is this many times the unqueued time.
 WAITING: Final = 1.6
-# Prompts of a worker in a row that no decode worker took, from which on it gets
-# none for a while. A full decode worker refuses as well, but then prompts of
-# every prefill worker.
+# Number of consecutive prompts of a prefill worker that no decode worker
+# accepted, after which the worker is closed for a while. A full decode worker
+# refuses prompts too, but then those of every prefill worker.
 LOSING: Final = 2
-# That while at first, seconds, and the longest; each further prompt that is lost
-# doubles it. Each try of a worker that still loses is a prompt read for nothing.
+# First and maximum time for which it is closed, seconds; each further lost
+# prompt doubles the time. Each prompt that is sent to a worker that still loses
+# prompts is a wasted prefill.
 LOST_S: Final = 1.0
 LOST_MOST_S: Final = 4.0
-# Workers remembered; those that are gone drop out as new ones come.
-_MOST: Final = 256
-# How much a new measurement counts.
-_LEARN: Final = 0.1
+# Maximum number of remembered workers; the oldest entries are dropped.
+_MAX_WORKERS: Final = 256
+# Weight of a new measurement in the moving average.
+_NEW_WEIGHT: Final = 0.1
 
 
-class _Lost:
-    """Prompts of one worker that were lost in a row."""
+class _LostPrompts:
+    """Consecutive lost prompts of one worker."""
 
-    __slots__ = ('count', 'span_s', 'until')
+    __slots__ = ('closed_until', 'count', 'next_closed_s')
 
     def __init__(self) -> None:
         self.count = 0
-        # How long it gets none the next time, and until when it does, seconds.
-        self.span_s = LOST_S
-        self.until = 0.0
+        # How long it is closed the next time, and until when it is closed now,
+        # seconds.
+        self.next_closed_s = LOST_S
+        self.closed_until = 0.0
 
 
 class Turn(msgspec.Struct, frozen=True):
-    """When a prefill worker would read a prompt, seconds."""
+    """When a prefill worker would prefill a prompt, seconds."""
 
-    # Its id; empty if there is none, and the times are now.
+    # The worker's id. It is empty if there is no worker; the times are then the
+    # present time.
     worker: str
-    # When it has read all before it.
+    # When it has finished all prompts ahead of this one.
     starts_at: float
-    # When it has read this one, and when that is known.
+    # When it has finished this prompt, and when the holder is notified.
     read_at: float
     ready_at: float
 
 
 class Prefills:
-    """Time of the prefill workers."""
+    """Schedule of the prefill workers."""
 
     __slots__ = ('_free_at', '_lost', '_speeds', 'mean_s', 'reading')
 
     def __init__(self) -> None:
-        # When each has read what it was given, seconds, by id.
+        # When each has finished its assigned prompts, seconds, by id.
         self._free_at: dict[str, float] = {}
         self._speeds = speeds.Speeds()
         # By id.
-        self._lost: dict[str, _Lost] = {}
+        self._lost: dict[str, _LostPrompts] = {}
         self.reading = reading.Reading()
-        # Mean time from a place until the prompt was read, seconds; 0 until
-        # one was measured.
+        # Mean time from a placement to the end of its prefill, seconds; 0
+        # before the first measurement.
         self.mean_s = 0.0
 
     def choose(
@@ -84,13 +88,13 @@
         prefillers: Iterable[fleet.Tally],
         avoid: Collection[str],
     ) -> Turn:
-        """Returns the turn at the worker that is through first.
+        """Returns the turn at the worker that finishes the prompt first.
 
-        None of those that lose prompts, unless all do.
+        Workers that lose prompts are chosen only if all of them do.
         """
-        names = [t.backend.id for t in prefillers if t.backend.id not in avoid]
-        keeping = [name for name in names if not self.losing(now, name)]
-        turns = [self._turn(now, prompt, name) for name in keeping or names]
+        ids = [t.backend.id for t in prefillers if t.backend.id not in avoid]
+        reliable = [worker for worker in ids if not self.losing(now, worker)]
+        turns = [self._turn(now, prompt, worker) for worker in reliable or ids]
         return min(
             turns,
             key=lambda turn: turn.read_at,
@@ -98,17 +102,17 @@
         )
 
     def too_busy(self, now: float, prompt: int, turn: Turn) -> bool:
-        """Whether a prompt would wait too long for the ones before it."""
+        """Whether a prompt would wait too long for those ahead of it."""
         return turn.read_at - now - prompt / self.reading.per_s > AHEAD_S
 
     def give(self, turn: Turn) -> None:
-        """Notes that a worker got a prompt."""
+        """Records that a prompt was assigned to a worker."""
         self._free_at[turn.worker] = turn.read_at
-        if len(self._free_at) > _MOST:
+        if len(self._free_at) > _MAX_WORKERS:
             del self._free_at[next(iter(self._free_at))]
 
     def forget(self, worker: str) -> None:
-        """Forgets a worker that started again."""
+        """Discards what is known of a worker that has restarted."""
         self._free_at.pop(worker, None)
         self._lost.pop(worker, None)
         self._speeds.forget(worker)
@@ -126,57 +130,58 @@
         *,
         alone: bool = False,
     ) -> None:
-        """Takes a measured prefill.
+        """Records a measured prefill.
 
         Args:
             now: Seconds.
-            worker: Which one did it; empty if that is not known.
+            worker: The worker that did it; empty if that is not known.
             prompt: Tokens.
-            took_s: Time from the place on, seconds.
-            alone: Whether nothing was before it at its worker.
+            took_s: Time since the placement, seconds.
+            alone: Whether no other prompt was ahead of it at its worker.
         """
-        self.mean_s += _LEARN * (took_s - self.mean_s)
+        self.mean_s += _NEW_WEIGHT * (took_s - self.mean_s)
         if not prompt:
             return
         if not self.slow(now, worker):
             self.reading.note(prompt, took_s, alone=alone)
         if worker:
-            # Without the way, which is most of the time of a short prompt.
-            reading_s = max(took_s - self.reading.way_s, took_s / 4)
-            self._speeds.note(now, worker, reading_s / prompt)
+            # Without the fixed overhead, which is most of the time of a short
+            # prompt.
+            prefill_s = max(took_s - self.reading.way_s, took_s / 4)
+            self._speeds.note(now, worker, prefill_s / prompt)
 
     def note_use(self, now: float, worker: str, *, taken: bool) -> None:
-        """Takes whether a decode worker took what this one had read."""
+        """Records whether a decode worker accepted a prefilled prompt."""
         if taken:
             self._lost.pop(worker, None)
             return
-        known = self._lost.setdefault(worker, _Lost())
-        known.count += 1
-        # Those that were read before it was closed say nothing new.
-        if known.count >= LOSING and now >= known.until:
-            known.until = now + known.span_s
-            known.span_s = min(2 * known.span_s, LOST_MOST_S)
-        if len(self._lost) > _MOST:
+        lost = self._lost.setdefault(worker, _LostPrompts())
+        lost.count += 1
+        # Prompts that were prefilled before it was closed prove nothing new.
+        if lost.count >= LOSING and now >= lost.closed_until:
+            lost.closed_until = now + lost.next_closed_s
+            lost.next_closed_s = min(2 * lost.next_closed_s, LOST_MOST_S)
+        if len(self._lost) > _MAX_WORKERS:
             del self._lost[next(iter(self._lost))]
 
     def losing(self, now: float, worker: str) -> bool:
-        """Whether prompts read by this worker are lost before they are used.
+        """Whether prompts of this worker are lost before they are used.
 
-        Its memory lets go of them at once; the prompts would be read in vain.
+        Its memory evicts them at once, so the prefills would be wasted.
         """
-        known = self._lost.get(worker)
-        return known is not None and now < known.until
+        lost = self._lost.get(worker)
+        return lost is not None and now < lost.closed_until
 
     def waiting(self, prompt: float) -> bool:
         """Whether prompts of this mean length wait for each other."""
         return self.mean_s > self.usual_s(WAITING * prompt)
 
     def usual_s(self, prompt: float) -> float:
-        """Returns the time of a prompt that waits for none, seconds."""
+        """Returns the time of a prompt that waits for no other, seconds."""
         return prompt / self.reading.per_s + self.reading.way_s
 
-    def _turn(self, now: float, prompt: int, name: str) -> Turn:
-        starts_at = max(now, self._free_at.get(name, 0.0))
-        slowness = self._speeds.slowness(now, name)
+    def _turn(self, now: float, prompt: int, worker: str) -> Turn:
+        starts_at = max(now, self._free_at.get(worker, 0.0))
+        slowness = self._speeds.slowness(now, worker)
         read_at = starts_at + slowness * prompt / self.reading.per_s
-        return Turn(name, starts_at, read_at, read_at + self.reading.way_s)
+        return Turn(worker, starts_at, read_at, read_at + self.reading.way_s)
--- a/packages/core/foxtaildale/speeds.py
+++ b/packages/core/foxtaildale/speeds.py
@@ -1,65 +1,68 @@
 """Which engines of a stage are much slower than the others.
 
-Load answered: an engine that takes four times as long as the others, by a fault
-of its own, and yet answers. Counted as a sound one it gets its share of the
-work: prompts wait for it past their targets, and its answers hold their memory
-four times as long as the plan foresees, so that requests are preempted.
+An engine may take four times as long as the others, by a fault of its own, and
+still respond. Treated as a healthy engine it gets its share of the work:
+prompts wait for it past their targets, and its responses occupy their memory
+four times as long as the plan expects, so that requests are preempted.
 
-Only the proportion to the others counts: under load all of them slow down
-together. Nothing here does I/O.
+Only the ratio to the other engines counts, since under load all of them slow
+down together. Nothing here does I/O.
 """
 
 import math
 import statistics
 from typing import Final
 
-# How much a new measurement counts; three in a row show a slow engine.
-_LEARN: Final = 0.3
-# Times slower than the median from which on an engine counts as slow; prompts
-# of uneven length that wait for each other spread by less.
+# Weight of a new measurement in the moving average; three in a row identify a
+# slow engine.
+_NEW_WEIGHT: Final = 0.3
+# Ratio to the median from which on an engine counts as slow. Prompts of uneven
+# length that wait for each other spread by less.
 SLOW: Final = 2.0
-# What an engine takes longer than the others halves in this time without a
-# measurement, seconds: a slow one gets little to be measured by, and would
-# stand idle long after it has recovered.
+# Time in which an engine's excess over the median halves without a measurement,
+# seconds. A slow engine gets little work to be measured by, and would otherwise
+# stay idle long after it has recovered.
 HALF_S: Final = 2.0
-# Engines remembered; those that are gone drop out as new ones come.
-_MOST: Final = 256
+# Maximum number of remembered engines; those measured longest ago are dropped.
+_MAX_ENGINES: Final = 256
 
 
 class Speeds:
     """Smoothed time of a token at each engine of a stage."""
 
-    __slots__ = ('_noted',)
+    __slots__ = ('_token_times',)
 
     def __init__(self) -> None:
-        # Seconds of a token, and when that was noted, by id; the ones measured
-        # last at the end.
-        self._noted: dict[str, tuple[float, float]] = {}
+        # Seconds a token and the time of the last measurement, by id; the
+        # engines measured last are at the end.
+        self._token_times: dict[str, tuple[float, float]] = {}
 
     def note(self, now: float, server: str, token_s: float) -> None:
-        """Takes a measured time of a token, seconds."""
-        before, _ = self._noted.pop(server, (token_s, now))
-        learned = before + _LEARN * (token_s - before)
-        self._noted[server] = (learned, now)
-        if len(self._noted) > _MOST:
-            del self._noted[next(iter(self._noted))]
+        """Records a measured time of a token, seconds."""
+        old_s, _ = self._token_times.pop(server, (token_s, now))
+        smoothed_s = old_s + _NEW_WEIGHT * (token_s - old_s)
+        self._token_times[server] = (smoothed_s, now)
+        if len(self._token_times) > _MAX_ENGINES:
+            del self._token_times[next(iter(self._token_times))]
 
     def forget(self, server: str) -> None:
-        """Forgets a server that started again."""
-        self._noted.pop(server, None)
+        """Discards what is known of a server that has restarted."""
+        self._token_times.pop(server, None)
 
     def usual_s(self) -> float | None:
-        """Returns the time of a token at most engines; None if not known."""
-        if not self._noted:
+        """Returns the median time of a token; None if not known."""
+        if not self._token_times:
             return None
-        return statistics.median_low(own for own, _ in self._noted.values())
+        return statistics.median_low(
+            token_s for token_s, _ in self._token_times.values()
+        )
 
     def slowness(self, now: float, server: str) -> float:
-        """Returns how many times slower than the others; 1 if not much."""
-        noted, usual_s = self._noted.get(server), self.usual_s()
-        if noted is None or usual_s is None:
+        """Returns the ratio to the median; 1 if the engine is not slow."""
+        measured, median_s = self._token_times.get(server), self.usual_s()
+        if measured is None or median_s is None:
             return 1.0
-        own, at = noted
-        beyond = max(0.0, own / usual_s - 1.0)
-        found = 1.0 + beyond * math.exp2((at - now) / HALF_S)
-        return found if found >= SLOW else 1.0
+        token_s, measured_at = measured
+        excess = max(0.0, token_s / median_s - 1.0)
+        ratio = 1.0 + excess * math.exp2((measured_at - now) / HALF_S)
+        return ratio if ratio >= SLOW else 1.0
