--- a/packages/core/foxtaildale/comeback.py
+++ b/packages/core/foxtaildale/comeback.py
@@ -1,36 +1,37 @@
-"""When a refused caller should come back.
+"""When the caller of a refused request should retry.
 
-Callers that are refused together and told the same time come back together
-and meet the same overload, so the time is drawn from a range. Callers heed it
-up to a third of the time that they have left; a longer one is not heeded, and
-they would come back at once or not at all.
+Callers that are refused together and get the same delay retry together and meet
+the same overload, so the delay is drawn from a range. Callers follow a delay of
+up to a third of the time that they have left. They ignore a longer one, and
+retry at once or not at all.
 """
 
 import random
 from typing import Final
 
-# Least time, seconds: a slot of a plain service comes free about this fast.
+# Minimum delay, seconds; a slot of a plain service becomes free about this fast.
 MIN_S: Final = 0.1
-# Callers who are told when something ends come back within this much more of the
-# time until then, not all at its end.
+# If the end of the cause is known, retries are spread over this part of the
+# remaining time beyond it, so that they do not all arrive at its end.
 _SPREAD: Final = 0.1
-# Part of the time left that is used at most; under a third, for the way.
+# Maximum delay as a part of the time that the caller has left. It is less than a
+# third, to allow for the network delay.
 PART: Final = 0.28
 
 
 def retry_after_s(wait_s: float, left_s: float, rng: random.Random) -> float:
-    """Returns when to come back, seconds.
+    """Returns the delay before a retry, seconds.
 
     Args:
-        wait_s: How long the cause is thought to last.
-        left_s: How long the caller still waits.
+        wait_s: Estimated time for which the cause lasts, seconds.
+        left_s: How long the caller still waits, seconds.
         rng: Spreads callers that are refused together.
     """
-    spread = rng.uniform(0.7, 1.6) * wait_s
-    most = rng.uniform(0.6, 1.0) * PART * left_s
-    return max(MIN_S, min(spread, most))
+    spread_s = rng.uniform(0.7, 1.6) * wait_s
+    max_s = rng.uniform(0.6, 1.0) * PART * left_s
+    return max(MIN_S, min(spread_s, max_s))
 
 
 def not_before_s(wait_s: float, rng: random.Random) -> float:
-    """Returns when to come back to what is sure to end then, seconds."""
+    """Returns the delay if the cause is certain to end in `wait_s`, seconds."""
     return max(MIN_S, wait_s * (1.0 + rng.uniform(0.0, _SPREAD)))
--- a/packages/core/foxtaildale/memory.py
+++ b/packages/core/foxtaildale/memory.py
@@ -1,10 +1,11 @@
-"""A bounded memory that knows what it may have forgotten.
-
-Whoever promises "this never ran" must not confuse what it never knew with what
-it forgot. Each record has a stamp on the clock (or in the offsets) of the one
-that remembers. Records leave in the order in which they came; the highest
-stamp that ever left is the floor. A stamp above the floor with no record was
-never here; one at or below the floor may have been.
+"""A bounded table that knows which records it may have discarded.
+
+A process that confirms that an operation never ran must distinguish a record
+that never existed from one that was discarded. Each record has a stamp on the
+clock (or in the offsets) of the process that keeps the table. Records are
+discarded in the order in which they were added; the highest stamp that was ever
+discarded is the floor. A key with a stamp above the floor and without a record
+was never added; one with a stamp at or below the floor may have been.
 """
 
 from collections.abc import Iterator
@@ -14,7 +15,7 @@
 
 
 class Stamped(Protocol):
-    """What a record must have."""
+    """A record with a stamp."""
 
     stamp: float
 
@@ -27,7 +28,7 @@
     """Records by key, oldest first.
 
     Attributes:
-        floor: Highest stamp that may have been forgotten.
+        floor: Highest stamp of a record that may have been discarded.
     """
 
     __slots__ = ('_limit', '_records', 'floor')
@@ -44,35 +45,36 @@
         return iter(self._records.items())
 
     def get(self, key: _K) -> _T | None:
-        """Returns the record of `key`, if it is still known."""
+        """Returns the record of `key`; None if there is none."""
         return self._records.get(key)
 
     def never_knew(self, key: _K, stamp: float) -> bool:
-        """Whether there never was a record of `key`, which has this stamp."""
+        """Whether a record of `key` with this stamp was certainly never added."""
         return key not in self._records and stamp > self.floor
 
     def put(self, key: _K, record: _T) -> list[_T]:
-        """Adds a record; returns those that had to go for it."""
+        """Adds a record; returns those that were discarded to make room."""
         self._records[key] = record
-        gone = []
+        discarded = []
         while len(self._records) > self._limit:
-            gone.append(self._drop_oldest())
-        return gone
+            discarded.append(self._discard_oldest())
+        return discarded
 
     def expire(self, before: float) -> list[_T]:
-        """Forgets the oldest records while their stamps are below `before`.
+        """Discards the oldest records while their stamps are below `before`.
 
-        A young record at the head keeps older ones behind it a little longer;
-        that costs memory for at most one life and is never wrong.
+        Expired records behind a record with a higher stamp stay a little longer.
+        That costs memory for at most one lifetime, and correctness does not
+        depend on it.
         """
-        gone = []
+        discarded = []
         while self._records:
             if next(iter(self._records.values())).stamp >= before:
                 break
-            gone.append(self._drop_oldest())
-        return gone
+            discarded.append(self._discard_oldest())
+        return discarded
 
-    def _drop_oldest(self) -> _T:
+    def _discard_oldest(self) -> _T:
         key = next(iter(self._records))
         record = self._records.pop(key)
         self.floor = max(self.floor, record.stamp)
--- a/packages/core/foxtaildale/reports.py
+++ b/packages/core/foxtaildale/reports.py
@@ -1,66 +1,67 @@
-"""Failed backend servers, as the home of a service hears of them.
+"""Failed backend servers, as reported to the coordinator of a service.
 
-Load answered: a site of 78 entry VMs that loses a quarter of its engines. Each
-VM finds out for itself that an engine is dead, by a request of its own that
-fails there; meanwhile the plan, in which the dead engine has the most room,
-sends it everybody's next request. So holders report failures to the home.
+The reports are made for a site of 78 entry VMs that loses a quarter of its
+engines. Each VM detects a crashed engine only by a request of its own that fails
+there. Meanwhile the plan, in which the crashed engine has the most room, sends
+the next request of every VM to it. Holders therefore report failures to the
+coordinator.
 
-One entry VM may be cut off from engines that all others reach. A report of one
-VM alone therefore takes nothing from the others; its own requests name the
-servers that it can't use. That another server answers at an engine's address is
-no matter of the way there: one such report is enough.
+One entry VM may be cut off from engines that all others can reach. A report of
+one VM alone therefore excludes no server for the others; the VM's own requests
+name the servers that it can't use. A network fault does not explain that another
+server responds at an engine's address, so one such report is enough.
 """
 
 from typing import Final
 
-# Entry VMs that must report a server before it is passed over for all.
+# Number of entry VMs that must report a server before it is excluded for all.
 WITNESSES: Final = 2
-# How long a report counts, seconds. An engine that crashed has another id when
-# it is back, so a longer time would cost only those that failed by chance.
+# How long a report counts, seconds. A restarted engine has another id, so a
+# longer time would only exclude engines whose failure was temporary.
 COUNTS_S: Final = 3.0
-# Witness that is no entry VM.
-_ADDRESS: Final = ''
+# Key that stands for the second witness; it is not the name of an entry VM.
+_REPLACED: Final = ''
 
 
 class Reports:
     """Reports on the backend servers of one service; the time is an argument."""
 
-    __slots__ = ('_reported',)
+    __slots__ = ('_reported_at',)
 
     def __init__(self) -> None:
         # When each entry VM last reported it, by server.
-        self._reported: dict[str, dict[str, float]] = {}
+        self._reported_at: dict[str, dict[str, float]] = {}
 
     def note(
         self, now: float, server: str, holder: str, *, replaced: bool = False
     ) -> None:
-        """Takes the report of an entry VM.
+        """Records the report of an entry VM.
 
         Args:
             now: Seconds.
             server: The server's id.
             holder: The entry VM.
-            replaced: Whether another server answered at its address.
+            replaced: Whether another server responded at its address.
         """
-        reports = self._reported.setdefault(server, {})
+        reports = self._reported_at.setdefault(server, {})
         reports[holder] = now
         if replaced:
             # Stands for the second witness.
-            reports[_ADDRESS] = now
+            reports[_REPLACED] = now
 
     def forget(self, server: str) -> None:
-        """Forgets a server that started again."""
-        self._reported.pop(server, None)
+        """Discards what is known of a server that has restarted."""
+        self._reported_at.pop(server, None)
 
     def failed(self, now: float) -> frozenset[str]:
         """Returns the servers that get no work now."""
-        found = set()
-        for server, reports in list(self._reported.items()):
-            for holder, at in list(reports.items()):
-                if now - at > COUNTS_S:
+        failed = set()
+        for server, reports in list(self._reported_at.items()):
+            for holder, reported_at in list(reports.items()):
+                if now - reported_at > COUNTS_S:
                     del reports[holder]
             if not reports:
-                del self._reported[server]
+                del self._reported_at[server]
             elif len(reports) >= WITNESSES:
-                found.add(server)
-        return frozenset(found)
+                failed.add(server)
+        return frozenset(failed)
--- a/packages/core/foxtaildale/room.py
+++ b/packages/core/foxtaildale/room.py
@@ -1,9 +1,9 @@
-"""How long a request may wait for a place, and what is reserved without a plan.
+"""How long a request may wait for a placement, and how much memory it reserves.
 
-Load answered: bursts of twice the usual traffic, in which the decode workers'
-memory is full for seconds. A place at a decode worker is sure before the prompt
-is read, since a prefilled prompt lives half a second and one that finds no
-place is a prefill in vain.
+The limits are made for bursts of twice the usual traffic, in which the memory
+of the decode workers is full for seconds. A placement at a decode worker is
+certain before the prompt is prefilled, since a prefilled prompt lives for half a
+second and its prefill is wasted if it finds no placement.
 """
 
 from typing import Final
@@ -11,53 +11,55 @@
 from foxtaildale import forwarding
 from foxtaildale import routes
 
-# Engines count memory in blocks of this many tokens.
+# Tokens in one block of memory; engines allocate memory in blocks.
 BLOCK: Final = 16
-# Part of the guessed answer that is reserved where there is no plan. With the
-# longest answer reserved half of the memory would stand empty; with less than
-# what is guessed, requests outgrow their share and others are preempted.
+# Reserved output without a plan, as a multiple of the expected output. Reserving
+# the maximum output would leave half of the memory unused; with less than the
+# expected output, requests outgrow their reservations and others are preempted.
 OUTPUT_SHARE: Final = 1.25
-# A caller of a stream leaves after a silence of two seconds, or of four times
-# the target for the first event if that is longer. What waits this many times
-# the target still leaves the time for prefill and a first event.
+# Maximum wait for a placement: this many times the target, and at least this
+# long, seconds. The caller of a stream disconnects after a silence of two
+# seconds, or of four times the target for the first event if that is longer.
+# The limits leave time for the prefill and the first event.
 PATIENCE_TARGETS: Final = 2.6
 PATIENCE_S: Final = 1.4
-# A caller that came back does not come a second time, so its request waits for
-# almost as long as its caller does; the rest is for the first event.
+# The same for a retry. A caller does not retry a second time, so its request
+# waits for almost as long as the caller does; the rest is for the first event.
 LAST_TARGETS: Final = 3.4
 LAST_S: Final = 1.7
-# Part of the target after which a request that waits is taken for late, until
-# it is known how long prompts take; the prefill and the transfer take the rest.
+# Part of the target after which a waiting request counts as late, until the
+# time of a prefill is known; the prefill and the transfer take the rest.
 LATE_PART: Final = 0.8
-# What is left for the prefill is this many times its mean, and for the way and
-# the first token this long, seconds.
+# Time set aside for the prefill, as a multiple of its mean, and for the network
+# delay and the first token, seconds.
 READING_ROOM: Final = 1.3
 FIRST_S: Final = 0.05
-# Estimates of the wait are off by about this factor while a burst begins or
-# ends; a request is given up early only beyond it.
+# Error factor of the estimated wait while a burst begins or ends. A request is
+# refused early only if its estimated wait exceeds its limit by more than this.
 HOPELESS: Final = 1.3
-# Part of the time that an answer is thought to need in which it may end after
-# all: guesses of the length are off by a factor of 1.5 to either side in two of
-# three, so that one in ten needs less than this.
+# A response may finish in this part of its estimated time. Two of three length
+# estimates are within a factor of 1.5 to either side, so one response in ten
+# needs less than this part.
 LUCKY: Final = 0.6
-# Life of a reservation beyond which the prefill has failed, seconds.
+# Maximum lifetime of a reservation, seconds; a prefill that takes longer has
+# failed.
 HOLD_S: Final = 2.0
 
 
 def tokens(call: forwarding.Call) -> int:
     """Returns the KV memory that a request grows to, tokens."""
-    hinted = call.hinted_tokens or call.output_tokens
-    grown = min(call.output_tokens, int(hinted * OUTPUT_SHARE))
-    need = call.prompt_tokens + grown
-    return -(-need // BLOCK) * BLOCK
+    expected = call.hinted_tokens or call.output_tokens
+    output = min(call.output_tokens, int(expected * OUTPUT_SHARE))
+    total = call.prompt_tokens + output
+    return -(-total // BLOCK) * BLOCK
 
 
 def patience_s(route: routes.Route, *, came_back: bool = False) -> float:
-    """Returns how long a request may wait for a place, seconds.
+    """Returns how long a request may wait for a placement, seconds.
 
     Args:
-        route: Of the request.
-        came_back: Whether it was refused once and came back.
+        route: Route of the request.
+        came_back: Whether it is the retry of a refused request.
     """
     if came_back:
         return max(LAST_S, LAST_TARGETS * route.target_s)
@@ -65,41 +67,43 @@
 
 
 def hopeless(wait_s: float, patience_s: float) -> bool:
-    """Whether a request is refused now rather than after its whole wait.
+    """Whether a request is refused now rather than after its maximum wait.
 
-    The sooner its caller hears of it, the more of its time is left for coming
-    back when the burst is over.
+    The sooner a caller gets the refusal, the more of its time is left for a
+    retry when the burst is over.
 
     Args:
-        wait_s: How long it is thought to wait from now on.
-        patience_s: How long it may still wait.
+        wait_s: Estimated wait from now on, seconds.
+        patience_s: How long it may still wait, seconds.
     """
     return wait_s > HOPELESS * patience_s
 
 
 def unfinished(needs_s: float, left_s: float) -> bool:
-    """Whether an answer would hardly end before its caller leaves.
+    """Whether a response will hardly finish before its caller disconnects.
 
-    An answer that is cut by its caller's deadline has held memory for longer
-    than most, for nobody. Refused at once, it costs nothing.
+    A response that is cut off at its caller's deadline has used memory for
+    longer than most, and its result is wasted. Refused at once, it costs
+    nothing.
 
     Args:
-        needs_s: How long prompt and answer are thought to take.
-        left_s: How long the caller still waits.
+        needs_s: Estimated time of prefill and decode, seconds.
+        left_s: How long the caller still waits, seconds.
     """
     return LUCKY * needs_s > left_s
 
 
 def too_late(age_s: float, target_s: float, reading_s: float = 0.0) -> bool:
-    """Whether the target for the first event can't be met any more.
+    """Whether a request can no longer meet its target for the first event.
 
-    Those that can still meet it go first: serving a late one before them makes
-    two late.
+    Requests that can still meet it go first: serving a late one before them
+    makes two late.
 
     Args:
-        age_s: Time since the request came.
-        target_s: Its target.
-        reading_s: Mean time from a place to a read prompt; 0 if not known.
+        age_s: Time since the request arrived, seconds.
+        target_s: Its target, seconds.
+        reading_s: Mean time from a placement to the end of its prefill,
+            seconds; 0 if not known.
     """
     if not reading_s:
         return age_s > LATE_PART * target_s
--- a/packages/core/foxtaildale/tries.py
+++ b/packages/core/foxtaildale/tries.py
@@ -1,43 +1,43 @@
-"""When requests that were not served yet came first.
+"""When the first attempts of unserved requests arrived.
 
-A caller that was refused comes back with another id; what tells its request is
-a digest of what it asks. Counted from its second try it would take the place of
-those that can still be served in time, and be refused again as often as others.
-The time is an argument.
+A caller that retries a refused request uses another id; a digest of the content
+identifies the request. If its age counted from the retry, it would be served
+before requests that can still be served in time, and be refused again as often
+as others. The time is an argument.
 """
 
 from typing import Final
 
-# How long a request that was not served is remembered, seconds: callers give up
-# after some fourteen.
+# How long an unserved request is remembered, seconds; callers give up after
+# about fourteen.
 REMEMBERED_S: Final = 20.0
 
 
 class FirstTries:
-    """First tries of the requests of one service."""
+    """First attempts of the requests of one service."""
 
     __slots__ = ('_first_at',)
 
     def __init__(self) -> None:
-        # Seconds, by digest; those that came last at the end.
+        # Seconds, by digest; the requests that arrived last are at the end.
         self._first_at: dict[int, float] = {}
 
     def came_first(self, now: float, digest: int, came_at: float) -> float:
-        """Returns when the first try of a request came, seconds.
+        """Returns when the first attempt of a request arrived, seconds.
 
         Args:
             now: Seconds.
-            digest: Shared by its tries; 0 if that is not known.
-            came_at: When this try came.
+            digest: Shared by its attempts; 0 if not known.
+            came_at: When this attempt arrived, seconds.
         """
         if not digest:
             return came_at
-        for known, first_at in list(self._first_at.items()):
+        for old_digest, first_at in list(self._first_at.items()):
             if now - first_at <= REMEMBERED_S:
                 break
-            del self._first_at[known]
+            del self._first_at[old_digest]
         return self._first_at.setdefault(digest, came_at)
 
     def served(self, digest: int) -> None:
-        """Forgets a request that got its whole answer."""
+        """Removes a request that got its complete response."""
         self._first_at.pop(digest, None)
--- a/packages/core/foxtaildale/waiting.py
+++ b/packages/core/foxtaildale/waiting.py
@@ -1,14 +1,15 @@
 """Requests that wait for a grant, oldest first.
 
-A waiter is an entry in this table and nothing else: no connection is held and
-no reply is owed. Its entry asks again at the time it was told; one that does
-not is forgotten, so a dead entry's requests do not stand in the way.
+A waiter is only an entry in this table: no connection stays open and no reply is
+outstanding. Its entry VM polls again at the time that it was given. A waiter that
+is not polled for is removed, so that the requests of a crashed entry VM do not
+block the others.
 """
 
 from typing import Final
 
-# A waiter that is this late to ask again is forgotten, seconds.
-_LATE_S: Final = 1.0
+# Delay of a poll after which its waiter is removed, seconds.
+_MAX_DELAY_S: Final = 1.0
 
 
 class Waiter:
@@ -17,9 +18,10 @@
     __slots__ = ('arrived_at', 'due_at', 'prompt_tokens', 'request')
 
     request: str
-    # When the request reached its entry VM, on the home's clock; its rank.
+    # When the request reached its entry VM, on the coordinator's clock; waiters
+    # are ordered by it.
     arrived_at: float
-    # When it is expected to ask again.
+    # When the next poll is expected.
     due_at: float
     prompt_tokens: int
 
@@ -51,7 +53,7 @@
     def put(
         self, request: str, arrived_at: float, due_at: float, prompt_tokens: int
     ) -> None:
-        """Lets a request wait; one that waits already keeps its rank."""
+        """Adds a request; one that waits already keeps its rank."""
         waiter = self._waiters.get(request)
         if waiter is None:
             waiter = Waiter(request, arrived_at, due_at, prompt_tokens)
@@ -59,11 +61,11 @@
         waiter.due_at = due_at
 
     def drop(self, request: str) -> None:
-        """Forgets a request; harmless if it does not wait."""
+        """Removes a request; does nothing if it does not wait."""
         self._waiters.pop(request, None)
 
     def ahead(self, request: str, arrived_at: float) -> tuple[int, int]:
-        """Returns how many requests and prompt tokens stand before one."""
+        """Returns how many requests and prompt tokens are ahead of a request."""
         waiter = self._waiters.get(request)
         rank = (waiter.arrived_at if waiter else arrived_at, request)
         tokens = [
@@ -74,11 +76,11 @@
         return len(tokens), sum(tokens)
 
     def expire(self, now: float) -> None:
-        """Forgets waiters whose entries did not ask again."""
-        late = [
+        """Removes waiters whose entry VMs did not poll again."""
+        expired = [
             waiter.request
             for waiter in self._waiters.values()
-            if waiter.due_at + _LATE_S <= now
+            if waiter.due_at + _MAX_DELAY_S <= now
         ]
-        for request in late:
+        for request in expired:
             del self._waiters[request]
