--- a/packages/core/foxtaildale/comeback.py
+++ b/packages/core/foxtaildale/comeback.py
@@ -9,13 +9,14 @@
 import random
 from typing import Final
 
-# Minimum delay, seconds; a slot of a plain service becomes free about this fast.
+# Minimum delay, seconds; a slot of a plain service becomes free about this
+# fast.
 MIN_S: Final = 0.1
 # If the end of the cause is known, retries are spread over this part of the
 # remaining time beyond it, so that they do not all arrive at its end.
 _SPREAD: Final = 0.1
-# Maximum delay as a part of the time that the caller has left. It is less than a
-# third, to allow for the network delay.
+# Maximum delay as a part of the time that the caller has left. It is less than
+# a third, to allow for the network delay.
 PART: Final = 0.28
 
 
--- a/packages/core/foxtaildale/estimates.py
+++ b/packages/core/foxtaildale/estimates.py
@@ -1,82 +1,84 @@
-"""What a home expects of its workers: rates learned from what holders measured.
+"""Expected rates of a coordinator's workers, learned from measurements.
 
-Every ended grant brings what its prefill, transfer and decode took. The rates
-start from cautious figures and follow the measurements, so no operator sets
-the speed of an engine. Times are in seconds, rates in seconds a token.
+The holder of a grant reports at its end the times of its prefill, transfer and
+decode. The rates start from cautious values and follow the measurements, so
+that operators need not set the speed of an engine. Times are in seconds, rates
+in seconds a token.
 """
 
 import math
 from typing import Final
 
-# Rates assumed until the first measurement, seconds a token.
+# Initial rates before the first measurement, seconds a token.
 PREFILL_S: Final = 1 / 10_000
 TRANSFER_S: Final = 1 / 40_000
 TOKEN_S: Final = 0.025
-# Weight of a new measurement in an average.
+# Minimum weight of a new measurement in an average.
 _WEIGHT: Final = 0.1
-# The same for decode times, which differ widely from answer to answer; and how
-# many measurements the assumption counts for, since short answers end first.
+# The same for decode times, which differ widely between responses. The initial
+# value counts as this many measurements, since short responses end first.
 _DECODE_WEIGHT: Final = 0.02
 _DECODE_PRIOR: Final = 20
-# Measurements of the token time that count, as a decay of the older ones.
+# Factor by which each new measurement of the token time reduces the weight of
+# the older ones.
 _DECAY: Final = 0.98
-# Measurements before the line through token times is trusted.
-_ENOUGH: Final = 20.0
-# Spread of batch sizes, as a variance, below which a slope means nothing.
-_SPREAD: Final = 2.0
+# Minimum weight of the measurements before the slope of the line is used.
+_MIN_POINTS: Final = 20.0
+# Minimum variance of the batch sizes; below it a slope has no meaning.
+_MIN_VARIANCE: Final = 2.0
 
 
 class Average:
-    """An exponentially weighted average that starts from an assumption."""
+    """An exponentially weighted average with an initial value."""
 
-    __slots__ = ('_seen', '_weight', 'value')
+    __slots__ = ('_count', '_min_weight', 'value')
 
     value: float
-    # Least weight of a measurement.
-    _weight: float
-    # Measurements so far, and those that the assumption counts for.
-    _seen: int
+    _min_weight: float
+    # Number of measurements, including those that the initial value counts as.
+    _count: int
 
     def __init__(
         self, assumed: float, weight: float = _WEIGHT, prior: int = 1
     ) -> None:
         self.value = assumed
-        self._weight = weight
-        self._seen = prior
+        self._min_weight = weight
+        self._count = prior
 
     def add(self, value: float) -> None:
-        """Takes a measurement; the first ones weigh more."""
-        self._seen += 1
-        weight = max(self._weight, 1 / self._seen)
+        """Adds a measurement; the first ones have more weight."""
+        self._count += 1
+        weight = max(self._min_weight, 1 / self._count)
         self.value += weight * (value - self.value)
 
 
 class TokenTime:
-    """Time between tokens as a line over the batch size.
+    """Time between tokens as a linear function of the batch size.
 
-    Decode slows as the batch grows. The line is a least squares fit whose
-    older points fade, and it answers the largest batch under a target.
+    Decode slows down as the batch grows. The line is a least squares fit in
+    which older points lose weight; it yields the largest batch that meets a
+    target.
     """
 
-    __slots__ = ('_largest', '_n', '_x', '_xx', '_xy', '_y')
+    __slots__ = ('_largest_batches', '_n', '_x', '_xx', '_xy', '_y')
 
-    # Faded sums over points of batch size x and token time y.
+    # Weighted sums over points of batch size x and token time y.
     _n: float
     _x: float
     _y: float
     _xx: float
     _xy: float
-    # Answers of `largest_batch` since the last measurement; each ask needs
-    # one for every worker of the pool.
-    _largest: dict[tuple[int, float], int]
+    # Cached results of `largest_batch` since the last measurement, by slots and
+    # target; each grant request needs one for every worker of the pool.
+    _largest_batches: dict[tuple[int, float], int]
 
     def __init__(self) -> None:
-        self._largest = {}
+        self._largest_batches = {}
         self._n = self._x = self._y = self._xx = self._xy = 0.0
 
     def add(self, batch: float, token_s: float) -> None:
-        """Takes a measurement at a batch size."""
-        self._largest.clear()
+        """Adds a measurement at a batch size."""
+        self._largest_batches.clear()
         self._n = self._n * _DECAY + 1
         self._x = self._x * _DECAY + batch
         self._y = self._y * _DECAY + token_s
@@ -92,26 +94,27 @@
         return max(mean_y / 4, mean_y + self._slope() * (batch - mean_x))
 
     def largest_batch(self, slots: int, target_s: float) -> int:
-        """Returns the largest batch that keeps a target; at least 1."""
-        found = self._largest.get((slots, target_s))
-        if found is None:
-            found = self._fit(slots, target_s)
-            self._largest[slots, target_s] = found
-        return found
-
-    def _fit(self, slots: int, target_s: float) -> int:
+        """Returns the largest batch that meets a target; at least 1."""
+        batch = self._largest_batches.get((slots, target_s))
+        if batch is None:
+            batch = self._compute_largest(slots, target_s)
+            self._largest_batches[slots, target_s] = batch
+        return batch
+
+    def _compute_largest(self, slots: int, target_s: float) -> int:
         slope = self._slope()
         if target_s <= 0 or slope <= 0 or self.at(slots) <= target_s:
             return slots
-        spare = (target_s - self.at(slots)) / slope
-        return max(1, min(slots, math.floor(slots + spare)))
+        # Negative: the number of slots to leave unused.
+        difference = (target_s - self.at(slots)) / slope
+        return max(1, min(slots, math.floor(slots + difference)))
 
     def _slope(self) -> float:
-        if self._n < _ENOUGH:
+        if self._n < _MIN_POINTS:
             return 0.0
         mean_x = self._x / self._n
         variance = self._xx / self._n - mean_x * mean_x
-        if variance < _SPREAD:
+        if variance < _MIN_VARIANCE:
             return 0.0
         covariance = self._xy / self._n - mean_x * self._y / self._n
         return max(0.0, covariance / variance)
@@ -120,18 +123,18 @@
 class Estimates:
     """The rates of one pool."""
 
-    __slots__ = ('_prefill', '_transfer', 'decode', 'token')
+    __slots__ = ('_prefill_rates', '_transfer_rates', 'decode', 'token')
 
-    # By prefill worker: prefill and transfer, seconds a token.
-    _prefill: dict[str, Average]
-    _transfer: dict[str, Average]
-    # Time from first to last token, seconds.
+    # Seconds a token, by prefill worker.
+    _prefill_rates: dict[str, Average]
+    _transfer_rates: dict[str, Average]
+    # Time from the first to the last token, seconds.
     decode: Average
     token: TokenTime
 
     def __init__(self, expected_tokens: int) -> None:
-        self._prefill = {}
-        self._transfer = {}
+        self._prefill_rates = {}
+        self._transfer_rates = {}
         self.decode = Average(
             expected_tokens * TOKEN_S, _DECODE_WEIGHT, _DECODE_PRIOR
         )
@@ -139,28 +142,28 @@
 
     def prefill_s(self, worker: str, tokens: float) -> float:
         """Returns how long a worker takes to prefill a prompt, seconds."""
-        rate = self._prefill.get(worker)
+        rate = self._prefill_rates.get(worker)
         return tokens * (rate.value if rate else PREFILL_S)
 
     def transfer_s(self, worker: str, tokens: int) -> float:
-        """Returns how long the link from a worker is taken, seconds."""
-        rate = self._transfer.get(worker)
+        """Returns how long a transfer occupies a worker's link, seconds."""
+        rate = self._transfer_rates.get(worker)
         return tokens * (rate.value if rate else TRANSFER_S)
 
     def measured_prefill(self, worker: str, tokens: int, took_s: float) -> None:
-        """Takes the measured time of a prefill."""
-        rate = self._prefill.setdefault(worker, Average(PREFILL_S))
+        """Records the measured time of a prefill."""
+        rate = self._prefill_rates.setdefault(worker, Average(PREFILL_S))
         rate.add(took_s / max(1, tokens))
 
     def measured_transfer(
         self, worker: str, tokens: int, took_s: float
     ) -> None:
-        """Takes the measured time of a transfer."""
-        rate = self._transfer.setdefault(worker, Average(TRANSFER_S))
+        """Records the measured time of a transfer."""
+        rate = self._transfer_rates.setdefault(worker, Average(TRANSFER_S))
         rate.add(took_s / max(1, tokens))
 
     def measured_decode(self, batch: int, tokens: int, took_s: float) -> None:
-        """Takes the measured time of a whole stream."""
+        """Records the measured time of a complete stream."""
         self.decode.add(took_s)
         if tokens > 1:
             self.token.add(batch, took_s / (tokens - 1))
--- a/packages/core/foxtaildale/experience.py
+++ b/packages/core/foxtaildale/experience.py
@@ -1,74 +1,80 @@
-"""What all entry VMs together learn of plain servers from their answers.
+"""Failure rates of plain servers, as learned by all entry VMs together.
 
-Load answered: two of three servers lose two in five of their answers for some
-seconds. Each of many entry VMs sends a request a second, so it would find out by
-losing a booking of its own, which may not run again. So each tells the VM that
-reads for others how its requests went, and hears how those of all went, within a
+They are made for a fault in which two of three servers lose two in five of
+their responses for some seconds. Each of many entry VMs sends one request a
+second, so alone it would detect the fault only by losing a request that must
+not run again. Each VM therefore reports the outcomes of its requests to the VM
+that reads the store for others, and gets the outcomes of all VMs within a
 second.
 
-Some requests fail wherever they run. A server is therefore held against the best
-one of its service, and only what it fails more often counts.
+Some requests fail on every server. The failure rate of a server is therefore
+compared with that of the best server of its service, and only the excess
+counts.
 """
 
 from collections.abc import Mapping
 import math
 from typing import Final
 
-# Time in which what was seen loses half of its weight, seconds. Faults begin and
+# Time in which an outcome loses half of its weight, seconds. Faults begin and
 # end within seconds.
 HALF_S: Final = 1.0
-# Requests that must have been seen lately for a rate to mean something.
+# Minimum number of recent requests, by weight, for a meaningful rate.
 LEAST: Final = 4.0
-# Servers remembered; those that were tried last.
-_MOST: Final = 512
+# Maximum number of remembered servers; those reported longest ago are dropped.
+_MAX_SERVERS: Final = 512
 
-# Requests that a server got, and those that it failed.
+# Number of requests that a server got, and of those that failed.
 Seen = tuple[float, float]
 
 
 class Experience:
     """Requests and failures by server; the time is an argument."""
 
-    __slots__ = ('_news', '_seen')
+    __slots__ = ('_totals', '_unsent')
 
     def __init__(self) -> None:
-        # Seen here and not told yet.
-        self._news: dict[str, Seen] = {}
-        # Seen by all that tell this VM, with the time as of which; decaying.
-        self._seen: dict[str, tuple[float, float, float]] = {}
+        # Outcomes of this VM's requests that are not yet reported.
+        self._unsent: dict[str, Seen] = {}
+        # Time of the last update, requests and failures, as reported to this VM
+        # by all entry VMs; the counts decay.
+        self._totals: dict[str, tuple[float, float, float]] = {}
 
     def note(self, server: str, *, failed: bool) -> None:
-        """Takes how a request of this VM went."""
-        tried, lost = self._news.get(server, (0.0, 0.0))
-        self._news[server] = tried + 1.0, lost + failed
+        """Records the outcome of a request of this VM."""
+        requests, failures = self._unsent.get(server, (0.0, 0.0))
+        self._unsent[server] = requests + 1.0, failures + failed
 
     def news(self) -> dict[str, Seen]:
-        """Returns what was seen here since the last call."""
-        found, self._news = self._news, {}
-        return found
+        """Returns the outcomes of this VM's requests since the last call."""
+        unsent, self._unsent = self._unsent, {}
+        return unsent
 
     def told(self, now: float, news: Mapping[str, Seen]) -> None:
-        """Takes what an entry VM saw."""
-        for server, (tried, lost) in news.items():
-            old_tried, old_lost = self._at(now, server)
-            self._seen.pop(server, None)
-            self._seen[server] = now, old_tried + tried, old_lost + lost
-            if len(self._seen) > _MOST:
-                del self._seen[next(iter(self._seen))]
+        """Adds the outcomes that an entry VM reports."""
+        for server, (requests, failures) in news.items():
+            old_requests, old_failures = self._decayed(now, server)
+            self._totals.pop(server, None)
+            self._totals[server] = (
+                now,
+                old_requests + requests,
+                old_failures + failures,
+            )
+            if len(self._totals) > _MAX_SERVERS:
+                del self._totals[next(iter(self._totals))]
 
     def rates(self, now: float) -> dict[str, float]:
-        """Returns the part of its requests that each server fails.
+        """Returns the failure rates of servers with enough recent requests."""
+        rates = {}
+        for server in self._totals:
+            requests, failures = self._decayed(now, server)
+            if requests >= LEAST:
+                rates[server] = failures / requests
+        return rates
 
-        Only of those that were tried often enough lately.
-        """
-        found = {}
-        for server in self._seen:
-            tried, lost = self._at(now, server)
-            if tried >= LEAST:
-                found[server] = lost / tried
-        return found
-
-    def _at(self, now: float, server: str) -> Seen:
-        at, tried, lost = self._seen.get(server, (now, 0.0, 0.0))
-        left = math.exp2((at - now) / HALF_S)
-        return left * tried, left * lost
+    def _decayed(self, now: float, server: str) -> Seen:
+        updated_at, requests, failures = self._totals.get(
+            server, (now, 0.0, 0.0)
+        )
+        weight = math.exp2((updated_at - now) / HALF_S)
+        return weight * requests, weight * failures
--- a/packages/core/foxtaildale/homes.py
+++ b/packages/core/foxtaildale/homes.py
@@ -1,9 +1,10 @@
-"""Which keeper is the home of a service's pool.
+"""Which keeper is the coordinator of a service's pool.
 
-Rendezvous hashing: every process that knows the same members picks the same
-home without a message, and when a member goes only its own pools move.
-Processes with different members may disagree for some seconds; each home then
-counts alone, which costs time and never correctness (see `pool`).
+The choice is made by rendezvous hashing: all processes with the same members
+choose the same coordinator without a message, and when a member is removed only
+its own pools move. Processes with different members may disagree for some
+seconds; each coordinator then counts alone, which costs time and never
+correctness (see `pool`).
 """
 
 from collections.abc import Callable
@@ -14,101 +15,103 @@
 
 import xxhash
 
-# Keeps the bytes of a service name apart from those of a keeper's name.
+# Separates the service name from the keeper's name in the hashed key.
 _SEPARATOR: Final = '\0'
-# A VM is fit to work for others with this part of the processor of the
-# strongest; a weak one would be overrun as the home of many.
+# Processor time of a VM that may be a coordinator, as a part of the maximum of
+# all VMs. A weaker one would be overloaded as the coordinator of many services.
 FIT_PART: Final = 0.8
 
 
 def score(service: str, keeper: str) -> int:
-    """Returns how strongly a keeper claims a service; the highest wins."""
+    """Returns the hash of a service and a keeper; the highest wins."""
     key = f'{service}{_SEPARATOR}{keeper}'
     return xxhash.xxh64_intdigest(key.encode())
 
 
 def home(service: str, keepers: Iterable[str]) -> str:
-    """Returns the name of the home, or '' where there are no keepers."""
+    """Returns the coordinator's name; empty if there are no keepers."""
     return max(
         keepers, key=lambda keeper: (score(service, keeper), keeper), default=''
     )
 
 
 def strong(cores: Mapping[str, float]) -> list[str]:
-    """Returns the VMs that are fit to work for others.
+    """Returns the VMs that may be coordinators.
 
     Args:
-        cores: Processor time that each VM may use, by name; 0 for one that must
-            not be asked.
+        cores: Processor time that each VM may use, by name; 0 for a VM that
+            must not be chosen.
     """
-    most = max(cores.values(), default=0.0)
+    max_cores = max(cores.values(), default=0.0)
     return [
         name
-        for name, own in cores.items()
-        if own > 0 and own >= FIT_PART * most
+        for name, own_cores in cores.items()
+        if own_cores > 0 and own_cores >= FIT_PART * max_cores
     ]
 
 
 class Strong:
-    """The VMs fit to work for others, as long as what is known stays.
+    """Cache of the VMs that may be coordinators.
 
-    Each ask for a place needs them and the home among them, several times a
-    request; worked out anew each time they would cost more than the ask.
+    Each placement request needs them and the coordinator among them, several
+    times a request. Without the cache, computing them would cost more than the
+    placement request itself.
     """
 
-    __slots__ = ('_cores', '_found', '_known', '_passed')
+    __slots__ = ('_cores', '_eligible', '_excluded', '_vms')
 
     def __init__(self, cores: Callable[[Any], float]) -> None:
-        # Returns the processor time of one VM that is known.
+        # Returns the processor time of a VM.
         self._cores = cores
-        self._known: Mapping[str, Any] | None = None
-        self._passed: frozenset[str] = frozenset()
-        self._found: tuple[str, ...] = ()
+        self._vms: Mapping[str, Any] | None = None
+        self._excluded: frozenset[str] = frozenset()
+        self._eligible: tuple[str, ...] = ()
 
     def among(
         self, known: Mapping[str, Any], passed: frozenset[str]
     ) -> tuple[str, ...]:
-        """Returns those that are fit, without those passed over.
+        """Returns the VMs that may be coordinators.
 
         Args:
             known: The VMs by name; never changed in place.
-            passed: Names that don't count.
+            passed: Names of excluded VMs.
         """
-        if known is not self._known or passed != self._passed:
-            self._known = known
-            self._passed = passed
+        if known is not self._vms or passed != self._excluded:
+            self._vms = known
+            self._excluded = passed
             cores = {
                 name: self._cores(vm)
                 for name, vm in known.items()
                 if name not in passed
             }
-            self._found = tuple(strong(cores))
-        return self._found
+            self._eligible = tuple(strong(cores))
+        return self._eligible
 
 
 class Homes:
-    """Homes found so far among the same keepers.
+    """Cache of the coordinators chosen among the same keepers.
 
-    At several hundred keepers and thousands of workers, looking every home up
-    anew takes a second of processor time, several times a second.
+    At several hundred keepers and thousands of workers, computing every
+    coordinator takes a second of processor time. Without the cache that happens
+    several times a second.
     """
 
-    __slots__ = ('_found', '_keepers')
+    __slots__ = ('_coordinators', '_keepers')
 
     _keepers: tuple[str, ...]
-    # Home by service or worker.
-    _found: dict[str, str]
+    # By name of the service or worker.
+    _coordinators: dict[str, str]
 
     def __init__(self) -> None:
         self._keepers = ()
-        self._found = {}
+        self._coordinators = {}
 
     def home(self, name: str, keepers: tuple[str, ...]) -> str:
-        """Returns what the function `home` returns."""
+        """Returns the result of the function `home`."""
         if keepers is not self._keepers and keepers != self._keepers:
-            self._found.clear()
+            self._coordinators.clear()
         self._keepers = keepers
-        found = self._found.get(name)
-        if found is None:
-            found = self._found[name] = home(name, keepers)
-        return found
+        coordinator = self._coordinators.get(name)
+        if coordinator is None:
+            coordinator = self._coordinators[name] = home(name, keepers)
+        return coordinator
--- a/packages/core/foxtaildale/memory.py
+++ b/packages/core/foxtaildale/memory.py
@@ -49,7 +49,7 @@
         return self._records.get(key)
 
     def never_knew(self, key: _K, stamp: float) -> bool:
-        """Whether a record of `key` with this stamp was certainly never added."""
+        """Whether a record of `key` with this stamp was never added."""
         return key not in self._records and stamp > self.floor
 
     def put(self, key: _K, record: _T) -> list[_T]:
@@ -63,9 +63,9 @@
     def expire(self, before: float) -> list[_T]:
         """Discards the oldest records while their stamps are below `before`.
 
-        Expired records behind a record with a higher stamp stay a little longer.
-        That costs memory for at most one lifetime, and correctness does not
-        depend on it.
+        Expired records behind a record with a higher stamp stay a little
+        longer. That costs memory for at most one lifetime, and correctness does
+        not depend on it.
         """
         discarded = []
         while self._records:
--- a/packages/core/foxtaildale/ownreads.py
+++ b/packages/core/foxtaildale/ownreads.py
@@ -1,7 +1,7 @@
 """When a decode worker prefills a prompt itself.
 
-Local prefills bridge the time after one of two prefill workers crashes or leaves
-in a burst. The other one can prefill only half of the arriving prompts;
+Local prefills are for the time after one of two prefill workers crashes or
+leaves in a burst. The other one can prefill only half of the arriving prompts;
 requests wait for it, with half of the decode memory free, until an engine has
 changed its stage about fifteen seconds later. A decode worker prefills at half
 the speed of a prefill worker, between the tokens of its responses, and all of
@@ -20,7 +20,8 @@
 # Part of the maximum pause between events that may be spent on a local prefill
 # and on the tokens of the event that it delays.
 PAUSE_PART: Final = 0.8
-# Maximum number of remembered workers; those with the latest local prefills stay.
+# Maximum number of remembered workers; those with the latest local prefills
+# stay.
 _MAX_WORKERS: Final = 256
 
 
@@ -40,9 +41,7 @@
     def busy(self, now: float) -> frozenset[str]:
         """Returns the workers that may not prefill a prompt now."""
         return frozenset(
-            worker
-            for worker, free_at in self._free_at.items()
-            if now < free_at
+            worker for worker, free_at in self._free_at.items() if now < free_at
         )
 
     def give(
--- a/packages/core/foxtaildale/placing.py
+++ b/packages/core/foxtaildale/placing.py
@@ -1,16 +1,18 @@
-"""One plan of a service's engines: decode memory, prefill time, who waits.
+"""The plan of a service's engines: decode memory, prefill time and the queue.
 
-Load answered: bursts of two to three times the usual traffic, in which decode
-memory is full for seconds. One entry VM, the home of the service, plans for
-all; so nobody asks a full engine, requests go first come first served over the
-whole deployment, and a prompt is read only when its place is sure.
+The plan is made for bursts of two to three times the usual traffic, in which
+decode memory is full for seconds. One entry VM, the coordinator of the service,
+plans for all VMs. No request is therefore sent to a full engine, requests of
+the whole deployment are served in order of arrival, and a prompt is prefilled
+only when its placement is certain.
 
-Who is next is `queues`; where a request fits, `packing`; who reads its prompt,
-`prefills` and `ownreads`.
+`queues` decides which request is next, `packing` where it fits, and `prefills`
+and `ownreads` which worker prefills its prompt.
 
-`ask` grants or queues; `end` gives back; `keep` and `expire` keep the plan true
-to the holders. A wrong plan costs time and never correctness: engines refuse
-what they have no room for.
+`Plan.ask` grants a placement or queues the request, and `Plan.end` releases a
+placement. `Plan.keep` and the expiry of old entries make the plan agree with
+the holders. A wrong plan costs time and never correctness: engines refuse
+requests for which they have no memory.
 """
 
 from collections.abc import Callable
@@ -33,33 +35,34 @@
 from foxtaildale import routes
 from foxtaildale import speeds
 
-# Waiters that fit nowhere and are passed over by smaller ones behind them. For
-# each of them the worker is kept that it will fit at first, so that none
-# starves behind a row of small ones.
+# Maximum number of waiters that fit nowhere and are overtaken by smaller ones
+# behind them. Each of them gets the worker with the most room closed to all
+# others for the pass, so that it does not starve behind many small requests.
 PASSED: Final = 4
-# Time between looks at the plan while requests wait, seconds. A look goes through
-# all engines; done at every ask, a home with many waiters did nothing else.
+# Time between scheduling passes while requests wait, seconds. A pass goes
+# through all engines. A coordinator with many waiters would do nothing else if
+# each poll started a pass.
 LOOK_S: Final = 0.02
-# A grant whose holder did not repeat it for this long has lapsed, seconds.
+# Time after which a placement expires if its holder does not renew it, seconds.
 KEEP_S: Final = 4.0
-# Time of one token until some are measured, seconds.
+# Initial time of one token before the first measurement, seconds.
 TOKEN_S: Final = 0.0007
-# How much a new measurement counts.
-_LEARN: Final = 0.1
+# Weight of a new measurement in the moving average.
+_NEW_WEIGHT: Final = 0.1
 
-# Decode workers and prefill workers.
+# Returns the decode workers and the prefill workers.
 Engines = Callable[[], tuple[Sequence[fleet.Tally], Sequence[fleet.Tally]]]
 
 
 class Plan:
-    """The engines of one service; the time is an argument."""
+    """The plan of one service's engines; the time is an argument."""
 
     __slots__ = (
         '_decode_speeds',
-        '_held',
         '_lengths',
+        '_local_prefills',
         '_look_at',
-        '_own_reads',
+        '_placed',
         '_prefills',
         '_queue',
         '_refusals',
@@ -69,15 +72,15 @@
     )
 
     def __init__(self) -> None:
-        # Of the stages of the service's engines.
+        # Shares of the stages in the service's engines.
         self.balance = balance.Balance()
         # By request.
-        self._held: dict[str, holdings.Held] = {}
+        self._placed: dict[str, holdings.Held] = {}
         self._queue = queues.Queue()
         self._lengths = lengths.Lengths()
-        # When the plan is next looked at, seconds.
+        # When the next scheduling pass is due, seconds.
         self._look_at = 0.0
-        self._own_reads = ownreads.OwnReads()
+        self._local_prefills = ownreads.OwnReads()
         self._prefills = prefills.Prefills()
         self._token_s = TOKEN_S
         self._decode_speeds = speeds.Speeds()
@@ -91,47 +94,51 @@
         service: routes.Service,
         engines: Engines,
     ) -> messages.Place | messages.Queued | messages.TooLate:
-        """Grants a place or queues; asking again is harmless.
+        """Grants a placement or queues the request; may be called repeatedly.
 
         Args:
             now: Seconds.
-            msg: The request.
-            service: What the operators say of the engines.
+            msg: The placement request.
+            service: The operators' settings of the engines.
             engines: Returns the decode workers and the prefill workers that
                 may get work, best first.
         """
         waiter = self._queue.get(msg.request)
         if waiter is None or waiter.place is None:
-            too_late = self._too_late(msg)
+            too_late = self._check_deadline(msg)
             if too_late is not None:
                 self._queue.leave(msg.request)
                 return too_late
         if waiter is None:
             waiter = self._queue.join(now, msg)
-            guess = msg.hinted or self._lengths.expected(0, msg.longest)
-            self.balance.note(msg.prompt, guess)
+            expected = msg.hinted or self._lengths.expected(0, msg.longest)
+            self.balance.note(msg.prompt, expected)
             if not waiter.position:
                 self._look_at = now
         waiter.asked_at = now
         waiter.msg = msg
         if now >= self._look_at:
             self._look_at = now + LOOK_S
-            self._forget(now)
-            failed = self._reports.failed(now) | self.balance.changing(now)
+            self._remove_expired(now)
+            unusable = self._reports.failed(now) | self.balance.changing(now)
             decoders, prefillers = engines()
-            self._grant(
+            self._grant_placements(
                 now,
                 service,
-                _sound(_sound(decoders, failed), self._refusals.closed(now)),
-                _sound(prefillers, failed),
+                _exclude(
+                    _exclude(decoders, unusable), self._refusals.closed(now)
+                ),
+                _exclude(prefillers, unusable),
             )
         if waiter.place is not None:
             self._queue.leave(msg.request)
             return waiter.place
         return self._queue.told(waiter)
 
-    def _too_late(self, msg: messages.AskPlace) -> messages.TooLate | None:
-        """Returns what ends a request whose answer can't be whole in time."""
+    def _check_deadline(
+        self, msg: messages.AskPlace
+    ) -> messages.TooLate | None:
+        """Returns the refusal of a request that can't be completed in time."""
         if not msg.left_ms or msg.started:
             return None
         tokens = self._lengths.expected(msg.hinted, msg.longest)
@@ -142,73 +149,82 @@
         return messages.TooLate(needs_ms=int(needs_s * 1000))
 
     def end(self, now: float, msg: messages.EndPlace) -> None:
-        """Takes a place back, with what its holder measured."""
+        """Releases a placement and records its holder's measurements."""
         self._queue.leave(msg.request)
-        held = self._held.pop(msg.request, None)
-        if held is None:
+        placed = self._placed.pop(msg.request, None)
+        if placed is None:
             return
         self._look_at = min(self._look_at, now)
         if msg.whole:
-            self._queue.served(held.digest)
+            self._queue.served(placed.digest)
         if msg.refused or msg.tokens:
-            place, taken = held.place, not msg.refused
-            self._refusals.note(now, place.worker, place.prefiller, taken=taken)
+            placement, accepted = placed.place, not msg.refused
+            self._refusals.note(
+                now, placement.worker, placement.prefiller, taken=accepted
+            )
         if msg.prefill_ms:
-            prompt, took_s = held.running.prompt, msg.prefill_ms / 1000
+            prompt_tokens, took_s = placed.running.prompt, msg.prefill_ms / 1000
             self._prefills.note(
                 now,
-                held.place.prefiller,
-                prompt,
+                placed.place.prefiller,
+                prompt_tokens,
                 took_s,
-                alone=held.read_alone,
+                alone=placed.read_alone,
             )
-            if held.place.prefiller and (msg.refused or msg.tokens):
-                taken = not msg.refused
-                self._prefills.note_use(now, held.place.prefiller, taken=taken)
+            if placed.place.prefiller and (msg.refused or msg.tokens):
+                accepted = not msg.refused
+                self._prefills.note_use(
+                    now, placed.place.prefiller, taken=accepted
+                )
         if msg.tokens and msg.decode_ms and msg.whole:
             token_s = msg.decode_ms / 1000 / msg.tokens
-            self._token_s += _LEARN * (token_s - self._token_s)
-            self._decode_speeds.note(now, held.place.worker, token_s)
+            self._token_s += _NEW_WEIGHT * (token_s - self._token_s)
+            self._decode_speeds.note(now, placed.place.worker, token_s)
             self._lengths.note(msg.tokens)
 
     def restarted(self, server: str) -> None:
-        """Forgets what was known of a worker that started again."""
-        for request, held in list(self._held.items()):
-            if held.place.worker == server:
-                del self._held[request]
+        """Discards what is known of a worker that has restarted."""
+        for request, placed in list(self._placed.items()):
+            if placed.place.worker == server:
+                del self._placed[request]
         self._prefills.forget(server)
         self._decode_speeds.forget(server)
         self._refusals.forget(server)
-        self._own_reads.forget(server)
+        self._local_prefills.forget(server)
         self._reports.forget(server)
         self.balance.settled(server)
 
     def failed(self, now: float, msg: messages.ServerFailed) -> None:
-        """Takes a holder's report of a failed server."""
+        """Records a holder's report of a failed server."""
         self._reports.note(now, msg.server, msg.holder, replaced=msg.replaced)
 
     def keep(self, now: float, msg: messages.KeepPlaces) -> None:
-        """Takes a holder's repeat of all that it holds."""
-        named = {place.request for place in msg.places}
-        for request, held in list(self._held.items()):
-            # Its end was lost, unless it is still on its way to its holder.
-            lost = held.holder == msg.holder and request not in named
-            if lost and now - held.kept_at > queues.WAITER_S:
-                del self._held[request]
-        for place in msg.places:
-            known = self._held.get(place.request)
-            if known is not None:
-                known.kept_at = now
+        """Renews all placements of a holder, which lists them.
+
+        A listed placement that is not known is added. One that is known and not
+        listed is removed.
+        """
+        listed = {entry.request for entry in msg.places}
+        for request, placed in list(self._placed.items()):
+            # Its release was lost, unless the grant is still on its way to the
+            # holder.
+            is_unlisted = placed.holder == msg.holder and request not in listed
+            if is_unlisted and now - placed.kept_at > queues.WAITER_S:
+                del self._placed[request]
+        for entry in msg.places:
+            existing = self._placed.get(entry.request)
+            if existing is not None:
+                existing.kept_at = now
                 continue
             running = growth.Running(
-                prompt=place.prompt,
-                expected=self._lengths.expected(place.hinted, place.longest),
-                longest=place.longest,
-                started_at=now - place.age_ms / 1000,
+                prompt=entry.prompt,
+                expected=self._lengths.expected(entry.hinted, entry.longest),
+                longest=entry.longest,
+                started_at=now - entry.age_ms / 1000,
             )
-            self._held[place.request] = holdings.Held(
+            self._placed[entry.request] = holdings.Held(
                 msg.holder,
-                messages.Place(worker=place.worker, prefiller=''),
+                messages.Place(worker=entry.worker, prefiller=''),
                 running,
                 now,
             )
@@ -216,120 +232,134 @@
     def stage_changes(
         self, now: float, service: routes.Service, engines: Engines
     ) -> tuple[balance.Change, ...]:
-        """Returns which engines should change their stage now."""
+        """Returns the engines that should change their stage now."""
         token_s = self._decode_speeds.usual_s() or self._token_s
         share = self.balance.share(
             service, self._prefills.reading.per_s, token_s
         )
-        waiting = self._prefills.waiting(self.balance.prompt)
+        has_queue = self._prefills.waiting(self.balance.prompt)
         decoders, prefillers = engines()
-        # A slow engine is no help to prefill, and to decode it is some.
-        sound = [
+        # A slow engine is of no use as a prefill worker, but of some use as a
+        # decode worker.
+        healthy = [
             tally
             for tally in prefillers
             if not self._prefills.slow(now, tally.backend.id)
         ]
         return self.balance.changes(
-            now, share, decoders, sound, waiting=waiting
+            now, share, decoders, healthy, waiting=has_queue
         )
 
     def holders(self) -> set[str]:
-        """Returns the entry VMs that hold places."""
-        return {held.holder for held in self._held.values()}
+        """Returns the entry VMs that hold placements."""
+        return {placed.holder for placed in self._placed.values()}
 
     def waiting(self) -> int:
-        """Returns how many wait."""
+        """Returns the number of waiting requests."""
         return len(self._queue)
 
     def planned(self) -> dict[str, int]:
-        """Returns how many requests each decode worker is planned with."""
-        found: dict[str, int] = {}
-        for held in self._held.values():
-            found[held.place.worker] = found.get(held.place.worker, 0) + 1
-        return found
+        """Returns the number of planned requests by decode worker."""
+        counts: dict[str, int] = {}
+        for placed in self._placed.values():
+            counts[placed.place.worker] = counts.get(placed.place.worker, 0) + 1
+        return counts
 
-    def _grant(
+    def _grant_placements(
         self,
         now: float,
         service: routes.Service,
         decoders: Sequence[fleet.Tally],
         prefillers: Sequence[fleet.Tally],
     ) -> None:
-        """Grants to the first waiters for as long as there is room."""
-        found = packing.Packing(
+        """Grants placements to the first waiters as long as there is room."""
+        decode_workers = packing.Packing(
             now,
             service,
             decoders,
-            ((h.place.worker, h.running) for h in self._held.values()),
+            ((h.place.worker, h.running) for h in self._placed.values()),
             lambda worker: self._token_s_at(now, worker),
         )
-        passed = 0
+        passed_over = 0
         position = 0
         for waiter in self._queue.ranked(now, self._prefills.mean_s):
-            if passed <= PASSED and not found.full:
-                passed += not self._try(now, waiter, found, prefillers)
+            if passed_over <= PASSED and not decode_workers.full:
+                passed_over += not self._place(
+                    now, waiter, decode_workers, prefillers
+                )
             if waiter.place is not None:
                 self._queue.granted(now)
                 continue
             waiter.position = position
             position += 1
 
-    def _try(
+    def _place(
         self,
         now: float,
         waiter: holdings.Waiter,
-        found: packing.Packing,
+        decode_workers: packing.Packing,
         prefillers: Sequence[fleet.Tally],
     ) -> bool:
-        """Grants a place, or keeps the worker that it will fit at first."""
+        """Grants a placement; returns whether there was room.
+
+        If memory is lacking, the worker with the most room is closed to all
+        other waiters of this pass, since the request will fit there first.
+        """
         msg = waiter.msg
         turn = self._prefills.choose(now, msg.prompt, prefillers, msg.avoid)
-        # Where every prefill worker loses prompts, either their memory lets go
-        # of them or the decode workers are fuller than planned. A prompt that is
-        # read where it is decoded is lost to neither.
-        losing = self._prefills.losing(now, turn.worker)
-        if losing and self._try_reading_there(now, waiter, found):
+        # If every prefill worker loses prompts, either their memory evicts the
+        # prompts or the decode workers are fuller than planned. Neither can
+        # lose a prompt that is prefilled at its decode worker.
+        is_losing = self._prefills.losing(now, turn.worker)
+        if is_losing and self._place_with_local_prefill(
+            now, waiter, decode_workers
+        ):
             return True
         if self._prefills.too_busy(now, msg.prompt, turn):
             waiter.short_of = 'prefill'
-            return self._try_reading_there(now, waiter, found)
-        running = self._running(msg, turn.ready_at)
+            return self._place_with_local_prefill(now, waiter, decode_workers)
+        running = self._running_request(msg, turn.ready_at)
         near = _data_centre(prefillers, turn.worker)
-        worker, fits = found.roomiest(running, msg.avoid, near)
+        worker, fits = decode_workers.roomiest(running, msg.avoid, near)
         waiter.short_of = 'memory'
         if not worker:
             return False
         if not fits:
-            found.keep(worker)
+            decode_workers.keep(worker)
             return False
         if turn.worker:
             self._prefills.give(turn)
-        place = messages.Place(worker=worker, prefiller=turn.worker)
-        self._hold(now, waiter, place, running, found)
-        self._held[msg.request].read_alone = turn.starts_at <= now
+        placement = messages.Place(worker=worker, prefiller=turn.worker)
+        self._record_placement(now, waiter, placement, running, decode_workers)
+        self._placed[msg.request].read_alone = turn.starts_at <= now
         return True
 
-    def _try_reading_there(
-        self, now: float, waiter: holdings.Waiter, found: packing.Packing
+    def _place_with_local_prefill(
+        self,
+        now: float,
+        waiter: holdings.Waiter,
+        decode_workers: packing.Packing,
     ) -> bool:
-        """Grants a place at a decode worker that reads the prompt itself."""
+        """Grants a placement at a decode worker that prefills the prompt."""
         msg = waiter.msg
-        reading_s = ownreads.read_s(msg.prompt, self._prefills.reading.per_s)
-        event_s = self._token_s * found.event_tokens
+        prefill_s = ownreads.read_s(msg.prompt, self._prefills.reading.per_s)
+        event_s = self._token_s * decode_workers.event_tokens
         gap_s = msg.gap_ms / 1000
-        if not ownreads.unseen(reading_s, event_s, gap_s):
+        if not ownreads.unseen(prefill_s, event_s, gap_s):
             return False
-        running = self._running(msg, now + reading_s)
-        busy = self._own_reads.busy(now)
-        worker, fits = found.roomiest(running, (*msg.avoid, *busy))
+        running = self._running_request(msg, now + prefill_s)
+        busy = self._local_prefills.busy(now)
+        worker, fits = decode_workers.roomiest(running, (*msg.avoid, *busy))
         if not worker or not fits:
             return False
-        self._own_reads.give(now, worker, reading_s, gap_s)
-        place = messages.Place(worker=worker, prefiller='', reads_itself=True)
-        self._hold(now, waiter, place, running, found)
+        self._local_prefills.give(now, worker, prefill_s, gap_s)
+        placement = messages.Place(
+            worker=worker, prefiller='', reads_itself=True
+        )
+        self._record_placement(now, waiter, placement, running, decode_workers)
         return True
 
-    def _running(
+    def _running_request(
         self, msg: messages.AskPlace, started_at: float
     ) -> growth.Running:
         return growth.Running(
@@ -339,32 +369,32 @@
             started_at=started_at,
         )
 
-    def _hold(
+    def _record_placement(
         self,
         now: float,
         waiter: holdings.Waiter,
-        place: messages.Place,
+        placement: messages.Place,
         running: growth.Running,
-        found: packing.Packing,
+        decode_workers: packing.Packing,
     ) -> None:
-        found.give(place.worker, running)
-        waiter.place = place
+        decode_workers.give(placement.worker, running)
+        waiter.place = placement
         msg = waiter.msg
-        self._held[msg.request] = holdings.Held(
-            msg.holder, place, running, now, msg.digest
+        self._placed[msg.request] = holdings.Held(
+            msg.holder, placement, running, now, msg.digest
         )
 
     def _token_s_at(self, now: float, worker: str) -> float:
         return self._token_s * self._decode_speeds.slowness(now, worker)
 
-    def _forget(self, now: float) -> None:
-        """Drops waiters that stopped asking and places that lapsed."""
+    def _remove_expired(self, now: float) -> None:
+        """Removes waiters that stopped polling and expired placements."""
         for waiter in self._queue.expire(now):
             if waiter.place is not None:
-                self._held.pop(waiter.msg.request, None)
-        for request, held in list(self._held.items()):
-            if now - held.kept_at > KEEP_S:
-                del self._held[request]
+                self._placed.pop(waiter.msg.request, None)
+        for request, placed in list(self._placed.items()):
+            if now - placed.kept_at > KEEP_S:
+                del self._placed[request]
 
 
 def _data_centre(tallies: Sequence[fleet.Tally], server: str) -> str:
@@ -374,12 +404,13 @@
     return ''
 
 
-def _sound(
-    tallies: Sequence[fleet.Tally], failed: frozenset[str]
+def _exclude(
+    tallies: Sequence[fleet.Tally], excluded: frozenset[str]
 ) -> Sequence[fleet.Tally]:
-    """Returns those that did not fail; all where all did.
+    """Returns the servers that are not excluded; all if all are.
 
-    What all of a stage share is then rather at fault, and they are tried.
+    If all servers of a stage are excluded, the cause is probably common to all
+    of them, so they are used nevertheless.
     """
-    found = [tally for tally in tallies if tally.backend.id not in failed]
-    return found or tallies
+    usable = [tally for tally in tallies if tally.backend.id not in excluded]
+    return usable or tallies
--- a/packages/core/foxtaildale/prefills.py
+++ b/packages/core/foxtaildale/prefills.py
@@ -15,14 +15,14 @@
 from foxtaildale import reading
 from foxtaildale import speeds
 
-# Maximum time that a prompt may wait at a prefill worker, seconds; beyond it the
-# placement is not granted yet. The prompt would wait there with its memory
+# Maximum time that a prompt may wait at a prefill worker, seconds; beyond it
+# the placement is not granted yet. The prompt would wait there with its memory
 # reserved at the decode worker, behind prompts that it can't overtake any more.
 # An engine that prefills too many prompts at once runs out of memory and
 # prefills some of them again.
 AHEAD_S: Final = 0.3
-# Prompts count as waiting for each other at the prefill workers if the time from
-# placement to the end of the prefill is this many times the unqueued time.
+# Prompts count as waiting for each other at the prefill workers if the time
+# from placement to the end of the prefill is this many times the unqueued time.
 WAITING: Final = 1.6
 # Number of consecutive prompts of a prefill worker that no decode worker
 # accepted, after which the worker is closed for a while. A full decode worker
--- a/packages/core/foxtaildale/reading.py
+++ b/packages/core/foxtaildale/reading.py
@@ -1,74 +1,79 @@
-"""How long an engine takes to read a prompt, as measured.
+"""How long an engine takes to prefill a prompt, as measured.
 
-A prompt costs a time that does not depend on its length, which passes beside
-the reading of others, and a time for each token, which does not. Taken for one
-rate, an engine seems to read much more slowly than it does; the plan then keeps
-decode memory empty while requests wait, because it thinks that nobody could read
-for it. The two are told apart by a line through prompts that had an engine to
-themselves.
+A prefill has a fixed overhead, which overlaps with the prefills of other
+prompts, and a time for each token, which does not. If the overhead were counted
+in the rate, an engine would seem much slower than it is. The plan would then
+leave decode memory unused while requests wait, because it sees no free prefill
+worker. A linear fit over prompts that had an engine to themselves separates the
+two.
 """
 
 import collections
 import statistics
 from typing import Final
 
-# Prompt tokens that an engine reads in a second until some were measured.
+# Initial speed of an engine before the first measurement, prompt tokens a
+# second.
 PER_S: Final = 50_000.0
-# Time of a prompt beside its reading until some were measured, seconds: the way
-# to the worker and back with what is done on it.
+# Initial fixed overhead of a prefill, seconds: the network delay to the worker
+# and back, and the processing at either end.
 WAY_S: Final = 0.02
-# Prompts that the line is drawn through, and how many there must be.
-_KEPT: Final = 64
-_ENOUGH: Final = 12
-# Spread of their lengths, in parts of the mean, under which a line says nothing
-# about the two.
-_SPREAD: Final = 0.1
-# Until there are enough, the fastest that was seen counts, and is forgotten by
-# this part with each further one. That is slower than the truth, as it holds
-# the time beside the reading; believed faster than it is, a prefill worker
-# would get more than it can read in a burst at the start.
-_FORGET: Final = 0.01
+# Maximum and minimum number of prompts in the linear fit.
+_MAX_POINTS: Final = 64
+_MIN_POINTS: Final = 12
+# Minimum standard deviation of their lengths, as a part of the mean; below it
+# the fit can't separate the overhead from the speed.
+_MIN_SPREAD: Final = 0.1
+# Until there are enough prompts for the fit, the speed of the fastest prefill
+# is used, reduced by this part with each further prompt. It is less than the
+# actual speed, since it includes the overhead. With a speed that is too high, a
+# prefill worker would get more prompts than it can prefill in a burst at the
+# start.
+_FASTEST_DECAY: Final = 0.01
 
 
 class Reading:
-    """Learns the two times from prompts that did not wait."""
+    """Learns the overhead and the speed from prompts that did not wait."""
 
-    __slots__ = ('_alone', '_fastest', 'per_s', 'way_s')
+    __slots__ = ('_max_per_s', '_samples', 'per_s', 'way_s')
 
     def __init__(self) -> None:
-        # Tokens and seconds of the last prompts that had an engine alone.
-        self._alone: collections.deque[tuple[int, float]] = collections.deque(
-            maxlen=_KEPT
+        # Tokens and seconds of the last prompts that had an engine to
+        # themselves.
+        self._samples: collections.deque[tuple[int, float]] = collections.deque(
+            maxlen=_MAX_POINTS
         )
-        # Tokens in a second of the fastest prompt, all of its time counted.
-        self._fastest = 0.0
-        # Prompt tokens that an engine reads in a second.
+        # Speed of the fastest prefill including its overhead, tokens a second.
+        self._max_per_s = 0.0
+        # Speed of an engine, prompt tokens a second.
         self.per_s = PER_S
-        # Time of a prompt beside that, seconds.
+        # Fixed overhead of a prefill, seconds.
         self.way_s = WAY_S
 
     def note(self, prompt: int, took_s: float, *, alone: bool) -> None:
-        """Takes a measured prefill of a sound engine.
+        """Records a measured prefill of an engine that is not slow.
 
         Args:
             prompt: Tokens.
-            took_s: Time from the place on, seconds.
-            alone: Whether nothing was before it at its engine.
+            took_s: Time since the placement, seconds.
+            alone: Whether no other prompt was ahead of it at its engine.
         """
         if alone:
-            self._alone.append((prompt, took_s))
-        if len(self._alone) < _ENOUGH:
-            self._fastest = max(self._fastest * (1 - _FORGET), prompt / took_s)
-            self.per_s = self._fastest
+            self._samples.append((prompt, took_s))
+        if len(self._samples) < _MIN_POINTS:
+            self._max_per_s = max(
+                self._max_per_s * (1 - _FASTEST_DECAY), prompt / took_s
+            )
+            self.per_s = self._max_per_s
         elif alone:
-            self._draw()
+            self._fit()
 
-    def _draw(self) -> None:
-        prompts = [prompt for prompt, _ in self._alone]
-        if statistics.stdev(prompts) < _SPREAD * statistics.mean(prompts):
+    def _fit(self) -> None:
+        lengths = [prompt for prompt, _ in self._samples]
+        if statistics.stdev(lengths) < _MIN_SPREAD * statistics.mean(lengths):
             return
         line = statistics.linear_regression(
-            prompts, [took_s for _, took_s in self._alone]
+            lengths, [took_s for _, took_s in self._samples]
         )
         if line.slope <= 0.0:
             return
--- a/packages/core/foxtaildale/refusals.py
+++ b/packages/core/foxtaildale/refusals.py
@@ -2,9 +2,9 @@
 
 Such a worker may be changing its stage: it got the order while the coordinator
 moved to a VM that does not know of the order, and the store is down, so the
-backend list still shows a decode worker. It refuses everything, so it always has
-the most room in the plan: hardly any request that is placed there is accepted,
-and the prefills of all others are wasted.
+backend list still shows a decode worker. It refuses everything, so it always
+has the most room in the plan: hardly any request that is placed there is
+accepted, and the prefills of all others are wasted.
 
 A refusal may also be caused by the prefill worker, whose handle has expired;
 then every decode worker refuses its prompts, and accepts those of other prefill
--- a/packages/core/foxtaildale/reports.py
+++ b/packages/core/foxtaildale/reports.py
@@ -1,15 +1,15 @@
 """Failed backend servers, as reported to the coordinator of a service.
 
 The reports are made for a site of 78 entry VMs that loses a quarter of its
-engines. Each VM detects a crashed engine only by a request of its own that fails
-there. Meanwhile the plan, in which the crashed engine has the most room, sends
-the next request of every VM to it. Holders therefore report failures to the
-coordinator.
+engines. Each VM detects a crashed engine only by a request of its own that
+fails there. Meanwhile the plan, in which the crashed engine has the most room,
+sends the next request of every VM to it. Holders therefore report failures to
+the coordinator.
 
 One entry VM may be cut off from engines that all others can reach. A report of
 one VM alone therefore excludes no server for the others; the VM's own requests
-name the servers that it can't use. A network fault does not explain that another
-server responds at an engine's address, so one such report is enough.
+name the servers that it can't use. A network fault does not explain that
+another server responds at an engine's address, so one such report is enough.
 """
 
 from typing import Final
@@ -24,7 +24,7 @@
 
 
 class Reports:
-    """Reports on the backend servers of one service; the time is an argument."""
+    """Reports on one service's backend servers; the time is an argument."""
 
     __slots__ = ('_reported_at',)
 
--- a/packages/core/foxtaildale/room.py
+++ b/packages/core/foxtaildale/room.py
@@ -2,8 +2,8 @@
 
 The limits are made for bursts of twice the usual traffic, in which the memory
 of the decode workers is full for seconds. A placement at a decode worker is
-certain before the prompt is prefilled, since a prefilled prompt lives for half a
-second and its prefill is wasted if it finds no placement.
+certain before the prompt is prefilled, since a prefilled prompt lives for half
+a second and its prefill is wasted if it finds no placement.
 """
 
 from typing import Final
@@ -13,9 +13,10 @@
 
 # Tokens in one block of memory; engines allocate memory in blocks.
 BLOCK: Final = 16
-# Reserved output without a plan, as a multiple of the expected output. Reserving
-# the maximum output would leave half of the memory unused; with less than the
-# expected output, requests outgrow their reservations and others are preempted.
+# Reserved output without a plan, as a multiple of the expected output.
+# Reserving the maximum output would leave half of the memory unused; with less
+# than the expected output, requests outgrow their reservations and others are
+# preempted.
 OUTPUT_SHARE: Final = 1.25
 # Maximum wait for a placement: this many times the target, and at least this
 # long, seconds. The caller of a stream disconnects after a silence of two
--- a/packages/core/foxtaildale/waiting.py
+++ b/packages/core/foxtaildale/waiting.py
@@ -1,9 +1,9 @@
 """Requests that wait for a grant, oldest first.
 
-A waiter is only an entry in this table: no connection stays open and no reply is
-outstanding. Its entry VM polls again at the time that it was given. A waiter that
-is not polled for is removed, so that the requests of a crashed entry VM do not
-block the others.
+A waiter is only an entry in this table: no connection stays open and no reply
+is outstanding. Its entry VM polls again at the time that it was given. A waiter
+that is not polled for is removed, so that the requests of a crashed entry VM do
+not block the others.
 """
 
 from typing import Final
@@ -65,7 +65,7 @@
         self._waiters.pop(request, None)
 
     def ahead(self, request: str, arrived_at: float) -> tuple[int, int]:
-        """Returns how many requests and prompt tokens are ahead of a request."""
+        """Returns the number of requests and prompt tokens ahead of a request."""
         waiter = self._waiters.get(request)
         rank = (waiter.arrived_at if waiter else arrived_at, request)
         tokens = [
