--- a/packages/core/foxtaildale/growth.py
+++ b/packages/core/foxtaildale/growth.py
@@ -86,7 +86,10 @@
 def _outlook(
     request: Running, now: float, token_s: float
 ) -> tuple[float, float, float]:
-    """Returns the time until its end, its memory now, and its start delay."""
+    """Returns the time until its end, its memory now and its start delay.
+
+    Times are in seconds, memory in tokens.
+    """
     delay_s = max(0.0, request.started_at - now)
     generated = max(0.0, now - request.started_at) / token_s
     if request.longest:
--- a/packages/core/foxtaildale/memory.py
+++ b/packages/core/foxtaildale/memory.py
@@ -49,7 +49,7 @@
         return self._records.get(key)
 
     def never_knew(self, key: _K, stamp: float) -> bool:
-        """Whether a record of `key` with this stamp was never added."""
+        """Whether `key`, with this stamp, was certainly never added."""
         return key not in self._records and stamp > self.floor
 
     def put(self, key: _K, record: _T) -> list[_T]:
--- a/packages/core/foxtaildale/placing.py
+++ b/packages/core/foxtaildale/placing.py
@@ -36,7 +36,7 @@
 from foxtaildale import speeds
 
 # Maximum number of waiters that fit nowhere and are overtaken by smaller ones
-# behind them. Each of them gets the worker with the most room closed to all
+# behind them. For each of them, the worker with the most room is closed to all
 # others for the pass, so that it does not starve behind many small requests.
 PASSED: Final = 4
 # Time between scheduling passes while requests wait, seconds. A pass goes
--- a/packages/core/foxtaildale/waiting.py
+++ b/packages/core/foxtaildale/waiting.py
@@ -65,7 +65,7 @@
         self._waiters.pop(request, None)
 
     def ahead(self, request: str, arrived_at: float) -> tuple[int, int]:
-        """Returns the number of requests and prompt tokens ahead of a request."""
+        """Returns how many requests and prompt tokens are ahead of one."""
         waiter = self._waiters.get(request)
         rank = (waiter.arrived_at if waiter else arrived_at, request)
         tokens = [
