--- a/packages/core/foxtaildale/homes.py
+++ b/packages/core/foxtaildale/homes.py
@@ -18,7 +18,8 @@
 # Separates the service name from the keeper's name in the hashed key.
 _SEPARATOR: Final = '\0'
 # Minimum processor time of a VM that may be a coordinator, as a part of the
-# maximum of all VMs. A weaker one would be overloaded as the coordinator of many services.
+# maximum of all VMs. A weaker one would be overloaded as the coordinator of
+# many services.
 FIT_PART: Final = 0.8
 
 
