--- a/packages/daemon/foxtaildaled/calls.py
+++ b/packages/daemon/foxtaildaled/calls.py
@@ -1,4 +1,4 @@
-"""Requests of plain services, and the tickets that some of them take."""
+"""Requests to plain services, and the tickets that some of them require."""
 
 from typing import Annotated
 from typing import Final
@@ -18,21 +18,21 @@
 
 
 class TicketsReq(msgspec.Struct, frozen=True):
-    """Asks for tickets."""
+    """Request for tickets of a service."""
 
     service: str
     count: Annotated[int, msgspec.Meta(ge=1, le=desk.MAX_COUNT)] = 1
 
 
 class TicketsReply(msgspec.Struct, frozen=True):
-    """Fresh tickets."""
+    """New tickets of a service."""
 
     service: str
     tickets: tuple[str, ...]
 
 
 class Calls:
-    """Serves requests of plain services."""
+    """Serves requests to plain services."""
 
     __slots__ = ('_claiming', '_desk', '_gate', '_plain', '_replies')
 
@@ -58,24 +58,29 @@
         self._claiming = claim_desk
 
     def call(self, visit: visits.Visit) -> None:
-        """Serves one call."""
+        """Serves one request to a plain service.
+
+        A service may require a ticket or a claim for each request.
+        """
         path = visit.ex.path.removeprefix(PREFIX)
         name, _slash, call = path.partition('/')
         if not call:
-            self._replies.reject(visit, name, 'no call named')
+            self._replies.reject(visit, name, 'the path names no call')
             return
         service = self._gate.admit(visit, name, 'plain', call)
         if service is None:
             return
         if service.once == 'ticket':
-            self._ticketed(visit, name, call)
+            self._call_with_ticket(visit, name, call)
         elif service.once == 'claim':
-            self._claimed(visit, name, call)
+            self._call_with_claim(visit, name, call)
         else:
-            self._answer(visit, name, self._run(visit, name, call))
+            self._send_result(
+                visit, name, self._call_service(visit, name, call)
+            )
 
     def mint(self, visit: visits.Visit) -> None:
-        """Hands out tickets."""
+        """Issues tickets."""
         try:
             req = msgspec.json.decode(visit.ex.body, type=TicketsReq)
         except (msgspec.DecodeError, UnicodeDecodeError) as exc:
@@ -86,12 +91,12 @@
             return
         if service.once != 'ticket':
             self._replies.reject(
-                visit, req.service, 'the service takes no tickets'
+                visit, req.service, 'the service does not use tickets'
             )
             return
-        minted = self._desk.mint(req.service, req.count)
-        if minted:
-            self._replies.tell(visit, TicketsReply(req.service, minted))
+        issued = self._desk.mint(req.service, req.count)
+        if issued:
+            self._replies.tell(visit, TicketsReply(req.service, issued))
             return
         self._replies.refuse(
             visit,
@@ -100,7 +105,9 @@
             retry_after_s=visits.AGAIN_S,
         )
 
-    def _ticketed(self, visit: visits.Visit, name: str, call: str) -> None:
+    def _call_with_ticket(
+        self, visit: visits.Visit, name: str, call: str
+    ) -> None:
         if not visit.ticket:
             self._refuse_ticket(visit, name, codes.TICKET_NEEDED)
             return
@@ -109,27 +116,29 @@
             self._refuse_ticket(visit, name, codes.TICKET_BAD)
             return
         reply = self._desk.run(ticket, call, visit.ex.body, visit.request)
-        self._end_ticket(visit, name, reply)
+        self._send_ticket_reply(visit, name, reply)
 
-    def _end_ticket(
+    def _send_ticket_reply(
         self, visit: visits.Visit, name: str, reply: messages.RunReply
     ) -> None:
         if reply.outcome.request == visit.request:
             self._replies.record(reply.outcome)
-        answer = desk.unpack(reply.answer)
-        if reply.outcome.code == codes.OK.name and answer is not None:
-            self._replies.pass_on(visit, reply.outcome, answer)
+        response = desk.unpack(reply.answer)
+        if reply.outcome.code == codes.OK.name and response is not None:
+            self._replies.pass_on(visit, reply.outcome, response)
             return
         not_run = codes.ran(reply.outcome.code) == 'no'
-        fresh = self._desk.mint(name, 1) if not_run else ()
-        self._replies.end(visit, reply.outcome, fresh)
+        new_tickets = self._desk.mint(name, 1) if not_run else ()
+        self._replies.end(visit, reply.outcome, new_tickets)
 
     def _refuse_ticket(
         self, visit: visits.Visit, name: str, code: codes.Code
     ) -> None:
         self._replies.refuse(visit, name, code, fresh=self._desk.mint(name, 1))
 
-    def _claimed(self, visit: visits.Visit, name: str, call: str) -> None:
+    def _call_with_claim(
+        self, visit: visits.Visit, name: str, call: str
+    ) -> None:
         refusal = self._claiming.claim(visit, name, call)
         if refusal is not None:
             self._replies.refuse(
@@ -140,20 +149,24 @@
                 retry_after_s=refusal.retry_after_s,
             )
             return
-        result = self._run(visit, name, call)
-        truth = self._replies.stamp(
+        result = self._call_service(visit, name, call)
+        outcome = self._replies.stamp(
             result.code, visit.request, name, visit.snapshot
         )
-        self._claiming.end(name, visit.key, truth)
+        self._claiming.end(name, visit.key, outcome)
         code = visit.covering(result.code)
-        self._answer(visit, name, msgspec.structs.replace(result, code=code))
+        self._send_result(
+            visit, name, msgspec.structs.replace(result, code=code)
+        )
 
-    def _run(self, visit: visits.Visit, name: str, call: str) -> plain.Result:
+    def _call_service(
+        self, visit: visits.Visit, name: str, call: str
+    ) -> plain.Result:
         return self._plain.call(
             visit.snapshot, name, call, visit.ex.body, visit.request
         )
 
-    def _answer(
+    def _send_result(
         self, visit: visits.Visit, name: str, result: plain.Result
     ) -> None:
         outcome = self._replies.outcome(
--- a/packages/daemon/foxtaildaled/forward.py
+++ b/packages/daemon/foxtaildaled/forward.py
@@ -1,9 +1,10 @@
-"""Requests of plain services, forwarded whole.
+"""Forwards requests of plain services to backend servers.
 
-A request that may have run is sent again only if its route says that it may be
-repeated; one that surely did not run may be sent on within the attempts of its
-route. An answer is read whole before the caller gets any of it, so that one
-which breaks off can still be replaced.
+A request that may have run is sent again only if its route allows it to be
+repeated. A request that certainly did not run may be sent to another server, up
+to the maximum number of attempts of its route. A response is read completely
+before any of it is sent to the caller, so that a request whose response breaks
+off can still be retried.
 """
 
 from collections.abc import Callable
@@ -23,25 +24,27 @@
 from foxtaildaled import sendlimits
 from foxtaildaled import sends
 
-# Servers that may turn out not to be there before a request is given up. Their
-# connections don't open, or another server says that it has their address; the
-# one that was meant got nothing, so they are no attempts.
+# Maximum number of servers that may be missing before a request is refused. A
+# server is missing if the connection to it does not open, or if another server
+# replies that it has the address now. The intended server received nothing, so
+# this does not count as an attempt.
 CONNECTS: Final = 3
-# An idempotent request without an answer is sent elsewhere after this many
-# times its target, and no sooner than the least, seconds: a server that hangs
-# would keep it until its deadline.
+# An idempotent request without a response is sent to another server after this
+# multiple of its target time. A server that hangs would otherwise delay it until
+# its deadline.
 STALLED_TARGETS: Final = 2.0
+# Minimum of that time, seconds.
 STALLED_S: Final = 0.5
-# Longest answer held in memory, bytes.
+# Maximum size of a response, which is held in memory, bytes.
 MAX_BODY: Final = 16 * 1024 * 1024
-# How long a full service stays full, seconds. A slot comes free sooner, but who
-# is refused in a burst of some seconds can't be in time any more, and who comes
-# back at once meets the same burst.
+# Assumed time for which a full service stays full, seconds. A slot becomes free
+# sooner, but a request that is refused in a burst of some seconds can no longer
+# meet its target, and a caller that retries at once meets the same burst.
 FULL_WAIT_S: Final = 0.8
 
 
-class _Whole:
-    """A whole answer of a backend server."""
+class _CompleteResponse:
+    """A complete response of a backend server."""
 
     __slots__ = ('body', 'head')
 
@@ -50,48 +53,49 @@
         self.body = body
 
 
-class _Tries:
-    """What was tried for one request."""
+class _SendHistory:
+    """The attempts of one request so far."""
 
     __slots__ = (
-        'arrived',
-        'last',
-        'limited',
+        'attempts',
+        'last_response',
         'may_have_run',
         'missed',
-        'sent',
-        'servers',
+        'rate_limited',
+        'requests_sent',
+        'tried_ids',
     )
 
     def __init__(self) -> None:
-        # Ids of the servers, in order.
-        self.servers: list[str] = []
-        # Requests that left, and those that reached the server that they were
-        # sent to.
-        self.arrived = 0
-        self.sent = 0
-        # Servers that were not there: connections that did not open, and other
-        # servers that answered in their place.
+        # Ids of the servers that were tried, in order.
+        self.tried_ids: list[str] = []
+        # Number of requests that were sent, to whatever server.
+        self.requests_sent = 0
+        # Number of these that count as attempts: all except those that another
+        # server received in place of the intended one.
+        self.attempts = 0
+        # Number of missing servers: connections that did not open, and responses
+        # from another server that has the address now.
         self.missed = 0
-        # The last answer; None if the last send got none.
-        self.last: _Whole | None = None
-        # Whether servers are left, none of which takes a request now.
-        self.limited = False
-        # Whether a send may have run without an answer that says so.
+        # Response to the last request sent; None if there was none.
+        self.last_response: _CompleteResponse | None = None
+        # Whether the send limits exclude all servers that are left.
+        self.rate_limited = False
+        # Whether a request without a response may have run.
         self.may_have_run = False
 
 
 class Forward:
-    """Serves requests of plain services."""
+    """Serves requests of plain services; retries them where that is allowed."""
 
     __slots__ = (
-        '_breaks',
         '_clock',
+        '_crash_probe',
         '_on_completed',
         '_owner',
+        '_retry_budgets',
         '_rng',
         '_send_limits',
-        '_sends',
         '_workers',
     )
 
@@ -100,170 +104,188 @@
         *,
         owner: actors.Owner[beliefs.Beliefs],
         workers: ports.Workers,
-        budget: sends.Sends,
+        retry_budgets: sends.Sends,
         send_limits: sendlimits.SendLimits,
-        broken: breaks.Breaks,
+        crash_probe: breaks.Breaks,
         on_completed: Callable[[int], None],
         clock: ports.Clock,
         rng: random.Random,
     ) -> None:
         self._owner = owner
         self._workers = workers
-        self._sends = budget
+        self._retry_budgets = retry_budgets
         self._send_limits = send_limits
-        self._breaks = broken
-        # Takes the fingerprint of a request that ran to its good end.
+        self._crash_probe = crash_probe
+        # Called with the fingerprint of a request that completed successfully.
         self._on_completed = on_completed
         self._clock = clock
         self._rng = rng
 
     def serve(self, req: passage.Passage) -> None:
-        """Answers one request before it returns."""
-        self._sends.first(req.service.name)
-        tries = _Tries()
-        while self._step(req, tries):
+        """Serves one request; returns after the final response has been sent."""
+        self._retry_budgets.first(req.service.name)
+        history = _SendHistory()
+        while self._try_server(req, history):
             pass
 
-    def _step(self, req: passage.Passage, tries: _Tries) -> bool:
-        """Tries one server; returns whether to go on with another."""
+    def _try_server(self, req: passage.Passage, history: _SendHistory) -> bool:
+        """Sends the request to one server; returns whether to try another."""
         if req.caller_gone():
-            req.refuse(codes.CANCELLED if tries.sent else codes.GONE)
+            req.refuse(codes.CANCELLED if history.attempts else codes.GONE)
             return False
-        server = None if req.held_s() else self._choose(req, tries)
-        if server is None or not self._may_send(req, tries, server):
-            self._give_up(req, tries)
+        server = None if req.held_s() else self._choose_server(req, history)
+        if server is None or not self._may_send(req, history, server):
+            self._end_without_server(req, history)
             return False
-        tries.servers.append(server.id)
+        history.tried_ids.append(server.id)
         req.log(
             'sent',
             server=server.id,
-            attempt=tries.sent + 1,
+            attempt=history.attempts + 1,
             fingerprint=fingerprint.text(req.fingerprint),
         )
-        outcome = self._send(req, server, tries.sent)
-        if isinstance(outcome, _Whole):
-            return self._on_answer(req, tries, outcome)
-        return self._on_error(req, tries, outcome)
+        outcome = self._send(req, server, history.attempts)
+        if isinstance(outcome, _CompleteResponse):
+            return self._on_response(req, history, outcome)
+        return self._on_error(req, history, outcome)
 
-    def _on_answer(
-        self, req: passage.Passage, tries: _Tries, got: _Whole
+    def _on_response(
+        self,
+        req: passage.Passage,
+        history: _SendHistory,
+        response: _CompleteResponse,
     ) -> bool:
-        tries.arrived += 1
-        if got.head.replaces(tries.servers[-1]):
-            tries.missed += 1
+        history.requests_sent += 1
+        if response.head.replaces(history.tried_ids[-1]):
+            history.missed += 1
         else:
-            tries.sent += 1
-        tries.last = got
-        if self._again(req, got, tries.sent):
+            history.attempts += 1
+        history.last_response = response
+        if self._should_retry(req, response, history.attempts):
             req.log(
                 'answer put aside',
-                server=tries.servers[-1],
-                status=got.head.status,
-                ran=got.head.ran,
+                server=history.tried_ids[-1],
+                status=response.head.status,
+                ran=response.head.ran,
             )
             return True
-        self._deliver(req, got)
+        self._send_response(req, response)
         return False
 
     def _on_error(
-        self, req: passage.Passage, tries: _Tries, exc: errors.PortError
+        self, req: passage.Passage, history: _SendHistory, exc: errors.PortError
     ) -> bool:
         if isinstance(exc, errors.UnreachableError):
-            tries.missed += 1
+            history.missed += 1
             return True
-        tries.arrived += 1
-        tries.sent += 1
-        tries.last = None
-        tries.may_have_run = True
+        history.requests_sent += 1
+        history.attempts += 1
+        history.last_response = None
+        history.may_have_run = True
         if req.gone.is_set():
             req.refuse(codes.CANCELLED)
             return False
         if not req.route.repeatable:
-            self._fail(req)
+            self._send_failure(req)
             return False
         return True
 
-    def _choose(
-        self, req: passage.Passage, tries: _Tries
+    def _choose_server(
+        self, req: passage.Passage, history: _SendHistory
     ) -> forwarding.Backend | None:
-        """Returns the best server that was not tried and takes a request."""
+        """Returns the best untried server that the send limits allow, or None."""
         service = req.service.name
         repeatable = req.route.repeatable
 
-        def turn(
+        def rank(
             state: beliefs.Beliefs, now: float
         ) -> list[forwarding.Backend]:
-            found = state.fleet.candidates(
-                service, now, avoid=tries.servers, repeatable=repeatable
+            candidates = state.fleet.candidates(
+                service, now, avoid=history.tried_ids, repeatable=repeatable
             )
-            return [tally.backend for tally in found]
+            return [tally.backend for tally in candidates]
 
-        found = self._owner.run(turn)
-        for server in found:
+        servers = self._owner.run(rank)
+        for server in servers:
             if self._send_limits.take(server.id):
                 return server
-        tries.limited = bool(found)
+        history.rate_limited = bool(servers)
         return None
 
     def _may_send(
-        self, req: passage.Passage, tries: _Tries, server: forwarding.Backend
+        self,
+        req: passage.Passage,
+        history: _SendHistory,
+        server: forwarding.Backend,
     ) -> bool:
-        if tries.missed >= CONNECTS or req.left_s() < passage.MIN_LEFT_S:
+        if history.missed >= CONNECTS or req.left_s() < passage.MIN_LEFT_S:
             return False
-        if not tries.arrived:
+        if not history.requests_sent:
             return True
-        if tries.sent >= req.route.max_attempts:
+        if history.attempts >= req.route.max_attempts:
             return False
-        allowed = self._sends.take(req.service.name, req.deadline)
+        allowed = self._retry_budgets.take(req.service.name, req.deadline)
         req.log('retry', server=server.id, allowed=allowed)
         if allowed:
             req.counts.retries.add(1, req.service.name)
         return allowed
 
     def _send(
-        self, req: passage.Passage, server: forwarding.Backend, sent: int
-    ) -> _Whole | errors.PortError:
-        """Sends once; an error says whether anything was sent."""
+        self, req: passage.Passage, server: forwarding.Backend, attempts: int
+    ) -> _CompleteResponse | errors.PortError:
+        """Sends the request once.
+
+        Returns:
+            The complete response, or an error whose class tells whether
+            anything was sent.
+        """
         left_s = req.left_s()
         flight = self._workers.plain(
             req.call, server, left_s, repeatable=req.route.repeatable
         )
         self._owner.run(lambda state, _: state.fleet.sent(server.id))
-        began = self._clock()
+        began_at = self._clock()
         head: forwarding.Head | None = None
         try:
             req.attach(flight)
             flight.send(left_s)
-            head = flight.head(self._patience(req, sent))
+            head = flight.head(self._response_timeout_s(req, attempts))
             if not head.matches:
-                raise errors.AnswerLostError('answer to another request')
-            return _Whole(head, _read(flight, req))
+                raise errors.AnswerLostError('response to another request')
+            return _CompleteResponse(head, _read_body(flight, req))
         except errors.PortError as exc:
             req.log('send failed', server=server.id, error=str(exc))
-            self._breaks.note(req, server, exc, began_at=began)
+            self._crash_probe.note(req, server, exc, began_at=began_at)
             head = None
             return exc
         finally:
             req.attach(None)
             flight.close()
-            self._note(req, server, head, self._clock() - began)
+            self._record_outcome(req, server, head, self._clock() - began_at)
 
-    def _patience(self, req: passage.Passage, sent: int) -> float:
+    def _response_timeout_s(self, req: passage.Passage, attempts: int) -> float:
         left_s = req.left_s()
-        if not req.route.repeatable or sent + 1 >= req.route.max_attempts:
+        if not req.route.repeatable or attempts + 1 >= req.route.max_attempts:
             return left_s
         return min(left_s, max(STALLED_S, STALLED_TARGETS * req.route.target_s))
 
-    def _note(
+    def _record_outcome(
         self,
         req: passage.Passage,
         server: forwarding.Backend,
         head: forwarding.Head | None,
         took_s: float,
     ) -> None:
-        """Notes the end of a send; the head is None if no whole answer came."""
+        """Records the outcome of a send.
 
-        def turn(state: beliefs.Beliefs, now: float) -> None:
+        Args:
+            req: The request.
+            server: The server that it was sent to.
+            head: Head of the response; None if there was no complete one.
+            took_s: Time of the send, seconds.
+        """
+
+        def update(state: beliefs.Beliefs, now: float) -> None:
             state.fleet.ended(server.id)
             if head is None:
                 if not req.gone.is_set():
@@ -276,31 +298,35 @@
                 state.experience.note(server.id, failed=False)
                 state.fleet.answered(server.id, now, took_s)
 
-        self._owner.run(turn)
+        self._owner.run(update)
 
-    def _again(self, req: passage.Passage, got: _Whole, sent: int) -> bool:
-        """Whether another server should be tried after this answer."""
-        if got.head.ran == 'no':
+    def _should_retry(
+        self, req: passage.Passage, response: _CompleteResponse, attempts: int
+    ) -> bool:
+        """Whether another server should be tried after this response."""
+        if response.head.ran == 'no':
             return True
         return (
-            got.head.status >= 500
+            response.head.status >= 500
             and req.route.repeatable
-            and sent < req.route.max_attempts
+            and attempts < req.route.max_attempts
         )
 
-    def _give_up(self, req: passage.Passage, tries: _Tries) -> None:
-        last = tries.last
+    def _end_without_server(
+        self, req: passage.Passage, history: _SendHistory
+    ) -> None:
+        last = history.last_response
         if last is not None and last.head.ran != 'no':
-            self._deliver(req, last)
-        elif tries.may_have_run:
-            self._fail(req)
+            self._send_response(req, last)
+        elif history.may_have_run:
+            self._send_failure(req)
         elif req.held_s():
             req.refuse_held()
         else:
-            self._refuse(req, tries)
+            self._refuse(req, history)
 
-    def _refuse(self, req: passage.Passage, tries: _Tries) -> None:
-        """Refuses what no server takes, and says for how long."""
+    def _refuse(self, req: passage.Passage, history: _SendHistory) -> None:
+        """Refuses a request that no server accepts, with a time to retry after."""
         name = req.service.name
         backoff_s = self._owner.run(
             lambda state, now: state.fleet.backoff_s(name, now)
@@ -308,9 +334,9 @@
         code, reason = codes.BACKEND_REFUSED, ''
         if backoff_s:
             reason = 'backoff'
-        elif tries.limited:
+        elif history.rate_limited:
             reason = 'limited'
-        elif tries.arrived:
+        elif history.requests_sent:
             reason = 'full'
         else:
             code = codes.NO_BACKEND
@@ -321,33 +347,37 @@
             retry_s = comeback.retry_after_s(FULL_WAIT_S, left_s, self._rng)
         req.refuse(code, {'reason': reason} if reason else {}, retry_s)
 
-    def _fail(self, req: passage.Passage) -> None:
+    def _send_failure(self, req: passage.Passage) -> None:
         if req.left_s() < passage.MIN_LEFT_S:
             limit_ms = int((req.deadline - req.started_at) * 1000)
             req.refuse(codes.TIMED_OUT, {'limit_ms': limit_ms})
         else:
             req.refuse(codes.UNKNOWN)
 
-    def _deliver(self, req: passage.Passage, got: _Whole) -> None:
-        if got.head.ok:
+    def _send_response(
+        self, req: passage.Passage, response: _CompleteResponse
+    ) -> None:
+        if response.head.ok:
             self._on_completed(req.fingerprint)
-        whole = req.ex.respond(
-            got.head.status, dict(got.head.headers), got.body
+        complete = req.ex.respond(
+            response.head.status, dict(response.head.headers), response.body
         )
-        req.answered(got.head.status, whole=whole)
+        req.answered(response.head.status, whole=complete)
 
 
-def _read(flight: ports.Flight, req: passage.Passage) -> bytes:
-    """Reads a whole body.
+def _read_body(flight: ports.Flight, req: passage.Passage) -> bytes:
+    """Reads a complete response body.
 
     Raises:
-        errors.AnswerLostError: It broke off, or is too long.
+        errors.AnswerLostError: The body broke off, or is too long.
     """
-    parts = []
+    chunks = []
     size = 0
-    while part := flight.read(req.left_s()):
-        parts.append(part)
-        size += len(part)
+    while chunk := flight.read(req.left_s()):
+        chunks.append(chunk)
+        size += len(chunk)
         if size > MAX_BODY:
-            raise errors.AnswerLostError(f'answer above {MAX_BODY} bytes')
-    return b''.join(parts)
+            raise errors.AnswerLostError(
+                f'response body exceeds {MAX_BODY} bytes'
+            )
+    return b''.join(chunks)
--- a/packages/daemon/foxtaildaled/generate.py
+++ b/packages/daemon/foxtaildaled/generate.py
@@ -1,9 +1,10 @@
-"""Requests for model engines: a place, a prefill, a transfer, a stream.
+"""Serves requests for model engines: placement, prefill, transfer and stream.
 
-`spots` finds a place at a decode worker first, since a prompt that is read and
-finds none is work for nobody. `prompts` has the prompt read, and the decode
-worker fetches it and streams. Whole events are passed on as they come. A stream
-that breaks goes on at another worker where its route allows that.
+`spots` finds a placement at a decode worker first, since the prefill of a prompt
+without a placement would be wasted. `prompts` then has the prompt prefilled, and
+the decode worker fetches it and streams the response. Events are relayed to the
+caller as soon as they are complete. A broken stream is resumed at another worker
+if the route allows that.
 """
 
 from collections.abc import Callable
@@ -25,31 +26,34 @@
 from foxtaildaled import sends
 from foxtaildaled import spots
 
-# Longest silence of a stream that may go on elsewhere, seconds: five times the
-# pause that is still on time.
+# Maximum silence of a stream that may be resumed at another worker, as a multiple
+# of the longest pause between events that still meets the target.
 SILENCE_GAPS: Final = 5.0
+# Minimum of that silence, seconds.
 SILENCE_S: Final = 1.2
-# Connections to decode workers that may fail to open before a request is given
-# up. Nothing was sent by those, so they draw on no budget; a crashed engine is
-# known to all a few milliseconds after two VMs have met it.
+# Maximum number of connections to decode workers that may fail to open before a
+# request is refused. Nothing was sent over them, so they don't spend the retry
+# budget. All VMs know of a crashed engine a few milliseconds after two VMs have
+# failed to connect to it.
 CONNECTS: Final = 4
-# How long a full service stays full, seconds: some answers end in that time.
+# Assumed time for which a full service stays full, seconds: some responses end
+# in that time.
 FULL_WAIT_S: Final = 0.8
 
 
 class Generate:
-    """Serves requests for model engines."""
+    """Serves requests for model engines; resumes them where that is allowed."""
 
     __slots__ = (
-        '_breaks',
+        '_cleanup',
         '_clock',
+        '_crash_probe',
         '_on_completed',
         '_owner',
-        '_prompts',
+        '_placements',
+        '_prefill_client',
+        '_retry_budgets',
         '_rng',
-        '_sends',
-        '_spots',
-        '_tidy',
         '_workers',
     )
 
@@ -58,118 +62,127 @@
         *,
         owner: actors.Owner[beliefs.Beliefs],
         workers: ports.Workers,
-        budget: sends.Sends,
-        finder: spots.Spots,
-        reader: prompts.Prompts,
-        tidy: ports.Tidy,
-        broken: breaks.Breaks,
+        retry_budgets: sends.Sends,
+        placements: spots.Spots,
+        prefill_client: prompts.Prompts,
+        cleanup: ports.Tidy,
+        crash_probe: breaks.Breaks,
         on_completed: Callable[[int], None],
         clock: ports.Clock,
         rng: random.Random,
     ) -> None:
         self._owner = owner
         self._workers = workers
-        self._sends = budget
-        self._spots = finder
-        self._prompts = reader
-        self._tidy = tidy
-        self._breaks = broken
-        # Takes the fingerprint of a request that ran to its good end.
+        self._retry_budgets = retry_budgets
+        self._placements = placements
+        self._prefill_client = prefill_client
+        self._cleanup = cleanup
+        self._crash_probe = crash_probe
+        # Called with the fingerprint of a request that completed successfully.
         self._on_completed = on_completed
         self._clock = clock
         self._rng = rng
 
     def serve(self, req: passage.Passage) -> None:
-        """Answers one request before it returns."""
-        self._sends.first(req.service.name)
-        answer = attempt.Answer(req.call.after_event)
-        sent: list[str] = []
+        """Serves one request; returns after the final response has been sent."""
+        self._retry_budgets.first(req.service.name)
+        response = attempt.Answer(req.call.after_event)
+        sent_ids: list[str] = []
         try:
-            while not self._attempt(req, answer, sent):
-                self._allow_another(req, answer)
+            while not self._run_attempt(req, response, sent_ids):
+                self._check_retry(req, response)
         except attempt.Refused as exc:
-            self._end(req, answer, exc)
+            self._send_failure(req, response, exc)
         finally:
-            if answer.prefilled is not None:
-                self._tidy.free(answer.prefilled)
+            if response.prefilled is not None:
+                self._cleanup.free(response.prefilled)
                 req.counts.wasted_prefill_tokens.add(
                     req.call.prompt_tokens, req.service.name
                 )
 
-    def _allow_another(
-        self, req: passage.Passage, answer: attempt.Answer
+    def _check_retry(
+        self, req: passage.Passage, response: attempt.Answer
     ) -> None:
-        """Lets it be tried again.
+        """Checks that another attempt is allowed; spends the retry budget.
 
         Raises:
-            attempt.Refused: It ends here.
+            attempt.Refused: No further attempt is allowed.
         """
-        if answer.unsent:
-            answer.unsent = False
-            if answer.unopened < CONNECTS:
+        if response.unsent:
+            response.unsent = False
+            if response.unopened < CONNECTS:
                 return
-            raise attempt.Refused(*answer.unfinished('no connection opened'))
-        allowed = self._sends.take(req.service.name, req.deadline)
+            raise attempt.Refused(*response.unfinished('no connection opened'))
+        allowed = self._retry_budgets.take(req.service.name, req.deadline)
         req.log('retry', allowed=allowed)
         if not allowed:
-            raise attempt.Refused(*answer.unfinished())
+            raise attempt.Refused(*response.unfinished())
         req.counts.retries.add(1, req.service.name)
 
-    def _attempt(
-        self, req: passage.Passage, answer: attempt.Answer, sent: list[str]
+    def _run_attempt(
+        self,
+        req: passage.Passage,
+        response: attempt.Answer,
+        sent_ids: list[str],
     ) -> bool:
-        """Runs it once; False if it should go on elsewhere.
+        """Makes one attempt; returns False if another one should follow.
 
         Raises:
-            attempt.Refused: It ends here.
+            attempt.Refused: The request ends without another attempt.
         """
-        req.call.after_event = answer.splitter.position
-        began = self._clock()
-        spot = self._spots.find(req, sent, started=answer.started)
-        waited_s = self._clock() - began
+        req.call.after_event = response.splitter.position
+        began_at = self._clock()
+        placement = self._placements.find(
+            req, sent_ids, started=response.started
+        )
+        waited_s = self._clock() - began_at
         req.counts.wait_seconds.observe((waited_s,), req.service.name)
-        reserved = spot.reserved
-        tokens = reserved.tokens
-        used = False
+        reservation = placement.reserved
+        tokens = reservation.tokens
+        reservation_used = False
         self._owner.run(
-            lambda state, _: state.fleet.sent(reserved.worker.id, tokens)
+            lambda state, _: state.fleet.sent(reservation.worker.id, tokens)
         )
         try:
-            self._prompts.read(req, spot, answer)
+            self._prefill_client.read(req, placement, response)
             attempt.check_held(req.held_s())
             if req.caller_gone():
-                raise attempt.Refused(codes.CANCELLED if sent else codes.GONE)
-            if not self._spots.takes(reserved.worker):
-                req.log('place given up', server=reserved.worker.id)
-                answer.unsent = True
-                answer.unopened += 1
+                raise attempt.Refused(
+                    codes.CANCELLED if sent_ids else codes.GONE
+                )
+            if not self._placements.takes(reservation.worker):
+                req.log('place given up', server=reservation.worker.id)
+                response.unsent = True
+                response.unopened += 1
                 return False
-            used = True
-            if reserved.worker.id not in sent:
-                sent.append(reserved.worker.id)
-            return self._decode(req, answer, spot, sent)
+            reservation_used = True
+            if reservation.worker.id not in sent_ids:
+                sent_ids.append(reservation.worker.id)
+            return self._decode(req, response, placement, sent_ids)
         finally:
-            if not used and reserved.hold:
-                self._tidy.release(reserved)
+            if not reservation_used and reservation.hold:
+                self._cleanup.release(reservation)
             self._owner.run(
-                lambda state, _: state.fleet.ended(reserved.worker.id, tokens)
+                lambda state, _: state.fleet.ended(
+                    reservation.worker.id, tokens
+                )
             )
-            self._spots.give_back(req, spot)
+            self._placements.give_back(req, placement)
 
     def _decode(
         self,
         req: passage.Passage,
-        answer: attempt.Answer,
-        spot: attempt.Spot,
-        sent: list[str],
+        response: attempt.Answer,
+        placement: attempt.Spot,
+        sent_ids: list[str],
     ) -> bool:
-        reserved = spot.reserved
-        prefilled = answer.prefilled
-        server = reserved.worker
+        reservation = placement.reserved
+        prefilled = response.prefilled
+        server = reservation.worker
         left_s = req.left_s()
         flight = self._workers.decode(
             req.call,
-            reserved,
+            reservation,
             prefilled,
             left_s,
             repeatable=req.route.resumable,
@@ -177,148 +190,159 @@
         req.log(
             'sent',
             server=server.id,
-            attempt=len(sent),
+            attempt=len(sent_ids),
             fingerprint=fingerprint.text(req.fingerprint),
         )
-        before = answer.splitter.position or 0
-        began = self._clock()
+        first_position = response.splitter.position or 0
+        began_at = self._clock()
         head_at: float | None = None
         try:
             req.attach(flight)
             flight.send(left_s)
-            head = flight.head(self._patience(req, sent))
+            head = flight.head(self._max_silence_s(req, sent_ids))
             head_at = self._clock()
             if head.ran == 'no':
-                spot.refused = not head.misdirected
+                placement.refused = not head.misdirected
                 req.log('not run', server=server.id, status=head.status)
                 if head.replaces(server.id):
-                    self._spots.replaced(req, server)
-                    # It never reached the server that it was sent to.
-                    sent.remove(server.id)
+                    self._placements.replaced(req, server)
+                    # The request never reached the intended server.
+                    sent_ids.remove(server.id)
                     return False
-                if answer.started or len(sent) < req.route.max_attempts:
+                if response.started or len(sent_ids) < req.route.max_attempts:
                     return False
                 raise attempt.Refused(codes.BACKEND_REFUSED, reason='full')
-            answer.prefilled = None
+            response.prefilled = None
             if not head.matches:
-                raise errors.AnswerLostError('answer to another request')
+                raise errors.AnswerLostError('response to another request')
             if not head.ok:
-                return self._pass_on(req, answer, flight, head, sent)
-            self._relay(req, answer, flight, head, sent)
-            spot.whole = True
+                return self._relay_error(req, response, flight, head, sent_ids)
+            self._relay(req, response, flight, head, sent_ids)
+            placement.whole = True
             if not req.ended_stages - {server.stage}:
                 self._on_completed(req.fingerprint)
         except errors.PortError as exc:
-            self._breaks.note(
+            self._crash_probe.note(
                 req,
                 server,
                 exc,
-                began_at=began if head_at is None else head_at,
+                began_at=began_at if head_at is None else head_at,
                 began=head_at is not None,
             )
-            return self._broken(req, answer, server, exc, sent)
+            return self._on_broken(req, response, server, exc, sent_ids)
         finally:
             req.attach(None)
             flight.close()
-            spot.decode_s = self._clock() - began
-            spot.events = (answer.splitter.position or 0) - before
+            placement.decode_s = self._clock() - began_at
+            placement.events = (
+                response.splitter.position or 0
+            ) - first_position
         self._owner.run(lambda state, now: state.fleet.answered(server.id, now))
         return True
 
     def _relay(
         self,
         req: passage.Passage,
-        answer: attempt.Answer,
+        response: attempt.Answer,
         flight: ports.Flight,
         head: forwarding.Head,
-        sent: list[str],
+        sent_ids: list[str],
     ) -> None:
-        """Passes whole events on until the stream's proper end.
+        """Relays complete events to the caller until the end of the stream.
 
         Raises:
-            errors.AnswerLostError: It broke off.
+            errors.AnswerLostError: The stream broke off, or the caller has
+                disconnected.
         """
-        splitter = answer.splitter
+        splitter = response.splitter
         splitter.restart()
-        events = 0
-        while block := flight.read(self._patience(req, sent)):
-            whole = splitter.feed(block)
-            if not whole:
+        event_count = 0
+        while chunk := flight.read(self._max_silence_s(req, sent_ids)):
+            complete_events = splitter.feed(chunk)
+            if not complete_events:
                 continue
-            if not answer.started:
-                self._first(req, answer, head)
-            events += 1
-            if not req.ex.send(whole):
+            if not response.started:
+                self._start_response(req, response, head)
+            event_count += 1
+            if not req.ex.send(complete_events):
                 req.gone.set()
-                raise errors.AnswerLostError('the caller is gone')
+                raise errors.AnswerLostError('the caller has disconnected')
         if splitter.partial:
-            raise errors.AnswerLostError('it ended within an event')
-        if not answer.started:
-            self._first(req, answer, head)
-        whole_answer = req.ex.finish()
+            raise errors.AnswerLostError('the stream ended within an event')
+        if not response.started:
+            self._start_response(req, response, head)
+        complete = req.ex.finish()
         req.answered(
             head.status,
-            whole=whole_answer,
-            blocks=events,
+            whole=complete,
+            blocks=event_count,
             position=splitter.position,
         )
 
-    def _first(
+    def _start_response(
         self,
         req: passage.Passage,
-        answer: attempt.Answer,
+        response: attempt.Answer,
         head: forwarding.Head,
     ) -> None:
-        answer.started = True
+        response.started = True
         req.log('first event')
         req.counts.first_answer_seconds.observe(
             (req.age_s(),), req.service.name
         )
         if not req.ex.start(head.status, dict(head.headers)):
             req.gone.set()
-            raise errors.AnswerLostError('the caller is gone')
+            raise errors.AnswerLostError('the caller has disconnected')
 
-    def _pass_on(
+    def _relay_error(
         self,
         req: passage.Passage,
-        answer: attempt.Answer,
+        response: attempt.Answer,
         flight: ports.Flight,
         head: forwarding.Head,
-        sent: list[str],
+        sent_ids: list[str],
     ) -> bool:
-        """Handles an error that the worker gave as its answer."""
+        """Handles an error response of the worker.
+
+        Returns:
+            True; the error was sent to the caller.
+
+        Raises:
+            errors.AnswerLostError: The request should be resumed at another
+                worker instead, or a part of the response was sent before.
+        """
         body = prompts.read_small(flight, req.left_s())
-        if answer.started or (
-            head.status >= 500 and self._may_go_on(req, sent)
+        if response.started or (
+            head.status >= 500 and self._may_resume(req, sent_ids)
         ):
             raise errors.AnswerLostError(f'status {head.status}')
-        whole = req.ex.respond(head.status, dict(head.headers), body)
-        req.answered(head.status, whole=whole)
+        complete = req.ex.respond(head.status, dict(head.headers), body)
+        req.answered(head.status, whole=complete)
         return True
 
-    def _broken(
+    def _on_broken(
         self,
         req: passage.Passage,
-        answer: attempt.Answer,
+        response: attempt.Answer,
         server: forwarding.Backend,
         exc: errors.PortError,
-        sent: list[str],
+        sent_ids: list[str],
     ) -> bool:
         req.log('stream broken', server=server.id, error=str(exc))
         if not isinstance(exc, errors.UnreachableError):
-            # The worker may have taken it, and begun.
-            answer.prefilled = None
-            answer.may_have_run = True
+            # The worker may have fetched the prompt and started.
+            response.prefilled = None
+            response.may_have_run = True
         if req.gone.is_set():
             raise attempt.Refused(codes.CANCELLED) from exc
-        self._spots.failed(req, server)
+        self._placements.failed(req, server)
         if isinstance(exc, errors.UnreachableError):
-            # Nothing was sent, so this was no attempt.
-            sent.remove(server.id)
-            answer.unsent = True
-            answer.unopened += 1
+            # Nothing was sent, so this does not count as an attempt.
+            sent_ids.remove(server.id)
+            response.unsent = True
+            response.unopened += 1
             return False
-        if not self._may_go_on(req, sent):
+        if not self._may_resume(req, sent_ids):
             if req.left_s() < passage.MIN_LEFT_S:
                 limit_ms = int((req.deadline - req.started_at) * 1000)
                 raise attempt.Refused(
@@ -327,32 +351,38 @@
             raise attempt.Refused(codes.BROKEN) from exc
         return False
 
-    def _may_go_on(self, req: passage.Passage, sent: list[str]) -> bool:
+    def _may_resume(self, req: passage.Passage, sent_ids: list[str]) -> bool:
         return (
             req.route.resumable
-            and len(sent) < req.route.max_attempts
+            and len(sent_ids) < req.route.max_attempts
             and req.left_s() > passage.MIN_LEFT_S
         )
 
-    def _patience(self, req: passage.Passage, sent: list[str]) -> float:
-        """Returns the longest silence of a worker that is borne, seconds."""
+    def _max_silence_s(
+        self, req: passage.Passage, sent_ids: list[str]
+    ) -> float:
+        """Returns the maximum silence of a worker, seconds."""
         left_s = req.left_s()
-        if not self._may_go_on(req, sent):
+        if not self._may_resume(req, sent_ids):
             return left_s
         return min(left_s, max(SILENCE_S, SILENCE_GAPS * req.route.gap_s))
 
-    def _end(
-        self, req: passage.Passage, answer: attempt.Answer, exc: attempt.Refused
+    def _send_failure(
+        self,
+        req: passage.Passage,
+        response: attempt.Answer,
+        exc: attempt.Refused,
     ) -> None:
-        if answer.started:
-            # A part must not pass for the whole.
+        if response.started:
+            # The connection is cut, so that the caller does not take a partial
+            # response for a complete one.
             req.log('failed', code=exc.code.name, status=exc.code.status)
             req.counts.requests.add(1, req.service.name, exc.code.name)
             req.ex.cut()
             return
-        if answer.may_have_run and exc.code.ran == 'no':
-            # Said of this try alone it would be true; the caller hears it of
-            # the request, an earlier send of which may have run.
+        if response.may_have_run and exc.code.ran == 'no':
+            # The last attempt did not run, but the code is reported for the whole
+            # request, and an earlier attempt of it may have run.
             exc = attempt.Refused(codes.BROKEN)
         retry_s = 0.0
         if exc.retry_after_s:
--- a/packages/daemon/foxtaildaled/passage.py
+++ b/packages/daemon/foxtaildaled/passage.py
@@ -1,8 +1,8 @@
-"""One request of a caller on its way through a router.
+"""One request of a caller while a router serves it.
 
-It knows how long it may take and whether its caller is still there. Whatever
-is on its way for it to a backend server is registered here, so that a caller
-that hangs up ends it at once, whatever stage it is in.
+The object holds the deadline of the request and whether its caller is still
+connected. The request that is in flight to a backend server is registered here,
+so that it is cancelled as soon as the caller disconnects, whatever its stage.
 """
 
 from collections.abc import Callable
@@ -22,19 +22,19 @@
 from foxtaildale_adapters import logs
 from foxtaildale_adapters import metrics
 
-# Least time that a send is worth, seconds: a backend server that gets less can
-# only time out.
+# Minimum time left for a send, seconds. With less, a backend server can only
+# time out.
 MIN_LEFT_S: Final = 0.03
 
 
 class Passage:
-    """A request, its route, its time and its caller."""
+    """A request with its route, its deadline and the connection of its caller."""
 
     __slots__ = (
         '_clock',
         '_flight',
-        '_held_s',
         '_lock',
+        '_quarantine_left_s',
         'account',
         'call',
         'counts',
@@ -68,70 +68,71 @@
     ) -> None:
         self.ex = exchange
         self.call = call
-        # The same for all sends of it, at all entry VMs.
+        # The same for every attempt of this request, at all entry VMs.
         self.fingerprint = fingerprint.of(call)
-        self._held_s = held_s
-        # The client account that it is of; None where there are none.
+        self._quarantine_left_s = held_s
+        # The client account of the caller; None if no accounts are configured.
         self.account = account
-        # Called when it ends and did not run, nor will.
-        self.on_not_run: Callable[[], None] = _nothing
+        # Called when the request is refused: it has not run and will not run.
+        self.on_not_run: Callable[[], None] = _no_op
         self.route = route
         self.service = service
-        # Of the configuration that it is served by.
+        # Version of the configuration that the request is served with.
         self.version = version
         self.entry_vm = entry_vm
         self.counts = counts
         self._clock = clock
         self.started_at = clock()
-        limit_s = route.timeout_s
+        timeout_s = route.timeout_s
         if call.patience_s is not None:
-            limit_s = min(limit_s, call.patience_s)
-        # When its final answer is due: also before this process ends, so that
-        # what would be cut then is refused, and runs whole at another VM.
-        self.deadline = min(self.started_at + limit_s, ends_at)
-        # Stages of servers that ended as they had it.
+            timeout_s = min(timeout_s, call.patience_s)
+        # Deadline of the final response. It is not later than the end of this
+        # process: a request that would be cut off then is refused instead, and
+        # can run to its end at another VM.
+        self.deadline = min(self.started_at + timeout_s, ends_at)
+        # Stages of the servers that crashed while they ran this request.
         self.ended_stages: set[forwarding.Stage] = set()
-        # Set when the caller has hung up.
+        # Set when the caller has disconnected.
         self.gone = threading.Event()
-        # Guards the flight against a hang-up that comes as it starts.
+        # Guards `_flight`: the caller may disconnect while a flight is set.
         self._lock = threading.Lock()
         self._flight: ports.Flight | None = None
 
     @property
     def priority(self) -> int:
-        """Returns how urgent it is; 0 is the most."""
+        """Returns the priority; 0 is the most urgent."""
         if self.account is None or self.account.priority is None:
             return self.route.priority
         return self.account.priority
 
     def watch(self) -> None:
-        """Begins to watch the caller."""
-        self.ex.watch(self._on_gone)
+        """Starts to watch the caller's connection."""
+        self.ex.watch(self._on_disconnected)
 
     def left_s(self) -> float:
-        """Returns how much time is left, seconds."""
+        """Returns the time left until the deadline, seconds."""
         return self.deadline - self._clock()
 
     def age_s(self) -> float:
-        """Returns how long ago it came, seconds."""
+        """Returns the time since the request arrived, seconds."""
         return self._clock() - self.started_at
 
     def held_s(self) -> float:
-        """Returns for how long it must be sent to no server, seconds."""
-        return self._held_s(self.fingerprint)
+        """Returns the quarantine time left, seconds; 0 if it may be sent."""
+        return self._quarantine_left_s(self.fingerprint)
 
     def caller_gone(self) -> bool:
-        """Whether the caller has hung up; looks at the connection."""
+        """Checks the connection; returns whether the caller has disconnected."""
         if not self.gone.is_set() and self.ex.gone():
             self.gone.set()
         return self.gone.is_set()
 
     def attach(self, flight: ports.Flight | None) -> None:
-        """Names what a hang-up must end; None for nothing."""
+        """Sets the flight to cancel if the caller disconnects; None for none."""
         with self._lock:
             self._flight = flight
-            gone = self.gone.is_set()
-        if gone and flight is not None:
+            disconnected = self.gone.is_set()
+        if disconnected and flight is not None:
             flight.cancel()
 
     def refuse(
@@ -140,7 +141,7 @@
         figures: Mapping[str, float | str] | None = None,
         retry_after_s: float = 0.0,
     ) -> None:
-        """Gives the final answer of one that no backend server answered."""
+        """Sends the final response if no backend server gave one."""
         figures = figures or {}
         self.log(
             'refused' if code.ran == 'no' else 'failed',
@@ -158,12 +159,18 @@
         refuse(self.ex, code, figures, self.entry_vm, retry_after_s)
 
     def refuse_held(self) -> None:
-        """Refuses it, since it must be sent to no server."""
+        """Refuses the request because it is quarantined."""
         left_s = self.held_s()
         self.refuse(codes.QUARANTINED, {'left_s': math.ceil(left_s)}, left_s)
 
     def answered(self, status: int, *, whole: bool, **fields: object) -> None:
-        """Notes that a backend server's answer was given to the caller."""
+        """Records that the caller was sent a backend server's response.
+
+        Args:
+            status: HTTP status of the response.
+            whole: Whether the caller received the complete response.
+            **fields: Further fields of the log event.
+        """
         self.log('answered', status=status, whole=whole, **fields)
         name = self.service.name
         code = codes.OK if 200 <= status < 300 and whole else codes.FAILED
@@ -171,7 +178,7 @@
         self.counts.answer_seconds.observe((self.age_s(),), name)
 
     def log(self, event: str, **fields: object) -> None:
-        """Logs a decision on this request."""
+        """Logs an event of this request."""
         logs.event(
             logging.INFO,
             event,
@@ -182,7 +189,7 @@
             **fields,
         )
 
-    def _on_gone(self) -> None:
+    def _on_disconnected(self) -> None:
         with self._lock:
             self.gone.set()
             flight = self._flight
@@ -190,8 +197,8 @@
             flight.cancel()
 
 
-def _nothing() -> None:
-    """Stands for what nobody wants to hear of."""
+def _no_op() -> None:
+    """Default callback that does nothing."""
 
 
 def refuse(
@@ -201,7 +208,7 @@
     entry_vm: str,
     retry_after_s: float = 0.0,
 ) -> None:
-    """Answers with an error; says when to come back if it did not run."""
+    """Sends an error response, with the time to retry after if it is positive."""
     body = incoming.error_body(code, figures, entry_vm, retry_after_s)
     headers = dict(incoming.JSON)
     if code.status == codes.UNAUTHORIZED.status:
--- a/packages/daemon/foxtaildaled/plain.py
+++ b/packages/daemon/foxtaildaled/plain.py
@@ -1,8 +1,8 @@
 """Calls of plain services.
 
-An idempotent call goes to the backend server with the fewest calls of this
-entry, and is tried again within the retry budget. A non-idempotent one is sent
-to a backend server at most once: it is tried elsewhere only when surely
+An idempotent call goes to the backend server that runs the fewest calls of this
+entry server, and is retried within the retry budget. A non-idempotent call is
+sent to at most one backend server: it goes to another one only if certainly
 nothing was sent.
 """
 
@@ -19,10 +19,10 @@
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What came of a call."""
+    """Outcome of a call."""
 
     code: codes.Code
-    # The service's own answer, if there was one.
+    # The response of the service; None if there was none.
     reply: ports.Reply | None = None
     figures: tuple[values.Figure, ...] = ()
     retry_after_s: float = 0.0
@@ -31,12 +31,12 @@
 class Plain:
     """Calls plain services."""
 
-    __slots__ = ('_lock', '_open', '_retries', '_services')
+    __slots__ = ('_calls_in_progress', '_lock', '_retries', '_services')
 
     _services: ports.Services
     _retries: retries.Retries
-    # Calls under way, by backend server.
-    _open: dict[str, int]
+    # Number of calls in progress, by the name of the backend server.
+    _calls_in_progress: dict[str, int]
     _lock: threading.Lock
 
     def __init__(
@@ -44,7 +44,7 @@
     ) -> None:
         self._services = services
         self._retries = budget
-        self._open = {}
+        self._calls_in_progress = {}
         self._lock = threading.Lock()
 
     def call(
@@ -55,10 +55,10 @@
         body: bytes,
         request: str,
     ) -> Result:
-        """Runs one call."""
+        """Sends one call to a service, with retries where they are allowed."""
         service = snapshot.service(name)
         if service is None:
-            return Result(codes.NO_SERVICE, None, _named(name))
+            return Result(codes.NO_SERVICE, None, _service_figure(name))
         self._retries.first(name, snapshot)
         timeout_s = service.call_timeout_ms / 1000
         tried: set[str] = set()
@@ -66,20 +66,20 @@
         while True:
             server = self._choose(snapshot.live(name, 'plain'), tried)
             if server is None:
-                return _nobody(sent)
+                return _no_server(sent)
             tried.add(server.name)
             try:
                 reply = self._call(server, call, body, request, timeout_s)
                 return Result(codes.OK, reply)
             except errors.UnreachableError:
-                # Surely nothing was sent: another one may run it.
+                # Certainly nothing was sent, so another server may run it.
                 continue
             except errors.PortError as exc:
                 sent = True
                 if service.once != 'none':
-                    return _lost(exc)
+                    return _outcome_unknown(exc)
                 if not self._retries.take(name, snapshot, None):
-                    return _lost(exc)
+                    return _outcome_unknown(exc)
 
     def _call(
         self,
@@ -89,42 +89,44 @@
         request: str,
         timeout_s: float,
     ) -> ports.Reply:
-        self._count(server.name, 1)
+        self._add_in_progress(server.name, 1)
         try:
             return self._services.call(
                 server.address, call, body, request, timeout_s
             )
         finally:
-            self._count(server.name, -1)
+            self._add_in_progress(server.name, -1)
 
     def _choose(
         self, servers: tuple[values.BackendServer, ...], tried: set[str]
     ) -> values.BackendServer | None:
         with self._lock:
-            left = [server for server in servers if server.name not in tried]
+            untried = [server for server in servers if server.name not in tried]
             return min(
-                left,
+                untried,
                 key=lambda server: (
-                    self._open.get(server.name, 0),
+                    self._calls_in_progress.get(server.name, 0),
                     server.name,
                 ),
                 default=None,
             )
 
-    def _count(self, name: str, step: int) -> None:
+    def _add_in_progress(self, name: str, change: int) -> None:
         with self._lock:
-            self._open[name] = self._open.get(name, 0) + step
+            self._calls_in_progress[name] = (
+                self._calls_in_progress.get(name, 0) + change
+            )
 
 
-def _named(name: str) -> tuple[values.Figure, ...]:
+def _service_figure(name: str) -> tuple[values.Figure, ...]:
     return (values.Figure('service', name),)
 
 
-def _nobody(sent: bool) -> Result:
+def _no_server(sent: bool) -> Result:
     if sent:
         return Result(codes.FAILED, None, (), 1.0)
     return Result(codes.NO_BACKEND, None, (), 1.0)
 
 
-def _lost(exc: errors.PortError) -> Result:
+def _outcome_unknown(exc: errors.PortError) -> Result:
     return Result(codes.UNKNOWN, None, (values.Figure('reason', str(exc)),))
--- a/packages/daemon/foxtaildaled/prompts.py
+++ b/packages/daemon/foxtaildaled/prompts.py
@@ -1,4 +1,4 @@
-"""Has the prompt of a request read by a prefill worker."""
+"""Prefills the prompt of a request at a prefill worker."""
 
 from collections.abc import Callable
 from typing import Final
@@ -14,32 +14,33 @@
 from foxtaildaled import sendlimits
 from foxtaildaled import sends
 
-# Longest wait for a prefill, seconds; a long prompt behind some others takes less.
-# A worker that takes longer is dead or dark.
+# Maximum time of a prefill, seconds. A long prompt that is queued behind some
+# others takes less; a worker that takes longer is dead or unreachable.
 PREFILL_S: Final = 1.5
-# Prefills of one request; each that fails counts against the shared budget.
+# Maximum number of prefill attempts for one attempt of a request. Each attempt
+# that fails also spends one retry of the service's budget.
 PREFILLS: Final = 3
-# Part of the life of a prefilled prompt in which it is offered again; the rest
-# is for the way to the worker that holds it.
+# Part of the lifetime of a prefilled prompt in which it is offered to a decode
+# worker again. The rest covers the network delay to the worker that holds it.
 HANDLE_PART: Final = 0.7
 
 
-# Takes the failure of a server under a request, or that another one has its
+# Called when a server has failed a request, or when another server has its
 # address.
 OnServer = Callable[[passage.Passage, forwarding.Backend], None]
 
 
 class Prompts:
-    """Sends prompts to prefill workers."""
+    """Sends the prompts of requests to prefill workers."""
 
     __slots__ = (
-        '_breaks',
         '_clock',
-        '_failed',
+        '_crash_probe',
+        '_on_failed',
+        '_on_replaced',
         '_owner',
-        '_replaced',
+        '_retry_budgets',
         '_send_limits',
-        '_sends',
         '_workers',
     )
 
@@ -48,110 +49,129 @@
         *,
         owner: actors.Owner[beliefs.Beliefs],
         workers: ports.Workers,
-        budget: sends.Sends,
+        retry_budgets: sends.Sends,
         send_limits: sendlimits.SendLimits,
-        broken: breaks.Breaks,
+        crash_probe: breaks.Breaks,
         clock: ports.Clock,
-        failed: OnServer,
-        replaced: OnServer,
+        on_failed: OnServer,
+        on_replaced: OnServer,
     ) -> None:
         self._owner = owner
         self._workers = workers
-        self._sends = budget
+        self._retry_budgets = retry_budgets
         self._send_limits = send_limits
-        self._breaks = broken
+        self._crash_probe = crash_probe
         self._clock = clock
-        self._failed = failed
-        self._replaced = replaced
+        self._on_failed = on_failed
+        self._on_replaced = on_replaced
 
     def read(
-        self, req: passage.Passage, spot: attempt.Spot, answer: attempt.Answer
+        self,
+        req: passage.Passage,
+        placement: attempt.Spot,
+        response: attempt.Answer,
     ) -> None:
-        """Has the prompt read, unless it was and is still there.
+        """Prefills the prompt, unless a prefill worker still holds it.
 
-        A decode worker that could not be reached, or had no room, took
-        nothing; reading the prompt again would be work for nobody.
+        A decode worker that was unreachable, or had no free memory, has not
+        fetched the prefilled prompt; a second prefill would be wasted.
 
         Raises:
-            attempt.Refused: It would be read once more than is allowed.
+            attempt.Refused: The retry budget allows no further prefill.
         """
-        prefilled = answer.prefilled
-        if prefilled is not None and self._is_lost(prefilled.worker):
-            answer.prefilled = None
-        age_s = self._clock() - answer.prefilled_at
-        life_s = req.service.handle_s * HANDLE_PART
-        if answer.prefilled is not None and age_s < life_s:
+        prefilled = response.prefilled
+        if prefilled is not None and self._has_restarted(prefilled.worker):
+            response.prefilled = None
+        age_s = self._clock() - response.prefilled_at
+        ttl_s = req.service.handle_s * HANDLE_PART
+        if response.prefilled is not None and age_s < ttl_s:
             req.log('prompt kept', held_ms=int(age_s * 1000))
             return
-        if spot.reads_itself:
-            answer.prefilled = None
+        if placement.reads_itself:
+            response.prefilled = None
             return
-        if answer.prefills and not self._sends.take(
+        if response.prefills and not self._retry_budgets.take(
             req.service.name, req.deadline
         ):
-            raise attempt.Refused(*answer.unfinished())
-        answer.prefilled = self._prefill(req, spot, answer)
-        answer.prefilled_at = self._clock()
-        answer.prefills += answer.prefilled is not None
+            raise attempt.Refused(*response.unfinished())
+        response.prefilled = self._prefill(req, placement, response)
+        response.prefilled_at = self._clock()
+        response.prefills += response.prefilled is not None
 
-    def _is_lost(self, worker: forwarding.Backend) -> bool:
-        """Whether a worker started again, and holds nothing of before."""
+    def _has_restarted(self, worker: forwarding.Backend) -> bool:
+        """Whether a worker has restarted, and so has lost its prompts."""
         return self._owner.run(
             lambda state, _: state.fleet.born(worker.id) > worker.born
         )
 
     def _prefill(
-        self, req: passage.Passage, spot: attempt.Spot, answer: attempt.Answer
+        self,
+        req: passage.Passage,
+        placement: attempt.Spot,
+        response: attempt.Answer,
     ) -> forwarding.Prefilled | None:
-        """Has the prompt read; None if the decode worker must read it.
+        """Prefills the prompt at a prefill worker.
+
+        Returns:
+            The prefilled prompt; None if the decode worker must prefill it.
 
         Raises:
-            attempt.Refused: No send beyond one that failed is allowed, or it
-                is held.
+            attempt.Refused: The retry budget allows no attempt after one that
+                failed, or the request is quarantined.
         """
         tried: list[str] = []
         while len(tried) < PREFILLS:
-            first = None if tried else spot.prefiller
-            server = self._prefiller(req, tried, first)
+            preferred = None if tried else placement.prefiller
+            server = self._choose_worker(req, tried, preferred)
             if server is None:
                 return None
             attempt.check_held(req.held_s())
             tried.append(server.id)
-            began = self._clock()
+            began_at = self._clock()
             prefilled = self._prefill_at(req, server)
-            spot.prefill_s = self._clock() - began if prefilled else 0.0
+            placement.prefill_s = self._clock() - began_at if prefilled else 0.0
             if prefilled is not None or req.gone.is_set():
                 return prefilled
-            # Whatever follows, another prefill or the decode worker, is one
-            # more send of this request.
-            if not self._sends.take(req.service.name, req.deadline):
-                raise attempt.Refused(*answer.unfinished())
+            # The next send, another prefill or a local prefill of the decode
+            # worker, is a retry of this request.
+            if not self._retry_budgets.take(req.service.name, req.deadline):
+                raise attempt.Refused(*response.unfinished())
         return None
 
-    def _prefiller(
+    def _choose_worker(
         self,
         req: passage.Passage,
         tried: list[str],
-        first: forwarding.Backend | None,
+        preferred: forwarding.Backend | None,
     ) -> forwarding.Backend | None:
-        """Returns the first that takes a request now, the given one if it does."""
+        """Returns a prefill worker that may be sent a request now.
+
+        Args:
+            req: The request.
+            tried: Ids of the workers that have been tried.
+            preferred: The preferred worker; None for no preference.
+
+        Returns:
+            The first one that the send limits allow, with the preferred worker
+            before all others; None if there is none.
+        """
         if not req.service.kv_tokens:
             return None
 
-        def turn(
+        def candidates(
             state: beliefs.Beliefs, now: float
         ) -> list[forwarding.Backend]:
-            found = [
+            servers = [
                 tally.backend
                 for tally in state.fleet.candidates(
                     req.service.name, now, 'prefill', tried
                 )
             ]
-            if first is not None:
-                found.sort(key=lambda server: server.id != first.id)
-            return found
+            if preferred is not None:
+                servers.sort(key=lambda server: server.id != preferred.id)
+            return servers
 
-        for server in self._owner.run(turn):
+        for server in self._owner.run(candidates):
             if self._send_limits.take(server.id):
                 return server
         return None
@@ -162,7 +182,7 @@
         left_s = min(req.left_s(), PREFILL_S)
         flight = self._workers.prefill(req.call, server, left_s)
         self._owner.run(lambda state, _: state.fleet.sent(server.id))
-        began = self._clock()
+        began_at = self._clock()
         try:
             req.attach(flight)
             flight.send(left_s)
@@ -170,7 +190,7 @@
             body = read_small(flight, left_s)
             if head.ran == 'no':
                 if head.replaces(server.id):
-                    self._replaced(req, server)
+                    self._on_replaced(req, server)
                 req.log('prefill refused', server=server.id, status=head.status)
                 return None
             if not (head.ok and head.matches):
@@ -179,15 +199,15 @@
         except (errors.PortError, errors.DecodeError) as exc:
             req.log('prefill failed', server=server.id, error=str(exc))
             if isinstance(exc, errors.PortError):
-                self._breaks.note(req, server, exc, began_at=began)
+                self._crash_probe.note(req, server, exc, began_at=began_at)
             if not req.gone.is_set():
-                self._failed(req, server)
+                self._on_failed(req, server)
             return None
         finally:
             req.attach(None)
             flight.close()
             self._owner.run(lambda state, _: state.fleet.ended(server.id))
-        took_s = self._clock() - began
+        took_s = self._clock() - began_at
         self._owner.run(
             lambda state, now: state.fleet.answered(server.id, now, took_s)
         )
@@ -199,12 +219,12 @@
 
 
 def read_small(flight: ports.Flight, timeout_s: float) -> bytes:
-    """Reads a whole body that is known to be small.
+    """Reads a complete body that is known to be small.
 
     Raises:
-        errors.AnswerLostError: It broke off.
+        errors.AnswerLostError: The body broke off.
     """
-    parts = []
-    while part := flight.read(timeout_s):
-        parts.append(part)
-    return b''.join(parts)
+    chunks = []
+    while chunk := flight.read(timeout_s):
+        chunks.append(chunk)
+    return b''.join(chunks)
--- a/packages/daemon/foxtaildaled/retries.py
+++ b/packages/daemon/foxtaildaled/retries.py
@@ -1,4 +1,4 @@
-"""The retry budgets of an entry, one for each service."""
+"""Retry budgets of an entry server, one for each service."""
 
 import threading
 
@@ -8,7 +8,7 @@
 
 
 class Retries:
-    """Gives out retries by the preset in force."""
+    """Limits retries by the ratio and burst of the preset in force."""
 
     __slots__ = ('_budgets', '_clock', '_lock')
 
@@ -22,14 +22,18 @@
         self._lock = threading.Lock()
 
     def first(self, service: str, snapshot: view.Snapshot) -> None:
-        """Counts a first try."""
+        """Counts the first attempt of a request."""
         with self._lock:
             self._budget(service, snapshot).first(self._clock())
 
     def take(
         self, service: str, snapshot: view.Snapshot, deadline: float | None
     ) -> bool:
-        """Takes one retry, if the budget has one before the deadline."""
+        """Spends one retry if the budget allows one before the deadline.
+
+        Returns:
+            Whether the retry is allowed.
+        """
         with self._lock:
             return self._budget(service, snapshot).allow(
                 self._clock(), deadline
@@ -40,8 +44,10 @@
         if snapshot.in_force is not None:
             preset = snapshot.in_force.preset
             ratio, burst = preset.retry_ratio, preset.retry_burst
-        item = self._budgets.get(service)
-        if item is None:
-            item = self._budgets[service] = budget.Budget(ratio, burst)
-        item.on_preset(ratio, burst)
-        return item
+        service_budget = self._budgets.get(service)
+        if service_budget is None:
+            service_budget = self._budgets[service] = budget.Budget(
+                ratio, burst
+            )
+        service_budget.on_preset(ratio, burst)
+        return service_budget
--- a/packages/daemon/foxtaildaled/routing.py
+++ b/packages/daemon/foxtaildaled/routing.py
@@ -1,8 +1,9 @@
-"""Composition root of the router role, and its start and stop.
+"""Composition root of the router role, with its start and stop.
 
-One process a VM. At a planned stop it first says that it is not ready and goes
-on serving until the balancer has noticed, then takes no new connections, then
-ends when its requests have ended or the time before SIGKILL is over.
+One such process runs on each entry VM. At a planned stop it first reports that
+it is not ready, and keeps serving until the load balancer has noticed. It then
+accepts no new connections, and ends when its requests have ended or shortly
+before SIGKILL is due.
 """
 
 from collections.abc import Callable
@@ -49,40 +50,45 @@
 from foxtaildaled import tidy
 from foxtaildaled import watched
 
-# Time after the stop signal in which new connections are still taken, seconds:
-# the balancer asks once a second and takes a VM out after two misses.
+# Time after the stop signal in which new connections are still accepted, seconds.
+# The load balancer checks readiness once a second and removes a VM after two
+# failed checks.
 LAME_S: Final = 2.8
-# Kept before SIGKILL for closing what is open, seconds.
+# Time before SIGKILL that is reserved for closing connections, seconds.
 CLOSE_S: Final = 0.5
-# Threads that answer other entry VMs.
+# Number of threads that serve requests of other entry VMs.
 _PEER_THREADS: Final = 3
-# Heartbeats of connections between entry VMs, and the silence after which one
-# is replaced, seconds. Each entry VM has one to each home that it asks.
+# Interval of heartbeats on connections between entry VMs, seconds. Each entry VM
+# has one connection to each coordinator that it sends requests to.
 _HEARTBEAT_S: Final = 1.0
+# Silence after which such a connection is replaced, seconds.
 _SILENCE_S: Final = 2.5
-# Beyond the idle time that callers are told, seconds, so that a request which
-# comes at the last moment still finds its connection open.
+# Time for which a connection stays open beyond the idle time announced to
+# callers, seconds. A request that arrives at the last moment still finds its
+# connection open.
 _IDLE_MARGIN_S: Final = 3.0
-# Time for a whole request to arrive after its head's bound, seconds.
+# Time for a request to arrive completely, after the limit for its head, seconds.
 _BODY_S: Final = 7.0
+# Limits of the readiness server: number of threads, seconds and bytes.
 _READY_THREADS: Final = 2
 _READY_TIMEOUT_S: Final = 30.0
 _READY_BODY: Final = 1024
+# Interval at which a stop checks for requests in progress, seconds.
 _STOP_POLL_S: Final = 0.05
-# Time between looks for idle connections of each of three servers, seconds. A
-# process at rest should hardly wake for them.
-_LOOK_S: Final = 0.5
-# Longest body before a configuration is known, bytes.
+# Interval at which each of the three servers checks for idle connections,
+# seconds. It is long enough that an idle process rarely wakes up for the checks.
+_IDLE_CHECK_S: Final = 0.5
+# Maximum size of a request body until a configuration is known, bytes.
 _BODY_BYTES: Final = 4_194_304
 
 
 def clock() -> float:
-    """Seconds, monotonic, running on while the VM is suspended."""
+    """Returns monotonic seconds; time in which the VM is suspended counts."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Adapters:
-    """What a platform's adapter gives to the router."""
+    """Implementations of the ports that the platform provides to the router."""
 
     __slots__ = ('codec', 'decode', 'store', 'workers')
 
@@ -95,14 +101,14 @@
         workers: ports.Workers,
     ) -> None:
         self.codec = codec
-        # Makes a client of the store, given its address.
+        # Creates a client of the store at an address.
         self.store = store
         self.decode = decode
         self.workers = workers
 
 
 class _Readiness:
-    """Answers the balancer."""
+    """Handles readiness checks of the load balancer."""
 
     __slots__ = ('_ready',)
 
@@ -116,23 +122,24 @@
 
 
 class RouterDaemon:
-    """The router of an entry VM."""
+    """The router of an entry VM: creates, starts and stops its parts."""
 
     __slots__ = (
         '_admin',
         '_asking',
+        '_cleanup',
         '_closed',
         '_codec',
-        '_counting',
         '_ends_at',
         '_fitness',
         '_handlers',
+        '_limit_accounting',
         '_limits_version',
         '_loops',
         '_metrics',
         '_owner',
         '_peers',
-        '_places',
+        '_placements',
         '_quarantining',
         '_readiness',
         '_responder',
@@ -142,32 +149,31 @@
         '_state',
         '_stopping',
         '_stores',
-        '_tidy',
         'addresses',
         'cfg',
     )
 
     def __init__(
-        self, cfg: options.RouterOptions, made: Adapters, metrics_port: int
+        self, cfg: options.RouterOptions, adapters: Adapters, metrics_port: int
     ) -> None:
         self.cfg = cfg
-        self._codec = made.codec
+        self._codec = adapters.codec
         rng = random.Random()
         self._stopping = threading.Event()
-        # Bound addresses, by use; filled by `start`.
+        # Bound addresses by purpose; set by `start`.
         self.addresses: dict[str, str] = {}
         self._limits_version = -1
         self._closed = False
-        # When this process ends at the latest, once it is being stopped.
+        # Latest time at which this process ends; infinite until it is stopped.
         self._ends_at = math.inf
-        # Each loop has a client of its own: one that waits holds up no other.
+        # Each loop has its own client, so that a loop that waits delays no other.
         self._stores: list[ports.Topics] = []
         self._metrics = metrics.Metrics()
         self._state = beliefs.Beliefs(
-            made.codec, cfg.peer_address, cfg.seeds, cfg.data_centre, rng
+            adapters.codec, cfg.peer_address, cfg.seeds, cfg.data_centre, rng
         )
-        running = watched.Running()
-        self._state.on_restarted = running.restarted
+        open_flights = watched.Running()
+        self._state.on_restarted = open_flights.restarted
         owner = self._owner = actors.Owner(self._state, clock)
         self._peers = peers.Peers(_HEARTBEAT_S, _SILENCE_S)
         self._responder = wire.Responder(
@@ -196,24 +202,24 @@
             clock=clock,
         )
         self._self_reports = selfreports.SelfReports(owner, self._send_limits)
-        made = Adapters(
-            codec=made.codec,
-            store=made.store,
-            decode=made.decode,
+        adapters = Adapters(
+            codec=adapters.codec,
+            store=adapters.store,
+            decode=adapters.decode,
             workers=watched.Workers(
-                made.workers,
-                running,
+                adapters.workers,
+                open_flights,
                 self._self_reports,
             ),
         )
-        self._tidy = tidy.Tidy(made.workers)
-        self._places = places.Places(
+        self._cleanup = tidy.Tidy(adapters.workers)
+        self._placements = places.Places(
             entry_vm=cfg.entry_vm,
             owner=owner,
             homes=self._asking,
             clock=clock,
         )
-        self._counting = limits.Counting(
+        self._limit_accounting = limits.Counting(
             known=self._accounts,
             book=allowances.Allowances(
                 allowances.Tolerance(
@@ -232,11 +238,11 @@
             owner=owner,
             homes=self._asking,
             peers=self._peers,
-            codec=made.codec,
-            store=self._make_store(made),
+            codec=adapters.codec,
+            store=self._make_store(adapters),
             clock=clock,
         )
-        budget = sends.Sends(
+        retry_budgets = sends.Sends(
             cfg.retry_ratio,
             cfg.retry_burst,
             owner,
@@ -244,28 +250,32 @@
             cfg.entry_vm,
             first_start=cfg.first_start,
         )
-        broken = breaks.Breaks(probe.Probe(), clock, self._quarantining.crashed)
+        crash_probe = breaks.Breaks(
+            probe.Probe(), clock, self._quarantining.crashed
+        )
         handler = router.Router(
             entry_vm=cfg.entry_vm,
             matcher=lambda: self._state.matcher,
-            decode=made.decode,
+            decode=adapters.decode,
             plain=forward.Forward(
                 owner=owner,
-                workers=made.workers,
-                budget=budget,
+                workers=adapters.workers,
+                retry_budgets=retry_budgets,
                 send_limits=self._send_limits,
-                broken=broken,
+                crash_probe=crash_probe,
                 on_completed=self._quarantining.completed,
                 clock=clock,
                 rng=rng,
             ),
-            model=self._make_generate(made, budget, broken, rng),
+            model=self._make_generate(
+                adapters, retry_budgets, crash_probe, rng
+            ),
             limiter=self._make_limiter(),
             counts=self._metrics,
             clock=clock,
             ends_at=lambda: self._ends_at,
-            held_s=lambda found: self._state.verdicts.quarantine.left_s(
-                clock(), found
+            held_s=lambda request: self._state.verdicts.quarantine.left_s(
+                clock(), request
             ),
         )
         self._server = callers.Server(
@@ -276,42 +286,42 @@
             _BODY_BYTES,
             entry_vm=cfg.entry_vm,
             half_close=False,
-            look_s=_LOOK_S,
+            look_s=_IDLE_CHECK_S,
         )
         self._readiness = callers.Server(
             cfg.ready_address,
-            _Readiness(self._unready),
+            _Readiness(self._unready_reason),
             _READY_THREADS,
             _READY_TIMEOUT_S,
             _READY_BODY,
-            look_s=_LOOK_S,
+            look_s=_IDLE_CHECK_S,
         )
         self._admin = admin.Admin(
             f'{cfg.admin_host}:{metrics_port}',
-            self._unready,
+            self._unready_reason,
             self._dump,
             self._metrics.render,
-            _LOOK_S,
+            _IDLE_CHECK_S,
         )
-        self._loops = self._make_loops(made, rng)
-        # Of messages that are not about what the router believes.
+        self._loops = self._make_loops(adapters, rng)
+        # Handlers by message type; `_state` handles all other messages.
         self._handlers: dict[type, Callable[[Any], messages.Any]] = {
             messages.AskHome: lambda _: self._fitness.reply(),
-            messages.AskCredit: self._counting.ask,
-            messages.GiveBack: self._counting.take_back,
-            messages.LetIn: self._counting.told,
+            messages.AskCredit: self._limit_accounting.ask,
+            messages.GiveBack: self._limit_accounting.take_back,
+            messages.LetIn: self._limit_accounting.told,
             messages.CrashReports: self._quarantining.report,
             messages.Quarantined: self._quarantining.take,
             messages.AskSends: self._send_limits.lend,
             messages.Sends: self._send_limits.hear,
-            messages.AskHeld: lambda msg: self._places.held(msg.service),
+            messages.AskHeld: lambda msg: self._placements.held(msg.service),
             messages.Dump: lambda _: messages.DumpReply(state=self._dump()),
         }
 
     def start(self) -> None:
-        """Starts the loops, then serves."""
+        """Starts the loops, then the servers."""
         self._responder.start()
-        self._tidy.start()
+        self._cleanup.start()
         self._asking.start()
         for loop in self._loops:
             loop.start()
@@ -328,9 +338,12 @@
         )
 
     def stop(self) -> None:
-        """Ends gracefully: cuts no request in progress."""
-        began = clock()
-        self._ends_at = began + self.cfg.grace_s - CLOSE_S
+        """Stops gracefully.
+
+        Requests in progress may run until shortly before SIGKILL is due.
+        """
+        stopped_at = clock()
+        self._ends_at = stopped_at + self.cfg.grace_s - CLOSE_S
         self._stopping.set()
         self._server.announce_stop()
         logs.event(logging.INFO, 'stopping', busy=self._server.busy())
@@ -343,20 +356,20 @@
         self.close()
 
     def busy(self) -> int:
-        """Returns how many requests are in progress."""
+        """Returns the number of requests in progress."""
         return self._server.busy()
 
     def entry_vms(self) -> frozenset[str]:
-        """Returns the names of the entry VMs that it knows."""
+        """Returns the names of the known entry VMs."""
         return self._owner.run(lambda state, _: frozenset(state.entry_vms))
 
     def version(self) -> int | None:
-        """Returns the version of the configuration in force, if one is known."""
+        """Returns the version of the configuration in force; None if unknown."""
         matcher = self._state.matcher
         return matcher.table.version if matcher is not None else None
 
     def close(self) -> None:
-        """Ends at once, whatever is in progress."""
+        """Stops at once, also with requests in progress."""
         if self._closed:
             return
         self._closed = True
@@ -369,7 +382,7 @@
         self._owner.stop()
 
     def reload(self, cfg: options.RouterOptions) -> None:
-        """Takes changed settings; addresses to listen on stay as they are."""
+        """Applies changed settings, except for the addresses to listen on."""
         if cfg == self.cfg:
             return
         self._owner.run(lambda state, _: state.on_seeds(cfg.seeds))
@@ -381,8 +394,8 @@
         )
 
     def _make_limiter(self) -> limits.Limiter:
-        alone = limits.Shares(lambda: len(self._state.entry_vms), clock)
-        return limits.Homes(self._asking, alone)
+        local_shares = limits.Shares(lambda: len(self._state.entry_vms), clock)
+        return limits.Homes(self._asking, local_shares)
 
     def _accounts(self) -> accounts.Accounts | None:
         matcher = self._state.matcher
@@ -390,65 +403,67 @@
 
     def _make_generate(
         self,
-        made: Adapters,
-        budget: sends.Sends,
-        broken: breaks.Breaks,
+        adapters: Adapters,
+        retry_budgets: sends.Sends,
+        crash_probe: breaks.Breaks,
         rng: random.Random,
     ) -> generate.Generate:
-        finder = spots.Spots(
+        placements = spots.Spots(
             owner=self._owner,
-            workers=made.workers,
-            plan=self._places,
+            workers=adapters.workers,
+            plan=self._placements,
             send_limits=self._send_limits,
             entry_vm=self.cfg.entry_vm,
             clock=clock,
         )
         return generate.Generate(
             owner=self._owner,
-            workers=made.workers,
-            budget=budget,
-            finder=finder,
-            reader=prompts.Prompts(
+            workers=adapters.workers,
+            retry_budgets=retry_budgets,
+            placements=placements,
+            prefill_client=prompts.Prompts(
                 owner=self._owner,
-                workers=made.workers,
-                budget=budget,
+                workers=adapters.workers,
+                retry_budgets=retry_budgets,
                 send_limits=self._send_limits,
-                broken=broken,
+                crash_probe=crash_probe,
                 clock=clock,
-                failed=finder.failed,
-                replaced=finder.replaced,
+                on_failed=placements.failed,
+                on_replaced=placements.replaced,
             ),
-            tidy=self._tidy,
-            broken=broken,
+            cleanup=self._cleanup,
+            crash_probe=crash_probe,
             on_completed=self._quarantining.completed,
             clock=clock,
             rng=rng,
         )
 
     def _make_loops(
-        self, made: Adapters, rng: random.Random
+        self, adapters: Adapters, rng: random.Random
     ) -> list[process.Loop]:
-        tell = process.Loop('limits', limits.TELL_S, self._counting.step)
-        hold = process.Loop(
+        limits_loop = process.Loop(
+            'limits', limits.TELL_S, self._limit_accounting.step
+        )
+        quarantine_loop = process.Loop(
             'quarantine', self._quarantining.pace_s, self._quarantining.step
         )
-        self._quarantining.on_report = hold.wake
-        ask = process.Loop(
+        self._quarantining.on_report = quarantine_loop.wake
+        send_limits_loop = process.Loop(
             'server limits', self._send_limits.pace_s, self._send_limits.step
         )
-        self._send_limits.on_told = ask.wake
+        self._send_limits.on_told = send_limits_loop.wake
         return [
-            tell,
-            hold,
-            ask,
+            limits_loop,
+            quarantine_loop,
+            send_limits_loop,
             *loops.make(
                 self.cfg,
-                codec=made.codec,
-                store=lambda: self._make_store(made),
-                workers=made.workers,
+                codec=adapters.codec,
+                store=lambda: self._make_store(adapters),
+                workers=adapters.workers,
                 owner=self._owner,
                 peers=self._peers,
-                plan=self._places,
+                plan=self._placements,
                 fit=self._fitness,
                 counts=self._metrics,
                 stopping=self._stopping,
@@ -458,10 +473,10 @@
             ),
         ]
 
-    def _make_store(self, made: Adapters) -> ports.Topics:
-        found = made.store(self.cfg.store)
-        self._stores.append(found)
-        return found
+    def _make_store(self, adapters: Adapters) -> ports.Topics:
+        client = adapters.store(self.cfg.store)
+        self._stores.append(client)
+        return client
 
     def _apply_limits(self) -> None:
         matcher = self._state.matcher
@@ -476,25 +491,26 @@
         self._limits_version = matcher.table.version
 
     def _handle(self, msg: messages.Any) -> messages.Any:
-        # Whoever is refused chooses another home or reader at once; left to
-        # notice the end of this process, it would wait for it first.
-        needs_home = isinstance(
+        # A VM that is refused chooses another coordinator or store reader at
+        # once. Without the refusal it would first have to wait until it notices
+        # that this process has ended.
+        needs_coordinator = isinstance(
             msg,
             messages.AskPlace | messages.AskCredit | messages.AskSends,
         )
-        if needs_home and self._fitness.reason():
+        if needs_coordinator and self._fitness.reason():
             return messages.Fail(code=self._fitness.reason())
-        needs_life = isinstance(
+        needs_running = isinstance(
             msg, messages.AskRecords | messages.CrashReports
         )
-        if needs_life and self._stopping.is_set():
+        if needs_running and self._stopping.is_set():
             return messages.Fail(code='stopping')
         handler = self._handlers.get(type(msg))
         if handler is not None:
             return handler(msg)
         return self._owner.run(lambda state, now: state.handle(msg, now))
 
-    def _unready(self) -> str:
+    def _unready_reason(self) -> str:
         if self._stopping.is_set():
             return 'being stopped'
         if self._state.matcher is None:
@@ -504,7 +520,7 @@
         return ''
 
     def _dump(self) -> bytes:
-        def turn(state: beliefs.Beliefs, now: float) -> dict[str, object]:
+        def collect(state: beliefs.Beliefs, now: float) -> dict[str, object]:
             matcher = state.matcher
             return {
                 'role': 'router',
@@ -517,26 +533,26 @@
                 'entry_vms': sorted(state.entry_vms),
                 'backend_servers': [
                     {
-                        'id': tally.backend.id,
-                        'service': tally.backend.service,
-                        'stage': tally.backend.stage,
-                        'leaving': tally.backend.leaving,
-                        'in_flight': tally.in_flight,
-                        'held_tokens': tally.held_tokens,
-                        'faults': round(tally.faults_now(now), 2),
+                        'id': server.backend.id,
+                        'service': server.backend.service,
+                        'stage': server.backend.stage,
+                        'leaving': server.backend.leaving,
+                        'in_flight': server.in_flight,
+                        'held_tokens': server.held_tokens,
+                        'faults': round(server.faults_now(now), 2),
                     }
-                    for tally in state.fleet.known()
+                    for server in state.fleet.known()
                 ],
                 'busy': self._server.busy(),
                 'plans': state.plans.planned(),
-                'accounts': self._counting.levels(),
+                'accounts': self._limit_accounting.levels(),
                 'server_limits': self._send_limits.limits(),
                 'held': {
-                    fingerprint.text(found): round(left_s)
-                    for found, left_s in state.verdicts.quarantine.held(
+                    fingerprint.text(request): round(left_s)
+                    for request, left_s in state.verdicts.quarantine.held(
                         now
                     ).items()
                 },
             }
 
-        return json.dumps(self._owner.run(turn), sort_keys=True).encode()
+        return json.dumps(self._owner.run(collect), sort_keys=True).encode()
--- a/packages/daemon/foxtaildaled/watched.py
+++ b/packages/daemon/foxtaildaled/watched.py
@@ -1,12 +1,12 @@
-"""Watches requests on their way, for what concerns their backend server.
+"""Tracks the requests in flight to each backend server.
 
-Ends those to a backend server that started again, and takes what servers say of
-themselves in their answers.
+Cancels the requests to a backend server that has restarted, and records what
+backend servers report about themselves in their responses.
 
-A server that loses power says nothing on its connections. What a caller waits
-for there never comes, and a request that may not go on elsewhere would be held
-until its deadline. When the list of servers tells of a new start under the same
-id, all that was sent to the one before is lost, and is ended at once.
+A server that loses power does not close its connections. Its responses never
+arrive, and a request that may not be resumed at another server would wait until
+its deadline. When the list of servers shows a new incarnation under the same
+id, all requests to the earlier incarnation are lost, and are cancelled at once.
 """
 
 import collections
@@ -19,7 +19,7 @@
 
 
 class Running:
-    """Flights in progress, by server; safe for concurrent use."""
+    """Open flights by server; safe for concurrent use."""
 
     __slots__ = ('_flights', '_lock')
 
@@ -28,23 +28,23 @@
         self._flights: dict[str, set[_Watched]] = collections.defaultdict(set)
 
     def add(self, flight: '_Watched') -> None:
-        """Notes a flight that begins."""
+        """Registers a flight that has been created."""
         with self._lock:
             self._flights[flight.server.id].add(flight)
 
     def remove(self, flight: '_Watched') -> None:
-        """Notes a flight that ended."""
+        """Removes a flight that has been closed."""
         with self._lock:
-            known = self._flights[flight.server.id]
-            known.discard(flight)
-            if not known:
+            flights = self._flights[flight.server.id]
+            flights.discard(flight)
+            if not flights:
                 del self._flights[flight.server.id]
 
     def restarted(self, server: forwarding.Backend) -> int:
-        """Ends the flights to earlier starts of a server.
+        """Cancels the flights to earlier incarnations of a server.
 
         Returns:
-            How many there were.
+            The number of cancelled flights.
         """
         with self._lock:
             lost = [
@@ -58,22 +58,22 @@
 
 
 class _Watched:
-    """A flight that is registered while it lasts; a `ports.Flight`."""
+    """A flight that is registered until it is closed; a `ports.Flight`."""
 
-    __slots__ = ('_flight', '_hear', '_running', 'server')
+    __slots__ = ('_flight', '_on_head', '_open_flights', 'server')
 
     def __init__(
         self,
         flight: ports.Flight,
         server: forwarding.Backend,
-        running: Running,
-        hear: Callable[[forwarding.Head], None],
+        open_flights: Running,
+        on_head: Callable[[forwarding.Head], None],
     ) -> None:
         self.server = server
         self._flight = flight
-        self._running = running
-        self._hear = hear
-        running.add(self)
+        self._open_flights = open_flights
+        self._on_head = on_head
+        open_flights.add(self)
 
     def send(self, timeout_s: float) -> None:
         self._flight.send(timeout_s)
@@ -81,7 +81,7 @@
     def head(self, timeout_s: float) -> forwarding.Head:
         head = self._flight.head(timeout_s)
         if head.matches:
-            self._hear(head)
+            self._on_head(head)
         return head
 
     def read(self, timeout_s: float) -> bytes:
@@ -91,23 +91,23 @@
         self._flight.cancel()
 
     def close(self) -> None:
-        self._running.remove(self)
+        self._open_flights.remove(self)
         self._flight.close()
 
 
 class Workers:
-    """Backend servers whose flights and answers are seen; a `ports.Workers`."""
+    """A `ports.Workers` that tracks flights and reads self-reports."""
 
-    __slots__ = ('_reports', '_running', '_workers')
+    __slots__ = ('_open_flights', '_reports', '_workers')
 
     def __init__(
         self,
         workers: ports.Workers,
-        running: Running,
+        open_flights: Running,
         reports: selfreports.SelfReports,
     ) -> None:
         self._workers = workers
-        self._running = running
+        self._open_flights = open_flights
         self._reports = reports
 
     def _watch(
@@ -119,10 +119,10 @@
     ) -> _Watched:
         leave = self._reports.mark(server)
 
-        def hear(head: forwarding.Head) -> None:
+        def record_head(head: forwarding.Head) -> None:
             self._reports.hear(server, head, leave=leave, streams=streams)
 
-        return _Watched(flight, server, self._running, hear)
+        return _Watched(flight, server, self._open_flights, record_head)
 
     def plain(
         self,
@@ -132,7 +132,7 @@
         *,
         repeatable: bool = False,
     ) -> ports.Flight:
-        """Prepares a request as the caller sent it."""
+        """Prepares a request to a plain service, as the caller sent it."""
         flight = self._workers.plain(
             call, server, left_s, repeatable=repeatable
         )
@@ -161,27 +161,27 @@
         return self._watch(flight, reserved.worker, streams=True)
 
     def handle(self, body: bytes) -> str:
-        """Returns the handle that the answer of a prefill names."""
+        """Returns the handle in the response body of a prefill."""
         return self._workers.handle(body)
 
     def reserve(
         self, server: forwarding.Backend, tokens: int, ttl_s: float
     ) -> forwarding.Reply:
-        """Reserves a slot and memory; the reply's text names the reservation."""
+        """Reserves a slot and memory; the reply's text is the reservation's name."""
         reply = self._workers.reserve(server, tokens, ttl_s)
-        return self._heard(server, reply)
+        return self._record_reply(server, reply)
 
     def release(self, reserved: forwarding.Reserved) -> forwarding.Reply:
-        """Gives up a reservation that was not used."""
+        """Releases a reservation that was not used."""
         self._reports.check_backoff(reserved.worker)
         reply = self._workers.release(reserved)
-        return self._heard(reserved.worker, reply)
+        return self._record_reply(reserved.worker, reply)
 
     def free(self, prefilled: forwarding.Prefilled) -> forwarding.Reply:
-        """Frees a prefilled prompt that was not taken."""
+        """Frees a prefilled prompt that no decode worker has fetched."""
         self._reports.check_backoff(prefilled.worker)
         reply = self._workers.free(prefilled)
-        return self._heard(prefilled.worker, reply)
+        return self._record_reply(prefilled.worker, reply)
 
     def order_stage(
         self,
@@ -190,12 +190,12 @@
         holder: str,
         fence: int,
     ) -> forwarding.Reply:
-        """Orders an engine to do another stage; the text is what it said."""
+        """Orders an engine to change its stage; the reply's text is its response."""
         self._reports.check_backoff(server)
         reply = self._workers.order_stage(server, stage, holder, fence)
-        return self._heard(server, reply)
+        return self._record_reply(server, reply)
 
-    def _heard(
+    def _record_reply(
         self, server: forwarding.Backend, reply: forwarding.Reply
     ) -> forwarding.Reply:
         self._reports.hear(server, reply)
