--- a/packages/daemon/foxtaildaled/forward.py
+++ b/packages/daemon/foxtaildaled/forward.py
@@ -30,8 +30,8 @@
 # this does not count as an attempt.
 CONNECTS: Final = 3
 # An idempotent request without a response is sent to another server after this
-# multiple of its target time. A server that hangs would otherwise delay it until
-# its deadline.
+# multiple of its target time. A server that hangs would otherwise delay it
+# until its deadline.
 STALLED_TARGETS: Final = 2.0
 # Minimum of that time, seconds.
 STALLED_S: Final = 0.5
@@ -74,8 +74,8 @@
         # Number of these that count as attempts: all except those that another
         # server received in place of the intended one.
         self.attempts = 0
-        # Number of missing servers: connections that did not open, and responses
-        # from another server that has the address now.
+        # Number of missing servers: connections that did not open, and
+        # responses from another server that has the address now.
         self.missed = 0
         # Response to the last request sent; None if there was none.
         self.last_response: _CompleteResponse | None = None
@@ -86,7 +86,7 @@
 
 
 class Forward:
-    """Serves requests of plain services; retries them where that is allowed."""
+    """Serves requests of plain services, with retries where allowed."""
 
     __slots__ = (
         '_clock',
@@ -122,7 +122,7 @@
         self._rng = rng
 
     def serve(self, req: passage.Passage) -> None:
-        """Serves one request; returns after the final response has been sent."""
+        """Serves one request; returns after its final response is sent."""
         self._retry_budgets.first(req.service.name)
         history = _SendHistory()
         while self._try_server(req, history):
@@ -193,7 +193,7 @@
     def _choose_server(
         self, req: passage.Passage, history: _SendHistory
     ) -> forwarding.Backend | None:
-        """Returns the best untried server that the send limits allow, or None."""
+        """Returns the best untried server within its send limit, or None."""
         service = req.service.name
         repeatable = req.route.repeatable
 
@@ -203,7 +203,7 @@
             candidates = state.fleet.candidates(
                 service, now, avoid=history.tried_ids, repeatable=repeatable
             )
-            return [tally.backend for tally in candidates]
+            return [candidate.backend for candidate in candidates]
 
         servers = self._owner.run(rank)
         for server in servers:
@@ -274,7 +274,7 @@
         req: passage.Passage,
         server: forwarding.Backend,
         head: forwarding.Head | None,
-        took_s: float,
+        duration_s: float,
     ) -> None:
         """Records the outcome of a send.
 
@@ -282,7 +282,7 @@
             req: The request.
             server: The server that it was sent to.
             head: Head of the response; None if there was no complete one.
-            took_s: Time of the send, seconds.
+            duration_s: Time of the send, seconds.
         """
 
         def update(state: beliefs.Beliefs, now: float) -> None:
@@ -296,7 +296,7 @@
                 state.plain_failed(server.id, now)
             else:
                 state.experience.note(server.id, failed=False)
-                state.fleet.answered(server.id, now, took_s)
+                state.fleet.answered(server.id, now, duration_s)
 
         self._owner.run(update)
 
@@ -326,7 +326,7 @@
             self._refuse(req, history)
 
     def _refuse(self, req: passage.Passage, history: _SendHistory) -> None:
-        """Refuses a request that no server accepts, with a time to retry after."""
+        """Refuses a request that no server accepts, with a retry delay."""
         name = req.service.name
         backoff_s = self._owner.run(
             lambda state, now: state.fleet.backoff_s(name, now)
--- a/packages/daemon/foxtaildaled/generate.py
+++ b/packages/daemon/foxtaildaled/generate.py
@@ -1,10 +1,10 @@
 """Serves requests for model engines: placement, prefill, transfer and stream.
 
-`spots` finds a placement at a decode worker first, since the prefill of a prompt
-without a placement would be wasted. `prompts` then has the prompt prefilled, and
-the decode worker fetches it and streams the response. Events are relayed to the
-caller as soon as they are complete. A broken stream is resumed at another worker
-if the route allows that.
+`spots` finds a placement at a decode worker first, since the prefill of a
+prompt without a placement would be wasted. `prompts` then has the prompt
+prefilled, and the decode worker fetches it and streams the response. Events are
+relayed to the caller as soon as they are complete. A broken stream is resumed
+at another worker if the route allows that.
 """
 
 from collections.abc import Callable
@@ -26,8 +26,8 @@
 from foxtaildaled import sends
 from foxtaildaled import spots
 
-# Maximum silence of a stream that may be resumed at another worker, as a multiple
-# of the longest pause between events that still meets the target.
+# Maximum silence of a stream that may be resumed at another worker, as a
+# multiple of the longest pause between events that still meets the target.
 SILENCE_GAPS: Final = 5.0
 # Minimum of that silence, seconds.
 SILENCE_S: Final = 1.2
@@ -42,7 +42,7 @@
 
 
 class Generate:
-    """Serves requests for model engines; resumes them where that is allowed."""
+    """Serves requests for model engines; resumes them where allowed."""
 
     __slots__ = (
         '_cleanup',
@@ -84,7 +84,7 @@
         self._rng = rng
 
     def serve(self, req: passage.Passage) -> None:
-        """Serves one request; returns after the final response has been sent."""
+        """Serves one request; returns after its final response is sent."""
         self._retry_budgets.first(req.service.name)
         response = attempt.Answer(req.call.after_event)
         sent_ids: list[str] = []
@@ -381,8 +381,8 @@
             req.ex.cut()
             return
         if response.may_have_run and exc.code.ran == 'no':
-            # The last attempt did not run, but the code is reported for the whole
-            # request, and an earlier attempt of it may have run.
+            # The last attempt did not run, but the code is reported for the
+            # whole request, and an earlier attempt of it may have run.
             exc = attempt.Refused(codes.BROKEN)
         retry_s = 0.0
         if exc.retry_after_s:
--- a/packages/daemon/foxtaildaled/passage.py
+++ b/packages/daemon/foxtaildaled/passage.py
@@ -122,13 +122,13 @@
         return self._quarantine_left_s(self.fingerprint)
 
     def caller_gone(self) -> bool:
-        """Checks the connection; returns whether the caller has disconnected."""
+        """Checks the connection; whether the caller has disconnected."""
         if not self.gone.is_set() and self.ex.gone():
             self.gone.set()
         return self.gone.is_set()
 
     def attach(self, flight: ports.Flight | None) -> None:
-        """Sets the flight to cancel if the caller disconnects; None for none."""
+        """Sets the flight to cancel when the caller disconnects, if any."""
         with self._lock:
             self._flight = flight
             disconnected = self.gone.is_set()
@@ -208,7 +208,7 @@
     entry_vm: str,
     retry_after_s: float = 0.0,
 ) -> None:
-    """Sends an error response, with the time to retry after if it is positive."""
+    """Sends an error response, with a retry delay if that is positive."""
     body = incoming.error_body(code, figures, entry_vm, retry_after_s)
     headers = dict(incoming.JSON)
     if code.status == codes.UNAUTHORIZED.status:
--- a/packages/daemon/foxtaildaled/prompts.py
+++ b/packages/daemon/foxtaildaled/prompts.py
@@ -162,8 +162,8 @@
             state: beliefs.Beliefs, now: float
         ) -> list[forwarding.Backend]:
             servers = [
-                tally.backend
-                for tally in state.fleet.candidates(
+                candidate.backend
+                for candidate in state.fleet.candidates(
                     req.service.name, now, 'prefill', tried
                 )
             ]
@@ -207,13 +207,13 @@
             req.attach(None)
             flight.close()
             self._owner.run(lambda state, _: state.fleet.ended(server.id))
-        took_s = self._clock() - began_at
+        duration_s = self._clock() - began_at
         self._owner.run(
-            lambda state, now: state.fleet.answered(server.id, now, took_s)
+            lambda state, now: state.fleet.answered(server.id, now, duration_s)
         )
-        req.log('prefilled', server=server.id, took_ms=int(took_s * 1000))
+        req.log('prefilled', server=server.id, took_ms=int(duration_s * 1000))
         name = req.service.name
-        req.counts.prefill_seconds.observe((took_s,), name)
+        req.counts.prefill_seconds.observe((duration_s,), name)
         req.counts.prefill_tokens.add(req.call.prompt_tokens, name)
         return forwarding.Prefilled(server, handle)
 
--- a/packages/daemon/foxtaildaled/routing.py
+++ b/packages/daemon/foxtaildaled/routing.py
@@ -50,16 +50,16 @@
 from foxtaildaled import tidy
 from foxtaildaled import watched
 
-# Time after the stop signal in which new connections are still accepted, seconds.
-# The load balancer checks readiness once a second and removes a VM after two
-# failed checks.
+# Time after the stop signal in which new connections are still accepted,
+# seconds. The load balancer checks readiness once a second and removes a VM
+# after two failed checks.
 LAME_S: Final = 2.8
 # Time before SIGKILL that is reserved for closing connections, seconds.
 CLOSE_S: Final = 0.5
 # Number of threads that serve requests of other entry VMs.
 _PEER_THREADS: Final = 3
-# Interval of heartbeats on connections between entry VMs, seconds. Each entry VM
-# has one connection to each coordinator that it sends requests to.
+# Interval of heartbeats on connections between entry VMs, seconds. Each entry
+# VM has one connection to each coordinator that it sends requests to.
 _HEARTBEAT_S: Final = 1.0
 # Silence after which such a connection is replaced, seconds.
 _SILENCE_S: Final = 2.5
@@ -67,7 +67,8 @@
 # callers, seconds. A request that arrives at the last moment still finds its
 # connection open.
 _IDLE_MARGIN_S: Final = 3.0
-# Time for a request to arrive completely, after the limit for its head, seconds.
+# Time for a request to arrive completely, after the limit for its head,
+# seconds.
 _BODY_S: Final = 7.0
 # Limits of the readiness server: number of threads, seconds and bytes.
 _READY_THREADS: Final = 2
@@ -76,7 +77,8 @@
 # Interval at which a stop checks for requests in progress, seconds.
 _STOP_POLL_S: Final = 0.05
 # Interval at which each of the three servers checks for idle connections,
-# seconds. It is long enough that an idle process rarely wakes up for the checks.
+# seconds. It is long enough that an idle process rarely wakes up for the
+# checks.
 _IDLE_CHECK_S: Final = 0.5
 # Maximum size of a request body until a configuration is known, bytes.
 _BODY_BYTES: Final = 4_194_304
@@ -139,7 +141,7 @@
         '_metrics',
         '_owner',
         '_peers',
-        '_placements',
+        '_placement_plan',
         '_quarantining',
         '_readiness',
         '_responder',
@@ -166,7 +168,8 @@
         self._closed = False
         # Latest time at which this process ends; infinite until it is stopped.
         self._ends_at = math.inf
-        # Each loop has its own client, so that a loop that waits delays no other.
+        # Each loop has its own client, so that a loop that waits delays no
+        # other.
         self._stores: list[ports.Topics] = []
         self._metrics = metrics.Metrics()
         self._state = beliefs.Beliefs(
@@ -213,7 +216,7 @@
             ),
         )
         self._cleanup = tidy.Tidy(adapters.workers)
-        self._placements = places.Places(
+        self._placement_plan = places.Places(
             entry_vm=cfg.entry_vm,
             owner=owner,
             homes=self._asking,
@@ -314,7 +317,9 @@
             messages.Quarantined: self._quarantining.take,
             messages.AskSends: self._send_limits.lend,
             messages.Sends: self._send_limits.hear,
-            messages.AskHeld: lambda msg: self._placements.held(msg.service),
+            messages.AskHeld: lambda msg: self._placement_plan.held(
+                msg.service
+            ),
             messages.Dump: lambda _: messages.DumpReply(state=self._dump()),
         }
 
@@ -364,7 +369,7 @@
         return self._owner.run(lambda state, _: frozenset(state.entry_vms))
 
     def version(self) -> int | None:
-        """Returns the version of the configuration in force; None if unknown."""
+        """Returns the version of the configuration in force, or None."""
         matcher = self._state.matcher
         return matcher.table.version if matcher is not None else None
 
@@ -411,7 +416,7 @@
         placements = spots.Spots(
             owner=self._owner,
             workers=adapters.workers,
-            plan=self._placements,
+            plan=self._placement_plan,
             send_limits=self._send_limits,
             entry_vm=self.cfg.entry_vm,
             clock=clock,
@@ -463,7 +468,7 @@
                 workers=adapters.workers,
                 owner=self._owner,
                 peers=self._peers,
-                plan=self._placements,
+                plan=self._placement_plan,
                 fit=self._fitness,
                 counts=self._metrics,
                 stopping=self._stopping,
@@ -533,15 +538,15 @@
                 'entry_vms': sorted(state.entry_vms),
                 'backend_servers': [
                     {
-                        'id': server.backend.id,
-                        'service': server.backend.service,
-                        'stage': server.backend.stage,
-                        'leaving': server.backend.leaving,
-                        'in_flight': server.in_flight,
-                        'held_tokens': server.held_tokens,
-                        'faults': round(server.faults_now(now), 2),
+                        'id': server_state.backend.id,
+                        'service': server_state.backend.service,
+                        'stage': server_state.backend.stage,
+                        'leaving': server_state.backend.leaving,
+                        'in_flight': server_state.in_flight,
+                        'held_tokens': server_state.held_tokens,
+                        'faults': round(server_state.faults_now(now), 2),
                     }
-                    for server in state.fleet.known()
+                    for server_state in state.fleet.known()
                 ],
                 'busy': self._server.busy(),
                 'plans': state.plans.planned(),
--- a/packages/daemon/foxtaildaled/watched.py
+++ b/packages/daemon/foxtaildaled/watched.py
@@ -1,4 +1,4 @@
-"""Tracks the requests in flight to each backend server.
+"""Tracks the flights (requests in flight) to each backend server.
 
 Cancels the requests to a backend server that has restarted, and records what
 backend servers report about themselves in their responses.
@@ -167,7 +167,7 @@
     def reserve(
         self, server: forwarding.Backend, tokens: int, ttl_s: float
     ) -> forwarding.Reply:
-        """Reserves a slot and memory; the reply's text is the reservation's name."""
+        """Reserves a slot and memory; the text is the reservation's name."""
         reply = self._workers.reserve(server, tokens, ttl_s)
         return self._record_reply(server, reply)
 
@@ -190,7 +190,7 @@
         holder: str,
         fence: int,
     ) -> forwarding.Reply:
-        """Orders an engine to change its stage; the reply's text is its response."""
+        """Orders an engine to change its stage; the text is its reply."""
         self._reports.check_backoff(server)
         reply = self._workers.order_stage(server, stage, holder, fence)
         return self._record_reply(server, reply)
