--- a/packages/daemon/foxtaildaled/forward.py
+++ b/packages/daemon/foxtaildaled/forward.py
@@ -104,7 +104,7 @@
         *,
         owner: actors.Owner[beliefs.Beliefs],
         workers: ports.Workers,
-        retry_budgets: sends.Sends,
+        budgets: sends.Sends,
         send_limits: sendlimits.SendLimits,
         crash_probe: breaks.Breaks,
         on_completed: Callable[[int], None],
@@ -113,7 +113,7 @@
     ) -> None:
         self._owner = owner
         self._workers = workers
-        self._retry_budgets = retry_budgets
+        self._retry_budgets = budgets
         self._send_limits = send_limits
         self._crash_probe = crash_probe
         # Called with the fingerprint of a request that completed successfully.
--- a/packages/daemon/foxtaildaled/generate.py
+++ b/packages/daemon/foxtaildaled/generate.py
@@ -62,7 +62,7 @@
         *,
         owner: actors.Owner[beliefs.Beliefs],
         workers: ports.Workers,
-        retry_budgets: sends.Sends,
+        budgets: sends.Sends,
         placements: spots.Spots,
         prefill_client: prompts.Prompts,
         cleanup: ports.Tidy,
@@ -73,7 +73,7 @@
     ) -> None:
         self._owner = owner
         self._workers = workers
-        self._retry_budgets = retry_budgets
+        self._retry_budgets = budgets
         self._placements = placements
         self._prefill_client = prefill_client
         self._cleanup = cleanup
--- a/packages/daemon/foxtaildaled/passage.py
+++ b/packages/daemon/foxtaildaled/passage.py
@@ -28,7 +28,7 @@
 
 
 class Passage:
-    """A request with its route, its deadline and the connection of its caller."""
+    """A request with its route, deadline and connection to the caller."""
 
     __slots__ = (
         '_clock',
--- a/packages/daemon/foxtaildaled/prompts.py
+++ b/packages/daemon/foxtaildaled/prompts.py
@@ -49,7 +49,7 @@
         *,
         owner: actors.Owner[beliefs.Beliefs],
         workers: ports.Workers,
-        retry_budgets: sends.Sends,
+        budgets: sends.Sends,
         send_limits: sendlimits.SendLimits,
         crash_probe: breaks.Breaks,
         clock: ports.Clock,
@@ -58,7 +58,7 @@
     ) -> None:
         self._owner = owner
         self._workers = workers
-        self._retry_budgets = retry_budgets
+        self._retry_budgets = budgets
         self._send_limits = send_limits
         self._crash_probe = crash_probe
         self._clock = clock
--- a/packages/daemon/foxtaildaled/routing.py
+++ b/packages/daemon/foxtaildaled/routing.py
@@ -245,7 +245,7 @@
             store=self._make_store(adapters),
             clock=clock,
         )
-        retry_budgets = sends.Sends(
+        budgets = sends.Sends(
             cfg.retry_ratio,
             cfg.retry_burst,
             owner,
@@ -263,16 +263,14 @@
             plain=forward.Forward(
                 owner=owner,
                 workers=adapters.workers,
-                retry_budgets=retry_budgets,
+                budgets=budgets,
                 send_limits=self._send_limits,
                 crash_probe=crash_probe,
                 on_completed=self._quarantining.completed,
                 clock=clock,
                 rng=rng,
             ),
-            model=self._make_generate(
-                adapters, retry_budgets, crash_probe, rng
-            ),
+            model=self._make_generate(adapters, budgets, crash_probe, rng),
             limiter=self._make_limiter(),
             counts=self._metrics,
             clock=clock,
@@ -409,7 +407,7 @@
     def _make_generate(
         self,
         adapters: Adapters,
-        retry_budgets: sends.Sends,
+        budgets: sends.Sends,
         crash_probe: breaks.Breaks,
         rng: random.Random,
     ) -> generate.Generate:
@@ -424,12 +422,12 @@
         return generate.Generate(
             owner=self._owner,
             workers=adapters.workers,
-            retry_budgets=retry_budgets,
+            budgets=budgets,
             placements=placements,
             prefill_client=prompts.Prompts(
                 owner=self._owner,
                 workers=adapters.workers,
-                retry_budgets=retry_budgets,
+                budgets=budgets,
                 send_limits=self._send_limits,
                 crash_probe=crash_probe,
                 clock=clock,
