--- a/tests/tallies.py
+++ b/tests/tallies.py
@@ -1,4 +1,4 @@
-"""Engines as the home of a service sees them, for tests of its decisions."""
+"""Engines and requests as the coordinator of a service sees them."""
 
 from foxtaildale import fleet
 from foxtaildale import forwarding
@@ -6,7 +6,7 @@
 
 
 def make(stage: forwarding.Stage, count: int) -> list[fleet.Tally]:
-    """Returns engines of one stage, called by it and a number."""
+    """Returns engines of one stage, with ids such as `decode-0`."""
     return [
         fleet.Tally(
             forwarding.Backend(
@@ -21,7 +21,7 @@
 
 
 def ask(request: str, prompt: int) -> messages.AskPlace:
-    """Returns a VM's question for a place, of an ordinary request."""
+    """Returns a VM's placement request for a request of ordinary size."""
     return messages.AskPlace(
         service='s',
         request=request,
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -1,22 +1,22 @@
-"""When refused callers come back."""
+"""When refused callers are asked to retry."""
 
 import random
 
 from foxtaildale import comeback
 
 
-def test_callers_that_are_refused_together_are_spread() -> None:
-    """A burst refuses a hundred callers within a moment.
+def test_retries_of_callers_refused_together_are_spread() -> None:
+    """A hundred callers are refused at the same moment in a burst.
 
-    Told the same time, they would come back as the same burst.
+    With equal retry retry_times_s they would arrive as the same burst again.
     """
     rng = random.Random(1)
-    times = [comeback.retry_after_s(1.0, 14.0, rng) for _ in range(100)]
-    assert max(times) - min(times) > 0.5
+    retry_times_s = [comeback.retry_after_s(1.0, 14.0, rng) for _ in range(100)]
+    assert max(retry_times_s) - min(retry_times_s) > 0.5
 
 
-def test_no_time_is_longer_than_a_caller_heeds() -> None:
+def test_the_retry_time_is_within_the_time_left_to_the_caller() -> None:
     rng = random.Random(1)
     for left_s in (0.5, 1.5, 14.0):
-        found = comeback.retry_after_s(60.0, left_s, rng)
-        assert found <= max(comeback.MIN_S, left_s / 3)
+        retry_s = comeback.retry_after_s(60.0, left_s, rng)
+        assert retry_s <= max(comeback.MIN_S, left_s / 3)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,4 +1,4 @@
-"""The memory that requests will take together."""
+"""The peak of the memory that concurrent requests will use."""
 
 import hypothesis
 from hypothesis import strategies
@@ -22,8 +22,8 @@
     assert growth.peak([_running(1000, 500)], 0.0, 0.001) == pytest.approx(1500)
 
 
-def test_requests_that_end_one_after_the_other_share() -> None:
-    """The first has ended before the second is long: less than the sum."""
+def test_the_peak_is_below_the_sum_if_requests_end_in_turn() -> None:
+    """The first ends before the second grows, so the peak is below the sum."""
     both = [_running(1000, 500), _running(1000, 2000)]
     assert growth.peak(both, 0.0, 0.001) == pytest.approx(3000)
     assert growth.peak(both, 0.0, 0.001) < 1500 + 3000
@@ -34,28 +34,29 @@
     assert growth.peak(same, 0.0, 0.001) == pytest.approx(6000)
 
 
-def test_one_that_starts_later_has_its_prompt_counted_at_once() -> None:
-    """Its prompt is moved as it starts; room for it must be there then."""
-    found = [_running(1000, 500), _running(4000, 100, started_at=0.2)]
-    assert growth.peak(found, 0.0, 0.001) >= 1000 + 300 + 4000
+def test_a_prompt_counts_from_the_start_of_its_request() -> None:
+    """The prompt is transferred at the start and needs its memory then."""
+    requests = [_running(1000, 500), _running(4000, 100, started_at=0.2)]
+    assert growth.peak(requests, 0.0, 0.001) >= 1000 + 300 + 4000
 
 
-def test_an_answer_longer_than_expected_goes_on() -> None:
-    """A caller guessed far too low. The request is still there.
+def test_a_response_longer_than_expected_still_counts() -> None:
+    """A caller's length hint is far too low, and the request still runs.
 
-    Counted as ended, its memory would be given away and another preempted.
+    If it counted as ended, its memory would be granted to another request,
+    and the engine would preempt one of them.
     """
-    found = growth.peak([_running(1000, 100, longest=4000)], 1.0, 0.001)
-    assert 2000 < found <= 5000
+    peak = growth.peak([_running(1000, 100, longest=4000)], 1.0, 0.001)
+    assert 2000 < peak <= 5000
 
 
-def test_nothing_grows_beyond_its_longest_answer() -> None:
-    found = growth.peak([_running(1000, 9000, longest=200)], 50.0, 0.001)
-    assert found == pytest.approx(1200)
+def test_no_request_grows_beyond_its_maximum_output() -> None:
+    peak = growth.peak([_running(1000, 9000, longest=200)], 50.0, 0.001)
+    assert peak == pytest.approx(1200)
 
 
 @pytest.mark.parametrize(
-    ('hinted', 'longest', 'typical', 'found'),
+    ('hinted', 'longest', 'typical', 'expected'),
     [
         (0, 100, 0.0, 100),
         (50, 100, 0.0, 50),
@@ -66,15 +67,15 @@
     ],
 )
 def test_the_expected_length(
-    hinted: int, longest: int, typical: float, found: float
+    hinted: int, longest: int, typical: float, expected: float
 ) -> None:
-    got = growth.expected_tokens(hinted, longest, typical)
-    assert got == pytest.approx(found)
+    tokens = growth.expected_tokens(hinted, longest, typical)
+    assert tokens == pytest.approx(expected)
 
 
-def _each_by_itself(found: list[growth.Running], token_s: float) -> float:
-    """Returns the peak summed up request by request."""
-    outlooks = [growth._outlook(request, 0.0, token_s) for request in found]
+def _peak_by_request(requests: list[growth.Running], token_s: float) -> float:
+    """Returns the peak, computed as a sum over all requests."""
+    outlooks = [growth._outlook(request, 0.0, token_s) for request in requests]
     return max(
         sum(
             base + max(0.0, end_s - delay_s) / token_s
@@ -98,8 +99,8 @@
         unique_by=lambda request: (request.expected, request.started_at),
     )
 )
-def test_the_peak_is_that_of_each_request_by_itself(
-    found: list[growth.Running],
+def test_the_peak_equals_the_sum_by_request(
+    requests: list[growth.Running],
 ) -> None:
-    expected = _each_by_itself(found, 0.004)
-    assert growth.peak(found, 0.0, 0.004) == pytest.approx(expected)
+    expected = _peak_by_request(requests, 0.004)
+    assert growth.peak(requests, 0.0, 0.004) == pytest.approx(expected)
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -1,4 +1,4 @@
-"""How fast prompts are read, told apart from what passes beside it."""
+"""Estimates of prefill speed, separate from the time spent elsewhere."""
 
 import random
 
@@ -7,51 +7,50 @@
 from foxtaildale import prefills
 from foxtaildale import reading
 
-_PER_S = 33_000.0
-_WAY_S = 0.065
+_TOKENS_PER_S = 33_000.0
+_NETWORK_DELAY_S = 0.065
 
 
-def _took_s(prompt: int, rng: random.Random) -> float:
-    return _WAY_S + prompt / _PER_S + rng.uniform(0.0, 0.004)
+def _duration_s(prompt: int, rng: random.Random) -> float:
+    return _NETWORK_DELAY_S + prompt / _TOKENS_PER_S + rng.uniform(0.0, 0.004)
 
 
-def test_reading_is_told_apart_from_the_time_beside_it() -> None:
+def test_prefill_speed_and_network_delay_are_estimated_apart() -> None:
     rng = random.Random(5)
-    found = reading.Reading()
+    estimate = reading.Reading()
     for _ in range(40):
         prompt = rng.randrange(600, 6600)
-        found.note(prompt, _took_s(prompt, rng), alone=True)
-    assert abs(found.per_s - _PER_S) < 0.05 * _PER_S
-    assert abs(found.way_s - _WAY_S) < 0.01
+        estimate.note(prompt, _duration_s(prompt, rng), alone=True)
+    assert abs(estimate.per_s - _TOKENS_PER_S) < 0.05 * _TOKENS_PER_S
+    assert abs(estimate.way_s - _NETWORK_DELAY_S) < 0.01
 
 
-def test_prompts_of_one_length_tell_nothing() -> None:
-    found = reading.Reading()
+def test_prompts_of_one_length_leave_the_delay_unchanged() -> None:
+    estimate = reading.Reading()
     for _ in range(40):
-        found.note(3000, 0.15, alone=True)
-    assert found.way_s == reading.WAY_S
-    assert 20_000.0 <= found.per_s <= reading.PER_S
+        estimate.note(3000, 0.15, alone=True)
+    assert estimate.way_s == reading.WAY_S
+    assert 20_000.0 <= estimate.per_s <= reading.PER_S
 
 
-def test_prompts_that_waited_are_not_taken_for_slow_reading() -> None:
+def test_queueing_of_prompts_does_not_count_as_slow_prefill() -> None:
     rng = random.Random(5)
-    found = reading.Reading()
+    estimate = reading.Reading()
     for _ in range(40):
         prompt = rng.randrange(600, 6600)
-        found.note(prompt, _took_s(prompt, rng), alone=True)
-        found.note(prompt, 0.6, alone=False)
-    assert abs(found.per_s - _PER_S) < 0.05 * _PER_S
+        estimate.note(prompt, _duration_s(prompt, rng), alone=True)
+        estimate.note(prompt, 0.6, alone=False)
+    assert abs(estimate.per_s - _TOKENS_PER_S) < 0.05 * _TOKENS_PER_S
 
 
 def test_prefill_workers_are_kept_busy_in_a_burst() -> None:
-    """Prompts of 3,000 tokens come as fast as two prefill workers read.
+    """Prompts of 3,000 tokens arrive as fast as two workers prefill them.
 
-    Taken for a part of the reading, the time beside it makes the workers look
-    busy while they idle for a third of the time; requests wait beside decode
-    memory that is free.
+    If the network delay counted as prefill time, the workers would look busy
+    while idle a third of the time, and requests would wait with memory free.
     """
     rng = random.Random(7)
-    found = prefills.Prefills()
+    prefill_table = prefills.Prefills()
     workers = [
         fleet.Tally(
             forwarding.Backend(
@@ -61,18 +60,18 @@
         for name in ('p1', 'p2')
     ]
     busy_until = dict.fromkeys(('p1', 'p2'), 0.0)
-    now, given, after = 0.0, 0, 4.0
+    now, granted_tokens, measure_from_s = 0.0, 0, 4.0
     while now < 10.0:
         now += 0.01
         prompt = rng.randrange(600, 6600)
-        turn = found.choose(now, prompt, workers, ())
-        if found.too_busy(now, prompt, turn):
+        turn = prefill_table.choose(now, prompt, workers, ())
+        if prefill_table.too_busy(now, prompt, turn):
             continue
-        found.give(turn)
+        prefill_table.give(turn)
         alone = busy_until[turn.worker] <= now
-        began = max(now, busy_until[turn.worker])
-        busy_until[turn.worker] = began + prompt / _PER_S
-        took_s = busy_until[turn.worker] + _WAY_S - now
-        found.note(now, turn.worker, prompt, took_s, alone=alone)
-        given += prompt if now > after else 0
-    assert given > 0.9 * 2 * _PER_S * (10.0 - after)
+        started_at = max(now, busy_until[turn.worker])
+        busy_until[turn.worker] = started_at + prompt / _TOKENS_PER_S
+        duration_s = busy_until[turn.worker] + _NETWORK_DELAY_S - now
+        prefill_table.note(now, turn.worker, prompt, duration_s, alone=alone)
+        granted_tokens += prompt if now > measure_from_s else 0
+    assert granted_tokens > 0.9 * 2 * _TOKENS_PER_S * (10.0 - measure_from_s)
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""Decode workers that refuse what they are thought to have room for."""
+"""Decode workers that refuse requests although the plan has room there."""
 
 from foxtaildale import messages
 from foxtaildale import placing
@@ -11,46 +11,46 @@
 )
 
 
-def test_each_refusal_in_a_row_closes_it_for_longer() -> None:
-    known = refusals.Refusals()
-    now, spans = 0.0, []
-    known.note(now, 'd', 'p1', taken=False)
-    assert known.closed(now) == frozenset()
+def test_each_further_refusal_closes_a_worker_for_longer() -> None:
+    table = refusals.Refusals()
+    now, closed_spans_s = 0.0, []
+    table.note(now, 'd', 'p1', taken=False)
+    assert table.closed(now) == frozenset()
     for _ in range(5):
-        known.note(now, 'd', 'p2', taken=False)
-        began = now
-        while 'd' in known.closed(now):
+        table.note(now, 'd', 'p2', taken=False)
+        closed_at = now
+        while 'd' in table.closed(now):
             now += 0.01
-        spans.append(round(now - began, 1))
-    assert spans == [0.3, 0.6, 1.2, 2.4, 2.4]
-    known.note(now, 'd', 'p1', taken=True)
-    known.note(now, 'd', 'p1', taken=False)
-    assert known.closed(now) == frozenset()
+        closed_spans_s.append(round(now - closed_at, 1))
+    assert closed_spans_s == [0.3, 0.6, 1.2, 2.4, 2.4]
+    table.note(now, 'd', 'p1', taken=True)
+    table.note(now, 'd', 'p1', taken=False)
+    assert table.closed(now) == frozenset()
 
 
-def test_handles_that_lapse_close_no_decode_worker() -> None:
-    """A prefill worker lets go of its prompts at once.
+def test_expired_handles_close_no_decode_worker() -> None:
+    """A prefill worker evicts its prompts immediately.
 
-    Every decode worker refuses them; closed for that, all memory would stand
-    empty.
+    Every decode worker refuses them. If that closed the decode workers, all
+    decode memory would stay unused.
     """
-    known = refusals.Refusals()
+    table = refusals.Refusals()
     for number in range(30):
-        known.note(number * 0.1, f'd{number % 3}', 'p1', taken=False)
-        known.note(number * 0.1, f'd{number % 3}', 'p2', taken=True)
-    assert known.closed(3.0) == frozenset()
+        table.note(number * 0.1, f'd{number % 3}', 'p1', taken=False)
+        table.note(number * 0.1, f'd{number % 3}', 'p2', taken=True)
+    assert table.closed(3.0) == frozenset()
 
 
-def test_a_worker_that_refuses_all_costs_few_prompts() -> None:
-    """A decode worker changes its stage, and nobody here knows of it.
+def test_a_worker_that_refuses_everything_wastes_few_prefills() -> None:
+    """A decode worker changes its stage, and the coordinator is not notified.
 
-    Always empty in the plan, it is the first choice for every request. Their
-    prompts are read for nothing, and callers with one attempt are refused.
+    It is always empty in the plan and thus the first choice. The prefills are
+    wasted, and callers with one attempt are refused.
     """
     plan = placing.Plan()
     decoders = tallies.make('decode', 3)
     prefillers = tallies.make('prefill', 3)
-    lost = served = 0
+    refused = served = 0
     running: list[tuple[float, str]] = []
     for step in range(1000):
         now = step * 0.01
@@ -74,7 +74,7 @@
         if not isinstance(place, messages.Place):
             continue
         if place.worker == 'decode-0':
-            lost += 1
+            refused += 1
             end = messages.EndPlace(
                 service='s', request=name, prefill_ms=100, refused=True
             )
@@ -82,5 +82,5 @@
         else:
             served += 1
             running.append((now + 2.0, name))
-    assert lost <= 8
+    assert refused <= 8
     assert served >= 40
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Failures that entry VMs report to the home of a service."""
+"""Failures that entry VMs report to the coordinator of a service."""
 
 import pytest
 
@@ -6,45 +6,45 @@
 from foxtaildale import reports
 
 
-def test_two_vms_take_a_server_from_all() -> None:
-    """An engine dies; everybody's next request would fail there."""
-    found = reports.Reports()
-    found.note(0.0, 'd1', 'vm-1')
-    found.note(0.1, 'd1', 'vm-2')
-    assert found.failed(0.2) == {'d1'}
+def test_reports_of_two_vms_exclude_a_server_for_all() -> None:
+    """An engine crashes; the next request of each VM would fail there."""
+    failure_reports = reports.Reports()
+    failure_reports.note(0.0, 'd1', 'vm-1')
+    failure_reports.note(0.1, 'd1', 'vm-2')
+    assert failure_reports.failed(0.2) == {'d1'}
 
 
-def test_one_vm_takes_nothing_from_the_others() -> None:
-    """An entry VM is cut off from engines that all others reach.
+def test_reports_of_one_vm_exclude_no_server() -> None:
+    """An entry VM can't reach engines that all other VMs reach.
 
-    Passed over for all, they would stand idle while callers are refused.
+    Excluded for all VMs, the engines would idle while callers are refused.
     """
-    found = reports.Reports()
+    failure_reports = reports.Reports()
     for number in range(20):
-        found.note(number * 0.1, 'd1', 'vm-1')
-    assert not found.failed(2.0)
+        failure_reports.note(number * 0.1, 'd1', 'vm-1')
+    assert not failure_reports.failed(2.0)
 
 
-def test_reports_end() -> None:
-    """A server failed by chance; it must get work again."""
-    found = reports.Reports()
-    found.note(0.0, 'd1', 'vm-1')
-    found.note(2.0, 'd1', 'vm-2')
-    assert found.failed(2.5)
-    assert not found.failed(reports.COUNTS_S + 0.1)
-    assert not found.failed(reports.COUNTS_S + 2.1)
+def test_reports_expire() -> None:
+    """A server failed by chance and must get requests again."""
+    failure_reports = reports.Reports()
+    failure_reports.note(0.0, 'd1', 'vm-1')
+    failure_reports.note(2.0, 'd1', 'vm-2')
+    assert failure_reports.failed(2.5)
+    assert not failure_reports.failed(reports.COUNTS_S + 0.1)
+    assert not failure_reports.failed(reports.COUNTS_S + 2.1)
 
 
-def test_one_vm_that_met_another_server_takes_it_from_all() -> None:
-    """An engine crashed and is back under another name at the same address.
+def test_one_report_of_a_replaced_server_excludes_it_for_all() -> None:
+    """An engine crashed and restarted under another name at its old address.
 
-    The list names the one before for seconds more. It has the most room in the
-    plan, so each VM in turn would have a prompt read for it and be turned away.
+    The list has the old name for some seconds more, with the most room in the
+    plan, so each VM in turn would waste a prefill on it and be refused.
     """
-    found = reports.Reports()
-    found.note(0.0, 'd1', 'vm-1', replaced=True)
-    assert found.failed(0.1) == {'d1'}
-    assert not found.failed(reports.COUNTS_S + 0.1)
+    failure_reports = reports.Reports()
+    failure_reports.note(0.0, 'd1', 'vm-1', replaced=True)
+    assert failure_reports.failed(0.1) == {'d1'}
+    assert not failure_reports.failed(reports.COUNTS_S + 0.1)
 
 
 @pytest.mark.parametrize(
@@ -56,13 +56,13 @@
         (503, 'x', False),
     ],
 )
-def test_only_another_server_replaces_one(
+def test_only_a_different_server_id_means_replaced(
     status: int, server: str, replaced: bool
 ) -> None:
-    """An engine that has just changed its stage refuses what the other does.
+    """An engine that just changed its stage refuses requests of the old stage.
 
-    It is there and sound. Taken for one that is gone, it would get nothing for
-    seconds of what it does now.
+    It works. Treated as removed, it would get no requests of its new stage for
+    some seconds.
     """
     head = forwarding.Head(status=status, headers=(), server=server)
     assert head.replaces('d1') == replaced
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -1,4 +1,4 @@
-"""How long requests wait for a place."""
+"""How long a request waits for a placement."""
 
 from foxtaildale import room
 from foxtaildale import routes
@@ -14,11 +14,11 @@
 )
 
 
-def test_one_that_came_back_waits_as_long_as_its_caller() -> None:
-    """Callers leave after four times the target, and come back once.
+def test_a_retried_request_waits_as_long_as_its_caller() -> None:
+    """Callers disconnect after four times the target and retry once.
 
-    Refused a second time, the caller has no answer at all.
+    A caller that is refused a second time gets no response at all.
     """
-    first = room.patience_s(_ROUTE)
-    last = room.patience_s(_ROUTE, came_back=True)
-    assert first < last < 4 * _ROUTE.target_s - 0.4
+    first_patience_s = room.patience_s(_ROUTE)
+    retry_patience_s = room.patience_s(_ROUTE, came_back=True)
+    assert first_patience_s < retry_patience_s < 4 * _ROUTE.target_s - 0.4
