--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1,4 +1,4 @@
-"""How many engines read prompts, and who may order them to change."""
+"""How many engines prefill, and which VM may order them to change stage."""
 
 import itertools
 import math
@@ -16,48 +16,50 @@
 from tests import tallies
 
 _SERVICE = routes.Service(name='s', kv_tokens=63_000, slots=12)
-# Of the engines that the figures of `balance` were played with.
+# Speeds of the engines that the constants of `balance` were computed for.
 _PREFILL_PER_S = 55_555.0
 _TOKEN_S = 0.00073
 
 
-def _balance(prompt: int = 5200, answer: float = 4000) -> balance.Balance:
-    """Returns what has seen guesses that are right in the median."""
-    found = balance.Balance()
+def _make_balance(prompt: int = 5200, answer: float = 4000) -> balance.Balance:
+    """Returns a balance that saw length hints with a correct median."""
+    balancer = balance.Balance()
     rng = random.Random(1)
     for _ in range(400):
-        guess = answer * math.exp(rng.gauss(0.0, 0.6))
-        found.note(int(prompt * rng.uniform(0.5, 1.5)), guess)
-    return found
+        hint = answer * math.exp(rng.gauss(0.0, 0.6))
+        balancer.note(int(prompt * rng.uniform(0.5, 1.5)), hint)
+    return balancer
 
 
-def _share(found: balance.Balance) -> float | None:
-    return found.share(_SERVICE, _PREFILL_PER_S, _TOKEN_S)
+def _wanted_share(balancer: balance.Balance) -> float | None:
+    return balancer.share(_SERVICE, _PREFILL_PER_S, _TOKEN_S)
 
 
 @pytest.mark.parametrize(
     ('decoders', 'prefillers', 'wanted'),
     [
-        pytest.param(9, 5, 3, id='the second site as it has grown'),
-        pytest.param(15, 8, 5, id='the first site as it has grown'),
-        pytest.param(3, 2, 2, id='a site of five'),
-        pytest.param(1, 2, 2, id='that lost two decode workers'),
+        pytest.param(9, 5, 3, id='second site after its growth'),
+        pytest.param(15, 8, 5, id='first site after its growth'),
+        pytest.param(3, 2, 2, id='site of five engines'),
+        pytest.param(1, 2, 2, id='site of five without two decode workers'),
     ],
 )
 def test_idle_prefill_workers_become_decode_workers(
     decoders: int, prefillers: int, wanted: int
 ) -> None:
-    """Callers wait for decode memory while prefill workers stand idle."""
-    found = _balance()
+    """Callers wait for decode memory while prefill workers idle."""
+    balancer = _make_balance()
     decode = tallies.make('decode', decoders)
     prefill = tallies.make('prefill', prefillers)
     now = 0.0
     for step in range(400):
         now = step * 0.1
-        changes = found.changes(now, _share(found), decode, prefill)
+        changes = balancer.changes(
+            now, _wanted_share(balancer), decode, prefill
+        )
         for change in changes:
             assert change.stage == 'decode'
-            found.ordered(now, change.backend.id)
+            balancer.ordered(now, change.backend.id)
             prefill = [t for t in prefill if t.backend.id != change.backend.id]
             decode.append(
                 fleet.Tally(
@@ -68,22 +70,22 @@
     assert len(decode) == decoders + prefillers - wanted
 
 
-def test_too_few_prefill_workers_get_one_more_when_it_lasts() -> None:
-    """Prompts are long and answers short: the first events come late."""
-    found = _balance(prompt=9000, answer=300)
+def test_a_lasting_lack_of_prefill_workers_adds_one() -> None:
+    """Long prompts with short responses delay the first events."""
+    balancer = _make_balance(prompt=9000, answer=300)
     decode, prefill = tallies.make('decode', 8), tallies.make('prefill', 2)
-    share = _share(found)
-    assert not found.changes(0.0, share, decode, prefill)
-    assert not found.changes(balance.LACK_S - 0.1, share, decode, prefill)
-    changes = found.changes(balance.LACK_S, share, decode, prefill)
+    share = _wanted_share(balancer)
+    assert not balancer.changes(0.0, share, decode, prefill)
+    assert not balancer.changes(balance.LACK_S - 0.1, share, decode, prefill)
+    changes = balancer.changes(balance.LACK_S, share, decode, prefill)
     assert [change.stage for change in changes] == ['prefill']
 
 
-def test_nothing_is_taken_from_prefill_while_prompts_wait() -> None:
-    """Prefill workers turned slow, and the rest have no time to spare.
+def test_no_prefill_worker_changes_stage_while_prompts_wait() -> None:
+    """Some prefill workers became slow, and the others are fully used.
 
-    With one taken away, callers that have their place wait a second for their
-    prompts, and all of them are late.
+    With one worker less, callers that have a placement wait a second for their
+    prefill, and all of them miss their target.
     """
     waiting = prefills.Prefills()
     for _ in range(60):
@@ -92,88 +94,90 @@
     for _ in range(20):
         waiting.note(0.0, 'p1', 5000, 0.3)
     assert waiting.waiting(5000)
-    found = _balance()
+    balancer = _make_balance()
     decode, prefill = tallies.make('decode', 9), tallies.make('prefill', 7)
     for step in range(100):
-        assert not found.changes(
-            step * 0.1, _share(found), decode, prefill, waiting=True
+        assert not balancer.changes(
+            step * 0.1, _wanted_share(balancer), decode, prefill, waiting=True
         )
 
 
-def test_a_crash_changes_nothing() -> None:
-    """A prefill worker crashes, and is back under another id 4 s later.
+def test_a_crash_orders_no_change() -> None:
+    """A prefill worker crashes and restarts under another id 4 s later.
 
-    A decode worker that changed for it would be away for six seconds, and
-    callers would be refused for want of memory.
+    A decode worker that changed its stage to replace it would be unavailable
+    for six seconds, and callers would be refused for lack of memory.
     """
-    found = _balance()
+    balancer = _make_balance()
     decode, prefill = tallies.make('decode', 11), tallies.make('prefill', 3)
     for step in range(100):
         alive = prefill[:2] if 10 <= step < 50 else prefill
-        assert not found.changes(step * 0.1, _share(found), decode, alive)
+        assert not balancer.changes(
+            step * 0.1, _wanted_share(balancer), decode, alive
+        )
 
 
-def test_an_engine_that_changes_gets_nothing_and_is_not_counted() -> None:
-    found = _balance()
+def test_an_engine_that_changes_its_stage_is_not_counted() -> None:
+    balancer = _make_balance()
     decode, prefill = tallies.make('decode', 9), tallies.make('prefill', 7)
-    assert not found.changes(0.0, _share(found), decode, prefill)
-    changes = found.changes(1.0, _share(found), decode, prefill)
+    assert not balancer.changes(0.0, _wanted_share(balancer), decode, prefill)
+    changes = balancer.changes(1.0, _wanted_share(balancer), decode, prefill)
     assert len(changes) == balance.AT_ONCE
     for change in changes:
-        found.ordered(1.0, change.backend.id)
-    assert found.changing(1.1) == {c.backend.id for c in changes}
-    assert not found.changes(2.5, _share(found), decode, prefill)
-    assert not found.changing(1.0 + balance.CHANGING_S)
+        balancer.ordered(1.0, change.backend.id)
+    assert balancer.changing(1.1) == {c.backend.id for c in changes}
+    assert not balancer.changes(2.5, _wanted_share(balancer), decode, prefill)
+    assert not balancer.changing(1.0 + balance.CHANGING_S)
 
 
-def test_an_engine_that_was_given_to_decode_stays_there() -> None:
-    """Prompts and guesses vary, so that the need does too.
+def test_an_engine_that_became_a_decode_worker_stays_one() -> None:
+    """Prompts and length hints vary, and with them the wanted share.
 
-    An engine that goes to and fro does nothing for twelve seconds, in bursts
-    in which callers are refused for want of its memory.
+    An engine that changes to decode and back is unavailable for twelve seconds,
+    in bursts in which callers are refused for lack of its memory.
     """
     service = routes.Service(name='s', kv_tokens=33_787, slots=64)
-    found = balance.Balance()
+    balancer = balance.Balance()
     rng = random.Random(11)
     decode, prefill = tallies.make('decode', 6), tallies.make('prefill', 3)
     ordered: list[forwarding.Stage] = []
     for step in range(1200):
         now = step * 0.1
-        found.note(
+        balancer.note(
             int(3100 * math.exp(rng.gauss(0.0, 0.5))),
             min(2040, 700 * math.exp(rng.gauss(0.0, 0.6))),
         )
-        share = found.share(service, 33_000, 0.004)
-        for change in found.changes(now, share, decode, prefill):
+        share = balancer.share(service, 33_000, 0.004)
+        for change in balancer.changes(now, share, decode, prefill):
             ordered.append(change.stage)
-            found.ordered(now, change.backend.id)
-            moved = fleet.Tally(
+            balancer.ordered(now, change.backend.id)
+            changed = fleet.Tally(
                 msgspec.structs.replace(change.backend, stage=change.stage)
             )
-            came = {'prefill': prefill, 'decode': decode}
-            for engines in came.values():
+            by_stage = {'prefill': prefill, 'decode': decode}
+            for engines in by_stage.values():
                 engines[:] = [
                     t for t in engines if t.backend.id != change.backend.id
                 ]
-            came[change.stage].append(moved)
+            by_stage[change.stage].append(changed)
     assert ordered == ['decode']
 
 
-def test_nothing_is_ordered_before_enough_was_seen() -> None:
-    found = balance.Balance()
+def test_no_change_is_ordered_before_enough_requests() -> None:
+    balancer = balance.Balance()
     for _ in range(balance.ENOUGH - 1):
-        found.note(5000, 4000)
-    assert _share(found) is None
-    assert not found.changes(
+        balancer.note(5000, 4000)
+    assert _wanted_share(balancer) is None
+    assert not balancer.changes(
         9.0, None, tallies.make('decode', 2), tallies.make('prefill', 9)
     )
 
 
-def test_two_holders_never_order_within_a_lease() -> None:
-    """Two VMs take themselves for the home after one was cut off.
+def test_two_lease_holders_never_order_within_one_lease() -> None:
+    """Two VMs both act as the coordinator after a network partition.
 
-    Taking turns, each would undo what the other ordered, and engines would
-    change for ever instead of serving.
+    Each would reverse the orders of the other, and engines would keep changing
+    their stage instead of serving.
     """
     rng = random.Random(7)
     lease_s = 3.0
@@ -189,71 +193,75 @@
                 vm.claiming(now)
                 offset, holder = step, f'vm-{number}'
             for n, other in enumerate(vms):
-                # One that was paused sends its orders late.
+                # A VM that was paused sends its orders late.
                 if other.may_order(now) and holder == f'vm-{n}':
                     orders.append((now, holder))
-        for (at, who), (later, other_name) in itertools.pairwise(orders):
-            assert who == other_name or later - at > lease_s
+        for (ordered_at, name), (next_at, next_name) in itertools.pairwise(
+            orders
+        ):
+            assert name == next_name or next_at - ordered_at > lease_s
 
 
-def test_a_paused_holder_orders_nothing_when_it_wakes() -> None:
-    held = lease.Lease('vm-1', 3.0)
-    assert held.may_claim(10.0, 0, None, '')
-    held.claiming(10.0)
-    assert held.may_order(10.1)
-    assert not held.may_order(10.0 + lease.ORDERS_S)
+def test_a_lease_holder_orders_nothing_after_a_pause() -> None:
+    vm_lease = lease.Lease('vm-1', 3.0)
+    assert vm_lease.may_claim(10.0, 0, None, '')
+    vm_lease.claiming(10.0)
+    assert vm_lease.may_order(10.1)
+    assert not vm_lease.may_order(10.0 + lease.ORDERS_S)
 
 
-def test_a_large_site_gives_its_idle_prefill_workers_within_seconds() -> None:
-    """Nearly half of 56 engines read prompts, and twelve would do.
+def test_a_large_site_changes_idle_prefill_workers_in_seconds() -> None:
+    """26 of 56 engines are prefill workers, and twelve would suffice.
 
-    Two at a time, eight seconds each, it takes a minute until the last one is
-    given to decode; callers are refused for want of memory in each burst before.
+    Two at a time, eight seconds each, all changes take a minute, and callers
+    are refused for lack of memory in each burst until then.
     """
-    found = _balance()
+    balancer = _make_balance()
     decode, prefill = tallies.make('decode', 30), tallies.make('prefill', 26)
     changed_at = []
-    most = 0
+    max_changing = 0
     for step in range(300):
         now = step * 0.1
-        changes = found.changes(now, _share(found), decode, prefill)
+        changes = balancer.changes(
+            now, _wanted_share(balancer), decode, prefill
+        )
         for change in changes:
-            found.ordered(now, change.backend.id)
+            balancer.ordered(now, change.backend.id)
             prefill = [t for t in prefill if t.backend.id != change.backend.id]
             decode.append(fleet.Tally(change.backend))
             changed_at.append(now)
-        most = max(most, len(found.changing(now)))
-    # As many as it has too many, an eighth of all at a time.
-    assert most == 7
+        max_changing = max(max_changing, len(balancer.changing(now)))
+    # All surplus prefill workers change, an eighth of all engines at a time.
+    assert max_changing == 7
     assert len(prefill) == 12
     assert max(changed_at) < 20.0
 
 
-def test_a_large_site_waits_until_it_knows_its_need() -> None:
-    """Twenty requests were seen of a site of 56 engines, most of them long.
+def test_a_large_site_orders_no_change_after_few_requests() -> None:
+    """A site of 56 engines saw only twenty requests, most of them long.
 
-    Seven engines are given to decode in a moment; if that was wrong, prompts
-    wait until they are back, for most of a burst.
+    Seven engines would become decode workers at once. If that was wrong,
+    prompts wait for most of a burst until the engines have changed back.
     """
-    found = balance.Balance()
+    balancer = balance.Balance()
     decode, prefill = tallies.make('decode', 38), tallies.make('prefill', 18)
     for step in range(200):
-        found.note(3000, 9000.0)
+        balancer.note(3000, 9000.0)
         now = step * 0.1
-        if found.changes(now, _share(found), decode, prefill):
+        if balancer.changes(now, _wanted_share(balancer), decode, prefill):
             break
     assert step + 1 >= 2 * 56
 
 
-def test_a_large_site_gets_back_what_prefill_lacks_at_once() -> None:
-    """Ten prefill workers of a large site are taken away together.
+def test_a_large_site_replaces_missing_prefill_workers_at_once() -> None:
+    """Ten prefill workers of a large site are removed together.
 
-    One at a time, they would be made up for after two minutes.
+    One change at a time, replacing them would take two minutes.
     """
-    found = _balance()
+    balancer = _make_balance()
     decode, prefill = tallies.make('decode', 50), tallies.make('prefill', 4)
-    share = _share(found)
-    assert not found.changes(0.0, share, decode, prefill)
-    changes = found.changes(balance.LACK_S, share, decode, prefill)
+    share = _wanted_share(balancer)
+    assert not balancer.changes(0.0, share, decode, prefill)
+    changes = balancer.changes(balance.LACK_S, share, decode, prefill)
     assert len(changes) == 6
     assert {change.stage for change in changes} == {'prefill'}
--- a/tests/test_experience.py
+++ b/tests/test_experience.py
@@ -1,4 +1,4 @@
-"""What entry VMs learn together of plain servers that fail requests."""
+"""Failure rates of plain servers that entry VMs share with each other."""
 
 import random
 
@@ -8,20 +8,20 @@
 from foxtaildale import fleet
 from foxtaildale import forwarding
 
-# Requests a second over all VMs, and the time between two asks of a VM.
-_RATE = 220.0
-_ASK_S = 0.4
-_END_S = 8.0
-# When two of the servers lose answers, and how many.
-_LOSSY = (2.0, 6.0)
-_LOST = 0.4
-# Time of a request at a server, seconds, and the part that may run once only.
-_WORK_S = 0.045
-_ONCE = 0.6
+# Requests per second over all VMs, and seconds between two reports of a VM.
+_REQUESTS_PER_S = 220.0
+_REPORT_INTERVAL_S = 0.4
+_DURATION_S = 8.0
+# Period in seconds in which two servers lose responses, and the lost part.
+_FAULT_PERIOD_S = (2.0, 6.0)
+_LOST_PART = 0.4
+# Seconds of a request at a server, and the part that must not be repeated.
+_REQUEST_S = 0.045
+_ONCE_PART = 0.6
 
 
 class _Site:
-    """Many VMs before three servers of six slots each."""
+    """Simulates many entry VMs with three servers of six slots each."""
 
     def __init__(self, vms: int, *, shared: bool) -> None:
         self.rng = random.Random(5)
@@ -31,114 +31,115 @@
             (fleet.Fleet('here', self.rng), experience.Experience())
             for _ in range(vms)
         ]
-        for found, _ in self.vms:
+        for servers, _ in self.vms:
             for name in 'abc':
-                found.put(
+                servers.put(
                     forwarding.Backend(
                         id=name, service='s', address='x:1', slots=6
                     )
                 )
-        # Bookings sent, and those whose answer was lost.
+        # Non-repeatable requests sent, and those whose response was lost.
         self.sent = 0
         self.lost = 0
-        self.to: dict[str, int] = {'a': 0, 'b': 0, 'c': 0}
+        self.sent_to: dict[str, int] = {'a': 0, 'b': 0, 'c': 0}
 
     def play(self) -> float:
-        """Returns the part of the bookings that was lost in the fault."""
+        """Returns the part of the non-repeatable requests lost in the fault."""
         now = 0.0
-        asks = [self.rng.uniform(0, _ASK_S) for _ in self.vms]
-        while now < _END_S:
-            now += self.rng.expovariate(_RATE)
-            for number, due in enumerate(asks):
+        reports_due = [
+            self.rng.uniform(0, _REPORT_INTERVAL_S) for _ in self.vms
+        ]
+        while now < _DURATION_S:
+            now += self.rng.expovariate(_REQUESTS_PER_S)
+            for number, due in enumerate(reports_due):
                 if due <= now:
-                    asks[number] = due + _ASK_S
-                    self._ask(number, now)
+                    reports_due[number] = due + _REPORT_INTERVAL_S
+                    self._exchange_rates(number, now)
             self._request(now)
         return self.lost / self.sent
 
-    def _ask(self, number: int, now: float) -> None:
-        found, seen = self.vms[number]
+    def _exchange_rates(self, number: int, now: float) -> None:
+        servers, results = self.vms[number]
         if self.shared:
-            self.reader.told(now, seen.news())
-            found.told_failing(self.reader.rates(now), now)
+            self.reader.told(now, results.news())
+            servers.told_failing(self.reader.rates(now), now)
 
     def _request(self, now: float) -> None:
-        found, seen = self.rng.choice(self.vms)
-        once = self.rng.random() < _ONCE
-        server = found.candidates('s', now, repeatable=not once)[0].backend.id
-        in_fault = _LOSSY[0] <= now < _LOSSY[1]
-        lost = in_fault and server != 'c' and self.rng.random() < _LOST
-        seen.note(server, failed=lost)
+        servers, results = self.rng.choice(self.vms)
+        once = self.rng.random() < _ONCE_PART
+        server = servers.candidates('s', now, repeatable=not once)[0].backend.id
+        in_fault = _FAULT_PERIOD_S[0] <= now < _FAULT_PERIOD_S[1]
+        lost = in_fault and server != 'c' and self.rng.random() < _LOST_PART
+        results.note(server, failed=lost)
         if lost:
-            found.failed(server, now)
+            servers.failed(server, now)
         else:
-            found.answered(server, now, _WORK_S)
+            servers.answered(server, now, _REQUEST_S)
         if in_fault and once:
             self.sent += 1
             self.lost += lost
-            self.to[server] += 1
+            self.sent_to[server] += 1
 
 
-def test_bookings_go_where_answers_come() -> None:
-    """Two of three servers lose two in five of their answers for four seconds.
+def test_non_repeatable_requests_avoid_servers_that_fail() -> None:
+    """Two of three servers lose two in five responses for four seconds.
 
-    A booking may not be sent again, so its caller is told that nobody knows
-    whether it ran. With each of 87 VMs finding out for itself 0.15 of them were
-    lost so; with what all see, 0.03.
+    A caller can't learn whether its lost non-repeatable request ran. 0.15 of
+    them are lost if each of 87 VMs counts alone, 0.03 if the VMs share rates.
     """
-    alone = _Site(87, shared=False).play()
-    together = _Site(87, shared=True).play()
-    assert alone > 0.1
-    assert together <= 0.5 * alone
-    assert together <= 0.1
+    separate = _Site(87, shared=False).play()
+    shared = _Site(87, shared=True).play()
+    assert separate > 0.1
+    assert shared <= 0.5 * separate
+    assert shared <= 0.1
 
 
-def test_what_fails_wherever_it_runs_is_nobodys_fault() -> None:
-    """One read in seven ends with an error at any server."""
-    found = fleet.Fleet('here', random.Random(1))
+def test_errors_at_all_servers_alike_mark_no_server() -> None:
+    """One read request in seven fails at each server."""
+    servers = fleet.Fleet('here', random.Random(1))
     for name in 'ab':
-        found.put(forwarding.Backend(id=name, service='s', address='x:1'))
-    found.told_failing({'a': 0.14, 'b': 0.14}, 1.0)
-    assert all(tally.failing_now(1.0) == 0.0 for tally in found.known())
-    found.told_failing({'a': 0.14, 'b': 0.5}, 2.0)
-    assert found.candidates('s', 2.0)[0].backend.id == 'a'
+        servers.put(forwarding.Backend(id=name, service='s', address='x:1'))
+    servers.told_failing({'a': 0.14, 'b': 0.14}, 1.0)
+    assert all(tally.failing_now(1.0) == 0.0 for tally in servers.known())
+    servers.told_failing({'a': 0.14, 'b': 0.5}, 2.0)
+    assert servers.candidates('s', 2.0)[0].backend.id == 'a'
 
 
-def test_services_are_not_held_against_each_other() -> None:
-    found = fleet.Fleet('here', random.Random(1))
+def test_servers_of_different_services_are_not_compared() -> None:
+    servers = fleet.Fleet('here', random.Random(1))
     for name in 'ab':
-        found.put(
+        servers.put(
             forwarding.Backend(id=name, service=f's{name}', address='x:1')
         )
-    found.told_failing({'a': 0.0, 'b': 0.5, 'gone': 0.2}, 1.0)
-    assert all(tally.failing_now(1.0) == 0.0 for tally in found.known())
+    servers.told_failing({'a': 0.0, 'b': 0.5, 'gone': 0.2}, 1.0)
+    assert all(tally.failing_now(1.0) == 0.0 for tally in servers.known())
 
 
-def test_what_was_told_long_ago_counts_no_more() -> None:
-    """The VM that tells is gone; the fault may be over."""
-    found = fleet.Fleet('here', random.Random(1))
+def test_old_failure_rates_expire() -> None:
+    """The VM that reported the rates was removed; the fault may be over."""
+    servers = fleet.Fleet('here', random.Random(1))
     for name in 'ab':
-        found.put(forwarding.Backend(id=name, service='s', address='x:1'))
-    found.told_failing({'a': 0.0, 'b': 0.5}, 1.0)
+        servers.put(forwarding.Backend(id=name, service='s', address='x:1'))
+    servers.told_failing({'a': 0.0, 'b': 0.5}, 1.0)
     first = [
-        found.candidates('s', 1.0 + fleet.FAILING_S)[0].backend.id
+        servers.candidates('s', 1.0 + fleet.FAILING_S)[0].backend.id
         for _ in range(40)
     ]
     assert set(first) == {'a', 'b'}
 
 
-def test_a_few_requests_prove_nothing() -> None:
-    seen = experience.Experience()
-    seen.told(0.0, {'a': (2.0, 2.0)})
-    assert seen.rates(0.0) == {}
-    seen.told(0.0, {'a': (3.0, 2.0)})
-    assert seen.rates(0.0) == {'a': pytest.approx(0.8)}
-    assert seen.rates(10 * experience.HALF_S) == {}
+def test_a_few_requests_give_no_failure_rate() -> None:
+    results = experience.Experience()
+    results.told(0.0, {'a': (2.0, 2.0)})
+    assert results.rates(0.0) == {}
+    results.told(0.0, {'a': (3.0, 2.0)})
+    assert results.rates(0.0) == {'a': pytest.approx(0.8)}
+    assert results.rates(10 * experience.HALF_S) == {}
 
 
-def test_what_was_told_is_told_once() -> None:
-    seen = experience.Experience()
-    seen.note('a', failed=True)
-    seen.note('a', failed=False)
-    assert seen.news() == {'a': (2.0, 1.0)}
-    assert seen.news() == {}
+def test_each_result_is_reported_once() -> None:
+    results = experience.Experience()
+    results.note('a', failed=True)
+    results.note('a', failed=False)
+    assert results.news() == {'a': (2.0, 1.0)}
+    assert results.news() == {}
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Who is the home of a service, and what a new one knows."""
+"""Choice of the coordinator of a service, and what a new one knows."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -24,7 +24,7 @@
 
 
 class _Vms:
-    """Entry VMs that answer as a test tells."""
+    """Entry VMs that reply with the handlers that a test sets."""
 
     def __init__(self) -> None:
         # By address.
@@ -75,7 +75,7 @@
     return state
 
 
-def _ask(request: str, waited_ms: int = 0) -> messages.AskPlace:
+def _placement_request(request: str, waited_ms: int = 0) -> messages.AskPlace:
     return messages.AskPlace(
         service=_SERVICE,
         request=request,
@@ -89,7 +89,7 @@
     )
 
 
-def _kept(*requests: str) -> messages.KeepPlaces:
+def _placements(*requests: str) -> messages.KeepPlaces:
     return messages.KeepPlaces(
         service=_SERVICE,
         holder='vm-2',
@@ -102,70 +102,78 @@
     )
 
 
-def test_a_new_home_gives_nothing_before_it_knows_what_is_held() -> None:
-    """The home is stopped while its engines are full, and another takes over.
+def test_a_new_coordinator_grants_nothing_before_its_inventory() -> None:
+    """The coordinator stops while its engines are full; another VM takes over.
 
-    Knowing of nothing it would grant places that are taken. The prompts would
-    be read, the decode workers turn them away, and the callers be refused.
+    Without the existing placements it would grant their memory again. Prefills
+    would be wasted, and decode workers and then callers would be refused.
     """
     state = _state(['vm-1', 'vm-2'], 'vm-1:1')
-    woken: list[bool] = []
-    state.plans.on_unsurveyed = lambda: woken.append(True)
-    assert isinstance(state.plans.ask(_ask('new'), 1.0), messages.Queued)
-    assert woken
+    inventory_requests: list[bool] = []
+    state.plans.on_unsurveyed = lambda: inventory_requests.append(True)
+    assert isinstance(
+        state.plans.ask(_placement_request('new'), 1.0), messages.Queued
+    )
+    assert inventory_requests
     assert state.plans.surveys_due(1.0) == [_SERVICE]
-    assert state.plans.surveyed(_SERVICE, [_kept('a', 'b')], 1.01)
-    again = state.plans.ask(_ask('new'), 1.05)
+    assert state.plans.surveyed(_SERVICE, [_placements('a', 'b')], 1.01)
+    again = state.plans.ask(_placement_request('new'), 1.05)
     assert isinstance(again, messages.Queued)
-    # Both have ended by the next time that it asks.
-    assert not state.plans.surveyed(_SERVICE, [_kept()], 2.05)
-    place = state.plans.ask(_ask('new'), 2.1)
+    # Both placements are released before the next inventory.
+    assert not state.plans.surveyed(_SERVICE, [_placements()], 2.05)
+    place = state.plans.ask(_placement_request('new'), 2.1)
     assert isinstance(place, messages.Place)
 
 
-def test_a_home_asks_all_that_answer() -> None:
-    """One of the VMs is down when another becomes home.
+def test_the_inventory_includes_all_reachable_vms() -> None:
+    """One of the VMs is down when another becomes the coordinator.
 
-    Its places lapse, and those of the others are known at once.
+    Its placements expire, and those of the others are known immediately.
     """
     state = _state(['vm-1', 'vm-2', 'vm-3'], 'vm-1:1')
     owner = actors.Owner(state, lambda: 5.0)
     vms = _Vms()
-    vms.handlers['vm-2:1'] = lambda _: _kept('a')
-    survey = surveys.Surveys(
-        owner=owner, peers=vms, held=lambda _: _kept('b'), clock=lambda: 5.0
+    vms.handlers['vm-2:1'] = lambda _: _placements('a')
+    inventory = surveys.Surveys(
+        owner=owner,
+        peers=vms,
+        held=lambda _: _placements('b'),
+        clock=lambda: 5.0,
+    )
+    owner.run(
+        lambda state, now: state.plans.ask(_placement_request('new'), now)
     )
-    owner.run(lambda found, now: found.plans.ask(_ask('new'), now))
-    survey.step()
-    assert owner.run(lambda found, _: found.plans.planned())[_SERVICE][
+    inventory.step()
+    assert owner.run(lambda state, _: state.plans.planned())[_SERVICE][
         'planned'
     ] == {'d': 2}
     owner.stop()
 
 
 class _Vm:
-    """The asking side of one entry VM; `own` is the home by the hash.
+    """The requesting side of one entry VM; `own` is the coordinator by hash.
 
-    It is that VM itself unless told otherwise, then one that is never a home.
+    The VM is `own` itself, or one that is never a coordinator if `is_home` is
+    false.
     """
 
-    def __init__(self, answer: messages.Any, *, is_home: bool = True) -> None:
+    def __init__(self, reply: messages.Any, *, is_home: bool = True) -> None:
         names = [f'vm-{number}' for number in range(1, 5)]
         self.own = homes.home(_SERVICE, names)
         self.next = homes.home(_SERVICE, [n for n in names if n != self.own])
         self.now = 1.0
         self.vms = _Vms()
-        self.answer = answer
-        rest = [name for name in names if name not in (self.own, self.next)]
-        me = self.own if is_home else rest[0]
-        state = _state(names, f'{me}:1')
+        self.reply = reply
+        others = [name for name in names if name not in (self.own, self.next)]
+        entry_vm = self.own if is_home else others[0]
+        state = _state(names, f'{entry_vm}:1')
         self.owner = actors.Owner(state, self.clock)
         self.places = places.Places(
-            entry_vm=me,
+            entry_vm=entry_vm,
             owner=self.owner,
             homes=asking.Asking(
-                entry_vm=me,
-                handle=lambda _: self.answer,
+                entry_vm=entry_vm,
+                handle=lambda _: self.reply,
                 owner=self.owner,
                 peers=self.vms,
                 clock=self.clock,
@@ -177,17 +185,17 @@
         return self.now
 
 
-def test_a_home_that_stops_asks_the_next_one_for_its_own_requests() -> None:
-    """The VM that is home is stopped by plan, and still has callers.
+def test_a_stopping_coordinator_requests_from_its_successor() -> None:
+    """The coordinator is shut down in order and still has callers.
 
-    Refused by itself, it must not reserve at the engines behind the back of
-    the next home.
+    It refuses its own requests, and must not make reservations at the engines
+    that the next coordinator doesn't know of.
     """
     place = messages.Place(worker='d', prefiller='p')
     vm = _Vm(messages.Fail(code='stopping'))
     vm.vms.handlers[f'{vm.next}:1'] = lambda _: place
-    assert vm.places.ask(_ask('a')) == place
-    # Nobody asks it while it says that it is not fit.
+    assert vm.places.ask(_placement_request('a')) == place
+    # It gets no requests while it reports that it is unfit.
     vm.vms.handlers[f'{vm.own}:1'] = lambda _: messages.HomeReply(
         fit=False, grown=False
     )
@@ -203,7 +211,7 @@
     vm.owner.stop()
 
 
-def _fitness(
+def _make_fitness(
     peers: ports.PeerGroup, now: list[float], *, first_start: bool = False
 ) -> fitness.Fitness:
     state = _state(['vm-1', 'vm-2'], 'vm-1:1')
@@ -217,46 +225,46 @@
     )
 
 
-def test_a_new_process_leaves_homes_to_older_ones() -> None:
+def test_a_new_process_is_no_coordinator_beside_older_ones() -> None:
     """VMs are replaced one after the other while engines are full.
 
-    By the hash a new process would be home at once: the home would move twice
-    for each VM, and each time the VMs disagree for a moment.
+    By the hash a new process would be the coordinator at once: it would change
+    twice for each VM, and the VMs briefly disagree at each change.
     """
     now = [100.0]
     vms = _Vms()
     vms.handlers['vm-2:1'] = lambda _: messages.HomeReply(fit=True, grown=True)
-    found = _fitness(vms, now)
-    found.step()
-    assert found.reason() == 'young'
-    assert not found.reply().fit
+    vm_fitness = _make_fitness(vms, now)
+    vm_fitness.step()
+    assert vm_fitness.reason() == 'young'
+    assert not vm_fitness.reply().fit
     now[0] += fitness.GROWN_S
-    assert found.reason() == ''
-    assert found.reply() == messages.HomeReply(fit=True, grown=True)
+    assert vm_fitness.reason() == ''
+    assert vm_fitness.reply() == messages.HomeReply(fit=True, grown=True)
 
 
-def test_where_all_are_new_one_of_them_is_home() -> None:
-    """All VMs lose power at once and start again together."""
+def test_a_new_process_is_fit_if_all_others_are_new() -> None:
+    """All VMs lose power and restart at the same time."""
     now = [100.0]
     vms = _Vms()
     vms.handlers['vm-2:1'] = lambda _: messages.HomeReply(
         fit=False, grown=False
     )
-    found = _fitness(vms, now)
-    assert found.reason() == 'young'
-    found.step()
-    assert found.reason() == ''
+    vm_fitness = _make_fitness(vms, now)
+    assert vm_fitness.reason() == 'young'
+    vm_fitness.step()
+    assert vm_fitness.reason() == ''
 
 
-def test_at_the_first_start_of_all_no_one_waits() -> None:
-    assert _fitness(_Vms(), [100.0], first_start=True).reason() == ''
+def test_the_first_start_of_a_site_has_no_waiting_time() -> None:
+    assert _make_fitness(_Vms(), [100.0], first_start=True).reason() == ''
 
 
-def test_a_home_that_is_gone_for_good_is_found_before_it_is_needed() -> None:
-    """A VM was replaced, and the list still names it as the home.
+def test_a_removed_coordinator_is_detected_before_requests() -> None:
+    """A VM was removed, and by the list it still is the coordinator.
 
-    Each process that starts later lost half a second of its first requests to
-    it, and all processes start at once after a power loss.
+    Each process that starts later would delay its first requests by half a
+    second, and all processes start at once after a power loss.
     """
     place = messages.Place(worker='d', prefiller='p')
     vm = _Vm(place, is_home=False)
@@ -264,9 +272,9 @@
     for _ in range(suspects.MISSES):
         vm.places.step()
     vm.vms.asked.clear()
-    assert vm.places.ask(_ask('a')) == place
+    assert vm.places.ask(_placement_request('a')) == place
     assert vm.vms.asked == [f'{vm.next}:1']
-    # One that answered is not asked again for nothing.
+    # A VM that just replied gets no probe.
     vm.vms.asked.clear()
     vm.places.step()
     assert vm.vms.asked == []
--- a/tests/test_ownreads.py
+++ b/tests/test_ownreads.py
@@ -1,4 +1,4 @@
-"""Decode workers that read prompts while prefill workers are too few."""
+"""Local prefills of decode workers while prefill workers are too few."""
 
 import itertools
 import random
@@ -18,26 +18,26 @@
     slots=64,
     event_tokens=12,
 )
-# Of engines like those of the load below; the time beside reading is left out.
-_PER_S = 33_000.0
+# Speeds of the simulated engines below, without any network delay.
+_PREFILL_TOKENS_PER_S = 33_000.0
 _TOKEN_S = 0.004
 
 
 class _Load:
-    """One prefill worker is left beside seven decode workers, in a burst."""
+    """A burst for one remaining prefill worker and seven decode workers."""
 
     def __init__(self, gap_ms: int) -> None:
         self._rng = random.Random(3)
         self._gap_ms = gap_ms
         self.plan = placing.Plan()
         self.waiting: dict[str, messages.AskPlace] = {}
-        self.came: dict[str, float] = {}
-        # When the first event comes, by request.
-        self.first: dict[str, float] = {}
-        self.ends: dict[str, tuple[float, float, int]] = {}
-        self.read_at = 0.0
-        # Starts and ends of prompts that decode workers read, by worker.
-        self.own: dict[str, list[tuple[float, float]]] = {}
+        self.arrived_at: dict[str, float] = {}
+        # Time of the first event, by request.
+        self.first_event_at: dict[str, float] = {}
+        self.running: dict[str, tuple[float, float, int]] = {}
+        self.prefiller_free_at = 0.0
+        # Start and end of each local prefill, by decode worker.
+        self.local_prefills: dict[str, list[tuple[float, float]]] = {}
 
     def play(self) -> None:
         now, next_at = 0.0, 0.0
@@ -48,12 +48,12 @@
                 next_at += self._rng.expovariate(16.0)
                 self._arrive(now)
             for name in list(self.waiting):
-                self._ask(now, name, engines)
-            self._end(now)
+                self._request_placement(now, name, engines)
+            self._release_completed(now)
 
     def _arrive(self, now: float) -> None:
-        name = f'r{len(self.came)}'
-        self.came[name] = now
+        name = f'r{len(self.arrived_at)}'
+        self.arrived_at[name] = now
         self.waiting[name] = messages.AskPlace(
             service='s',
             request=name,
@@ -67,7 +67,7 @@
             gap_ms=self._gap_ms,
         )
 
-    def _ask(
+    def _request_placement(
         self,
         now: float,
         name: str,
@@ -79,20 +79,29 @@
             return
         del self.waiting[name]
         if place.reads_itself:
-            took_s = ownreads.read_s(msg.prompt, _PER_S)
-            first = now + took_s
-            self.own.setdefault(place.worker, []).append((now, first))
+            prefill_s = ownreads.read_s(msg.prompt, _PREFILL_TOKENS_PER_S)
+            first_event_at = now + prefill_s
+            self.local_prefills.setdefault(place.worker, []).append(
+                (now, first_event_at)
+            )
         else:
-            self.read_at = max(self.read_at, now) + msg.prompt / _PER_S
-            first = self.read_at
-        self.first[name] = first
-        self.ends[name] = (first + 400 * _TOKEN_S, first - now, msg.prompt)
+            self.prefiller_free_at = (
+                max(self.prefiller_free_at, now)
+                + msg.prompt / _PREFILL_TOKENS_PER_S
+            )
+            first_event_at = self.prefiller_free_at
+        self.first_event_at[name] = first_event_at
+        self.running[name] = (
+            first_event_at + 400 * _TOKEN_S,
+            first_event_at - now,
+            msg.prompt,
+        )
 
-    def _end(self, now: float) -> None:
-        for name, (ends_at, prefill_s, _) in list(self.ends.items()):
+    def _release_completed(self, now: float) -> None:
+        for name, (ends_at, prefill_s, _) in list(self.running.items()):
             if now < ends_at:
                 continue
-            del self.ends[name]
+            del self.running[name]
             self.plan.end(
                 now,
                 messages.EndPlace(
@@ -107,35 +116,43 @@
 
     def on_time(self) -> int:
         return sum(
-            at - self.came[name] <= 0.9 for name, at in self.first.items()
+            at - self.arrived_at[name] <= 0.9
+            for name, at in self.first_event_at.items()
         )
 
 
 def test_callers_are_served_while_prefill_workers_are_too_few() -> None:
-    """One of two prefill workers has left, and an engine will change for it.
+    """One of two prefill workers was removed; another engine replaces it.
 
-    Until then most callers would wait past their target beside free decode
-    memory. Of 146 callers 90 have their first event in time, and 46 if no
-    decode worker may read, since any pause would be seen.
+    Until it has changed its stage, most callers would miss their target while
+    decode memory is free.
+    Of 146 callers 90 are on time, or 46 if the permitted gap between events is
+    too short for local prefills.
     """
-    load, strict = _Load(gap_ms=300), _Load(gap_ms=1)
-    load.play()
+    tolerant, strict = _Load(gap_ms=300), _Load(gap_ms=1)
+    tolerant.play()
     strict.play()
-    assert not strict.own
-    assert len(load.came) == len(strict.came)
-    assert (strict.on_time(), load.on_time(), len(load.came)) == (46, 90, 146)
+    assert not strict.local_prefills
+    assert len(tolerant.arrived_at) == len(strict.arrived_at)
+    assert (strict.on_time(), tolerant.on_time(), len(tolerant.arrived_at)) == (
+        46,
+        90,
+        146,
+    )
 
 
-def test_no_caller_sees_two_prompts_in_one_pause() -> None:
-    """The answers of a decode worker stand still while it reads.
+def test_no_pause_of_a_response_spans_two_local_prefills() -> None:
+    """A decode worker sends no tokens during a local prefill.
 
-    Two prompts in a row, or a long one, would show as a pause, and every answer
-    there would be late.
+    Two prefills in a row, or a long one, would pause all responses of the
+    worker for longer than callers accept.
     """
     load = _Load(gap_ms=300)
     load.play()
-    assert load.own
-    for spans in load.own.values():
-        for (began, ended), (later, _) in itertools.pairwise(spans):
-            assert ended - began + 12 * _TOKEN_S <= 0.3
-            assert later - ended >= 0.25
+    assert load.local_prefills
+    for spans in load.local_prefills.values():
+        for (started_at, ended_at), (next_started_at, _) in itertools.pairwise(
+            spans
+        ):
+            assert ended_at - started_at + 12 * _TOKEN_S <= 0.3
+            assert next_started_at - ended_at >= 0.25
