--- a/packages/core/foxtaildale/accounts.py
+++ b/packages/core/foxtaildale/accounts.py
@@ -1,8 +1,8 @@
-"""Client accounts: who may send requests, under which keys, and how much.
+"""Client accounts: who may send requests, with which keys, and how many.
 
-A key is a secret. It is held and compared as a digest, made as soon as a
-request or a configuration is decoded, so that nothing that is logged, dumped
-or counted later can show it; people read the account's name.
+A key is a secret. It is stored and compared as a digest, which is computed as soon
+as a request or a configuration is decoded. So no log line, dump or metric can
+expose the key; they show the account's name instead.
 """
 
 import hashlib
@@ -12,7 +12,7 @@
 
 import msgspec
 
-# What a limit counts: requests, or the tokens that they may take.
+# What a limit counts: requests, or the tokens that they may use.
 Unit = Literal['request', 'token']
 
 _DIGEST_BYTES: Final = 16
@@ -21,18 +21,18 @@
 
 
 class Limit(msgspec.Struct, frozen=True, kw_only=True):
-    """How much an account may ask for, over all entry VMs together."""
+    """The rate limit of an account, over all entry VMs together."""
 
     unit: Unit = 'request'
     # Units a second; 0 for no limit.
     rate: float = 0.0
-    # Units beyond that at once.
+    # Units that may be used at once beyond the rate.
     burst: float = 0.0
-    # Tokens that a request counts as which tells none.
+    # Tokens that are counted for a request that states no token count.
     plain_tokens: int = 0
 
     def cost(self, prompt_tokens: int, output_tokens: int) -> int:
-        """Returns what one request counts as, in units."""
+        """Returns the cost of one request, units."""
         if self.unit == 'request':
             return 1
         return (prompt_tokens + output_tokens) or self.plain_tokens
@@ -44,7 +44,7 @@
     name: str
     # Digests of its keys.
     keys: frozenset[bytes] = frozenset()
-    # Goes before the priority of a route; None leaves that one in force.
+    # Overrides the priority of a route; None leaves the route's priority in force.
     priority: int | None = None
     limit: Limit = Limit()
 
@@ -54,38 +54,38 @@
 
     __slots__ = ('_by_key', '_by_name')
 
-    def __init__(self, known: tuple[Account, ...]) -> None:
-        self._by_name = {account.name: account for account in known}
+    def __init__(self, client_accounts: tuple[Account, ...]) -> None:
+        self._by_name = {account.name: account for account in client_accounts}
         self._by_key = {
-            key: account for account in known for key in account.keys
+            key: account for account in client_accounts for key in account.keys
         }
 
     def __len__(self) -> int:
         return len(self._by_name)
 
     def names(self) -> frozenset[str]:
-        """Returns the names of all."""
+        """Returns the names of all accounts."""
         return frozenset(self._by_name)
 
     def holder(self, key: bytes | None) -> Account | None:
-        """Returns the account that has a key, given as its digest."""
+        """Returns the account with a key, given as the key's digest."""
         return None if key is None else self._by_key.get(key)
 
     def named(self, name: str) -> Account | None:
-        """Returns an account."""
+        """Returns the account with a name; None if there is none."""
         return self._by_name.get(name)
 
 
 def digest(key: str) -> bytes:
-    """Returns what stands for a key wherever it is kept or compared."""
+    """Returns the digest under which a key is stored and compared."""
     return hashlib.blake2b(key.encode(), digest_size=_DIGEST_BYTES).digest()
 
 
 def from_header(value: str) -> bytes | None:
     """Returns the digest of the key in an Authorization header.
 
-    None if there is none that can be read. A header that came twice has its
-    values joined, and is none.
+    Returns None if the header has no valid key. The values of a repeated header
+    are joined, so that it has no valid key either.
     """
-    found = _BEARER.fullmatch(value)
-    return digest(found[1]) if found else None
+    match = _BEARER.fullmatch(value)
+    return digest(match[1]) if match else None
--- a/packages/core/foxtaildale/allowances.py
+++ b/packages/core/foxtaildale/allowances.py
@@ -1,14 +1,15 @@
-"""What each client account has used, as its home knows it.
-
-Load answered: an account that sends many times its usual, over all entry VMs at
-once. One VM, the home of the account, lets its requests in or says how long
-until it would; so what is refused lies beyond the limit, and nothing below it is.
-
-A home that takes over does not know what was let in before it. A full burst
-from each would pass the limit where homes move often, as when VMs are replaced
-one after the other or all lose power. So homes tell each other what they let in,
-and what a home was told nothing of it begins with a part of what may pass in
-error only.
+"""Usage of each client account, as counted by its coordinator.
+
+This limits an account that sends many times its usual load, over all entry VMs at
+once. One VM, the coordinator of the account, admits its requests or returns how
+long until it would admit them. So only requests beyond the limit are refused, and
+none below it.
+
+A new coordinator does not know what was admitted before it took over. If each new
+one began with a full burst, the account would exceed its limit where coordinators
+change often, for example when VMs are replaced one after the other or all lose
+power. So coordinators notify each other of what they admit. A coordinator that may
+have missed such updates begins with only a part of what may exceed the limit.
 """
 
 import msgspec
@@ -16,112 +17,113 @@
 from foxtaildale import accounts
 from foxtaildale import bucket
 
-# Times in one window that a home may move and begin anew, none being told.
+# Number of changes of the coordinator in one window that the tolerance covers,
+# if no new coordinator was notified of earlier usage.
 MOVES = 4.0
 
 
 class Tolerance(msgspec.Struct, frozen=True, kw_only=True):
-    """How far the use of an account may be above its limit."""
+    """How far the usage of an account may exceed its limit."""
 
-    # Length of the span in which it is counted, seconds.
+    # Length of the window in which usage is counted, seconds.
     window_s: float = 8.0
-    # Part of the limit, and units.
+    # Permitted excess: a fraction of the limit, and a fixed number of units.
     overage: float = 0.0
     slack: float = 0.0
 
     def units(self, limit: accounts.Limit) -> float:
-        """Returns what may pass above a limit in one window, units."""
+        """Returns the permitted excess over a limit in one window, units."""
         allowed = limit.rate * self.window_s + limit.burst
         return self.overage * allowed + self.slack
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What a home says of one request."""
+    """The decision of a coordinator on one request."""
 
-    # 0 if it is let in; else how long until it would be, seconds.
+    # 0 if the request is admitted; else how long until it would be, seconds.
     wait_s: float
-    # What is left then, units.
+    # Units left after the decision.
     level: float
 
 
 class Allowances:
-    """The accounts that this entry VM counts; the time is an argument."""
+    """Usage of the accounts that this entry VM counts; the time is an argument."""
 
-    __slots__ = ('_buckets', '_full_from', '_let_in', '_tolerance')
+    __slots__ = ('_admitted', '_buckets', '_known_since', '_tolerance')
 
     def __init__(
         self, tolerance: Tolerance, now: float, *, first_start: bool
     ) -> None:
-        """Begins to count.
+        """Begins to count usage.
 
         Args:
-            tolerance: How far a limit may be passed.
+            tolerance: How far usage may exceed a limit.
             now: Seconds.
-            first_start: Whether nothing can have been used before.
+            first_start: Whether no usage is possible before `now`.
         """
         self._tolerance = tolerance
-        # Since when nothing is known of what others let in; None if that is
-        # nothing.
-        self._full_from = None if first_start else now
+        # The time from which usage is known, seconds: what others admitted before
+        # is unknown. None if others admitted nothing before.
+        self._known_since = None if first_start else now
         self._buckets: dict[str, bucket.Bucket] = {}
-        # What was let in here and not told yet, by account.
-        self._let_in: dict[str, float] = {}
+        # Units admitted here and not yet announced, by account.
+        self._admitted: dict[str, float] = {}
 
     def ask(self, now: float, account: accounts.Account, cost: float) -> Answer:
-        """Lets a request in, or says when it would be."""
-        found = self._bucket(now, account)
-        wait_s = found.take(now, cost)
+        """Admits a request, or returns how long until it would be admitted."""
+        account_bucket = self._bucket(now, account)
+        wait_s = account_bucket.take(now, cost)
         if not wait_s:
-            self._note(account.name, cost)
-        return Answer(wait_s, found.level(now))
+            self._count(account.name, cost)
+        return Answer(wait_s, account_bucket.level(now))
 
     def give_back(
         self, now: float, account: accounts.Account, cost: float
     ) -> None:
-        """Takes back what a request counted as that did not run."""
+        """Refunds the cost of a request that did not run."""
         self._bucket(now, account).give_back(now, cost)
-        self._note(account.name, -cost)
+        self._count(account.name, -cost)
 
     def told(self, now: float, account: accounts.Account, cost: float) -> None:
-        """Takes what another home let in."""
+        """Counts units that another coordinator admitted."""
         self._bucket(now, account).spend(now, cost)
 
     def news(self) -> dict[str, float]:
-        """Returns what was let in since the last call, by account."""
-        found, self._let_in = self._let_in, {}
-        return found
+        """Returns the units admitted since the last call, by account."""
+        admitted, self._admitted = self._admitted, {}
+        return admitted
 
     def levels(self, now: float) -> dict[str, dict[str, float]]:
-        """Returns the accounts that are counted, for a person to read."""
+        """Returns the state of each counted account, for diagnostics."""
         return {
             name: {
-                'level': round(found.level(now)),
-                'rate': found.limit.rate,
-                'burst': found.limit.burst,
+                'level': round(account_bucket.level(now)),
+                'rate': account_bucket.limit.rate,
+                'burst': account_bucket.limit.burst,
             }
-            for name, found in sorted(self._buckets.items())
+            for name, account_bucket in sorted(self._buckets.items())
         }
 
     def keep(self, names: frozenset[str]) -> None:
-        """Forgets the accounts that are not among some."""
+        """Removes all accounts whose names are not given."""
         for name in [name for name in self._buckets if name not in names]:
             del self._buckets[name]
 
-    def _note(self, name: str, cost: float) -> None:
-        self._let_in[name] = self._let_in.get(name, 0.0) + cost
+    def _count(self, name: str, cost: float) -> None:
+        self._admitted[name] = self._admitted.get(name, 0.0) + cost
 
     def _bucket(self, now: float, account: accounts.Account) -> bucket.Bucket:
-        found = self._buckets.get(account.name)
-        if found is None:
-            level = self._first_level(now, account.limit)
-            found = bucket.Bucket(account.limit, now, level)
-            self._buckets[account.name] = found
-        elif found.limit != account.limit:
-            found.on_limit(now, account.limit)
-        return found
-
-    def _first_level(self, now: float, limit: accounts.Limit) -> float:
-        if self._full_from is None:
+        account_bucket = self._buckets.get(account.name)
+        if account_bucket is None:
+            level = self._initial_level(now, account.limit)
+            account_bucket = bucket.Bucket(account.limit, now, level)
+            self._buckets[account.name] = account_bucket
+        elif account_bucket.limit != account.limit:
+            account_bucket.on_limit(now, account.limit)
+        return account_bucket
+
+    def _initial_level(self, now: float, limit: accounts.Limit) -> float:
+        if self._known_since is None:
             return limit.burst
-        known = self._tolerance.units(limit) / MOVES
-        return known + limit.rate * (now - self._full_from)
+        permitted = self._tolerance.units(limit) / MOVES
+        return permitted + limit.rate * (now - self._known_since)
--- a/packages/core/foxtaildale/backoffs.py
+++ b/packages/core/foxtaildale/backoffs.py
@@ -1,104 +1,110 @@
-"""Backend servers that asked for backoff.
+"""Backend servers that requested backoff.
 
-A server that turns a request away may say for how long it wants nothing from the
-entry VM that sent it. That VM sends it nothing meanwhile. The others are told and
-prefer other servers, but are not bound: one VM may have been turned away alone.
+A server that refuses a request may state for how long it wants no requests from
+the entry VM that sent it. That VM sends it nothing during this time. The other VMs
+are notified and prefer other servers, but may still send to it, because the server
+may have refused only the one VM.
 
-Nothing here does I/O; the time is an argument.
+This module does no I/O; the time is an argument.
 """
 
 from collections.abc import Mapping
 from typing import Final
 
-# Servers that are remembered; those whose time ends first go first.
+# Maximum number of servers remembered; those whose backoff ends first are
+# removed first.
 MOST: Final = 4096
-# Longest time that a server is left alone for one answer, seconds. One request
-# then finds out whether it still wants that.
+# Maximum backoff that one response can request, seconds. After that, one request
+# shows whether the server still wants backoff.
 MOST_S: Final = 300.0
-# Word of another VM that ends less than this later than what is known is none,
-# seconds: the way between two VMs would lengthen it each time.
+# An update of another VM is ignored if it extends the known end of a backoff by
+# less than this, seconds: otherwise the network delay between two VMs would extend
+# the backoff with each update.
 _SLACK_S: Final = 0.5
 
-# When the server started, Unix milliseconds, and for how much longer, seconds.
+# When the server started, Unix milliseconds, and the remaining backoff, seconds.
 Word = tuple[int, float]
 
 
 class Backoffs:
-    """What one entry VM knows of them."""
+    """Backoffs that one entry VM knows of."""
 
-    __slots__ = ('_own', '_told')
+    __slots__ = ('_local', '_remote')
 
     def __init__(self) -> None:
-        # By server: its start, and when the time is over. As it told this VM, and
-        # as it told others.
-        self._own: dict[str, tuple[int, float]] = {}
-        self._told: dict[str, tuple[int, float]] = {}
+        # By server: when it started, Unix milliseconds, and when the backoff ends,
+        # seconds. `_local` was requested from this VM, `_remote` from other VMs.
+        self._local: dict[str, tuple[int, float]] = {}
+        self._remote: dict[str, tuple[int, float]] = {}
 
     def asked(
-        self, now: float, server: str, born: int, backoff_s: float
+        self, now: float, server: str, started_at: int, backoff_s: float
     ) -> bool:
-        """Takes what a server asked of this VM.
+        """Records a backoff that a server requested from this VM.
 
         Returns:
-            Whether it was not left alone by this VM before.
+            Whether this VM was not already backing off from the server.
         """
-        new = not self.own_s(now, server, born)
-        _put(self._own, now, server, born, now + min(backoff_s, MOST_S))
+        new = not self.own_s(now, server, started_at)
+        _put(self._local, now, server, started_at, now + min(backoff_s, MOST_S))
         return new
 
-    def own_s(self, now: float, server: str, born: int) -> float:
-        """Returns for how long this VM sends a server nothing, seconds."""
-        return _left_s(self._own, now, server, born)
+    def own_s(self, now: float, server: str, started_at: int) -> float:
+        """Returns the remaining backoff of this VM from a server, seconds."""
+        return _left_s(self._local, now, server, started_at)
 
-    def told_s(self, now: float, server: str, born: int) -> float:
-        """Returns for how long others send a server nothing, seconds."""
-        return _left_s(self._told, now, server, born)
+    def told_s(self, now: float, server: str, started_at: int) -> float:
+        """Returns the remaining backoff of other VMs from a server, seconds."""
+        return _left_s(self._remote, now, server, started_at)
 
-    def take(self, now: float, words: Mapping[str, Word]) -> None:
-        """Takes what another entry VM knows."""
-        for server, (born, left_s) in words.items():
+    def take(self, now: float, updates: Mapping[str, Word]) -> None:
+        """Records the backoffs that another entry VM reports."""
+        for server, (started_at, left_s) in updates.items():
             until = now + min(left_s, MOST_S)
-            known = self._told.get(server, (-1, 0.0))
-            if born > known[0] or until > known[1] + _SLACK_S:
-                _put(self._told, now, server, born, until)
+            latest = self._remote.get(server, (-1, 0.0))
+            if started_at > latest[0] or until > latest[1] + _SLACK_S:
+                _put(self._remote, now, server, started_at, until)
 
     def words(self, now: float) -> dict[str, Word]:
-        """Returns what is known here, for another entry VM."""
-        found: dict[str, Word] = {}
-        for known in (self._told, self._own):
-            for server, (born, until) in list(known.items()):
-                word = (born, until - now)
+        """Returns all backoffs known here, to report to another entry VM."""
+        latest: dict[str, Word] = {}
+        for table in (self._remote, self._local):
+            for server, (started_at, until) in list(table.items()):
+                backoff = (started_at, until - now)
                 if until <= now:
-                    del known[server]
-                elif word > found.get(server, (-1, 0.0)):
-                    found[server] = word
-        return found
+                    del table[server]
+                elif backoff > latest.get(server, (-1, 0.0)):
+                    latest[server] = backoff
+        return latest
 
 
 def _put(
-    known: dict[str, tuple[int, float]],
+    table: dict[str, tuple[int, float]],
     now: float,
     server: str,
-    born: int,
+    started_at: int,
     until: float,
 ) -> None:
-    before = known.get(server, (-1, 0.0))
-    if before[0] > born:
+    latest = table.get(server, (-1, 0.0))
+    if latest[0] > started_at:
         return
-    if before[0] == born:
-        until = max(until, before[1])
-    known[server] = (born, until)
-    if len(known) > MOST:
-        over = [name for name, (_, at) in known.items() if at <= now]
-        first = min(known, key=lambda name: known[name][1])
-        for name in over or [first]:
-            del known[name]
+    if latest[0] == started_at:
+        until = max(until, latest[1])
+    table[server] = (started_at, until)
+    if len(table) > MOST:
+        expired = [name for name, (_, at) in table.items() if at <= now]
+        first = min(table, key=lambda name: table[name][1])
+        for name in expired or [first]:
+            del table[name]
 
 
 def _left_s(
-    known: Mapping[str, tuple[int, float]], now: float, server: str, born: int
+    table: Mapping[str, tuple[int, float]],
+    now: float,
+    server: str,
+    started_at: int,
 ) -> float:
-    found = known.get(server)
-    if found is None or found[0] < born:
+    latest = table.get(server)
+    if latest is None or latest[0] < started_at:
         return 0.0
-    return max(0.0, found[1] - now)
+    return max(0.0, latest[1] - now)
--- a/packages/core/foxtaildale/bucket.py
+++ b/packages/core/foxtaildale/bucket.py
@@ -1,119 +1,124 @@
-"""A token bucket: what one client account may still ask for.
-
-Load answered: an account that sends many times its usual. What it may have
-comes back at its rate up to its burst; a request takes what it counts as, or
-learns how long until there is enough for it. Over any time no more passes than
-the rate and one burst, save what was let in elsewhere and told later, and a
-request that counts as more than the whole burst: the level goes below zero by
-those, and nothing passes until that is paid back.
-
-Where requests differ in size, what is left is soon enough for a smaller one and
-seldom for a large one, so an account that is over its limit would have none of
-its large ones served. One therefore passes no larger one that was turned away a
-moment before, unless it is so small that the other hardly waits for it.
-
-Those that are turned away together and told the same time come back together,
-and one of them finds enough. So each is told a time behind those before it.
+"""A token bucket: the units that one client account may still use.
+
+This limits an account that sends many times its usual load. Its units are
+replenished at the account's rate up to its burst. A request spends its cost, or
+is refused with the time until there are enough units for it. Over any time no
+more is admitted than the rate and one burst allow, with two exceptions: what
+another VM admitted and reported later, and a request that costs more than the
+whole burst. These take the level below zero, and nothing is admitted until the
+deficit is replenished.
+
+Where requests differ in size, the level is soon enough for a small one and seldom
+enough for a large one. An account over its limit would then have none of its large
+requests served. Therefore a request may not overtake a larger one that was refused
+a moment before, unless it is so small that it hardly delays the larger one.
+
+Requests that are refused together with the same wait would retry together, and
+only one of them would find enough units. So each is given a wait that lies behind
+the waits of those refused before it.
 """
 
 from typing import Final
 
 from foxtaildale import accounts
 
-# Least that a bucket holds, as seconds of its rate: a limit without a burst
-# must let requests in that come unevenly within a part of a second.
+# Minimum capacity of a bucket, as seconds of its rate: a limit without a burst
+# must admit requests that arrive unevenly within a fraction of a second.
 LEAST_S: Final = 0.25
-# How long smaller requests leave room for one that was turned away, seconds.
+# Time for which smaller requests leave units for a larger one that was refused,
+# seconds.
 ROOM_S: Final = 2.0
-# Part of a larger one's cost up to which a request passes it.
+# Fraction of the larger request's cost up to which a request may overtake it.
 SMALL_PART: Final = 0.125
-# Longest time by which those that were told to come back put others off,
-# seconds. Not all of them do, and callers heed no longer times.
+# Maximum time that requests which were refused earlier add to the wait of a later
+# one, seconds. Not all of them retry, and callers ignore longer waits.
 PROMISED_S: Final = 3.0
 
 
 class Bucket:
-    """One account's; the time is an argument."""
+    """The bucket of one account; the time is an argument."""
 
     __slots__ = (
         '_at',
+        '_deferred',
+        '_deferred_at',
+        '_headroom_until',
         '_level',
-        '_promised',
-        '_promised_at',
         '_room',
-        '_room_until',
         'limit',
     )
 
     def __init__(self, limit: accounts.Limit, now: float, level: float) -> None:
         self.limit = limit
         self._at = now
-        # As of `_at`, units.
+        # The level as of `_at`, units.
         self._level = min(level, self.most)
-        # What is left for a larger request that was turned away, and until
+        # Units that are left for a larger request that was refused, and until
         # when, seconds.
         self._room = 0.0
-        self._room_until = now
-        # What was turned away and told to come back, as of a time; it is worked
-        # off at the rate.
-        self._promised = 0.0
-        self._promised_at = now
+        self._headroom_until = now
+        # Units of the refused requests that are expected to retry, and the time
+        # up to which they are counted, seconds. They decrease at the rate.
+        self._deferred = 0.0
+        self._deferred_at = now
 
     @property
     def most(self) -> float:
-        """Returns what it holds when it is full, units."""
+        """Returns the capacity, units."""
         return max(self.limit.burst, LEAST_S * self.limit.rate)
 
     def level(self, now: float) -> float:
-        """Returns what is left, units."""
+        """Returns the units that are left."""
         gained = self.limit.rate * max(0.0, now - self._at)
         return min(self.most, self._level + gained)
 
     def take(self, now: float, cost: float) -> float:
-        """Takes what a request counts as, if there is enough.
+        """Spends the cost of a request, if there are enough units.
 
         Returns:
-            0 if it was taken; else how long until there is enough, seconds.
+            0 if it was spent; else how long until there are enough, seconds.
         """
-        if now >= self._room_until:
+        if now >= self._headroom_until:
             self._room = 0.0
-        own = min(cost, self.most)
-        waits = own > SMALL_PART * self._room
-        needed = max(own, self._room) if waits else own
+        bounded_cost = min(cost, self.most)
+        must_wait = bounded_cost > SMALL_PART * self._room
+        needed = max(bounded_cost, self._room) if must_wait else bounded_cost
         level = self.level(now)
         if level < needed:
-            if own >= self._room:
-                self._room = own
-                self._room_until = now + ROOM_S
-            return (needed - level + self._promise(now, own)) / self.limit.rate
+            if bounded_cost >= self._room:
+                self._room = bounded_cost
+                self._headroom_until = now + ROOM_S
+            return (
+                needed - level + self._defer(now, bounded_cost)
+            ) / self.limit.rate
         self._set(now, level - cost)
         return 0.0
 
     def spend(self, now: float, cost: float) -> None:
-        """Takes what was let in without asking here."""
+        """Spends units that were admitted elsewhere; the level may go below 0."""
         self._set(now, self.level(now) - cost)
 
     def give_back(self, now: float, cost: float) -> None:
-        """Takes back what a request counted as that did not run."""
+        """Refunds the cost of a request that did not run."""
         self._set(now, self.level(now) + cost)
 
     def on_limit(self, now: float, limit: accounts.Limit) -> None:
-        """Takes a changed limit; one that was raised helps at once."""
-        level, most = self.level(now), self.most
+        """Applies a changed limit; a raised one adds its extra capacity at once."""
+        level, capacity = self.level(now), self.most
         self.limit = limit
-        self._set(now, level + max(0.0, self.most - most))
+        self._set(now, level + max(0.0, self.most - capacity))
 
-    def _promise(self, now: float, cost: float) -> float:
-        """Puts a request behind those that were turned away before it.
+    def _defer(self, now: float, cost: float) -> float:
+        """Places a refused request behind those that were refused before it.
 
         Returns:
-            What those are to take first, units.
+            Units that the earlier requests are expected to spend first.
         """
         rate = self.limit.rate
-        worked_off = rate * (now - self._promised_at)
-        before = max(0.0, self._promised - worked_off)
-        self._promised = min(before + cost, PROMISED_S * rate)
-        self._promised_at = now
+        replenished = rate * (now - self._deferred_at)
+        before = max(0.0, self._deferred - replenished)
+        self._deferred = min(before + cost, PROMISED_S * rate)
+        self._deferred_at = now
         return before
 
     def _set(self, now: float, level: float) -> None:
--- a/packages/core/foxtaildale/crashes.py
+++ b/packages/core/foxtaildale/crashes.py
@@ -1,14 +1,14 @@
-"""Which request is to blame for servers that ended.
+"""Which requests caused crashes of backend servers.
 
-A request can end each server that begins to run it. All others that ran there are
-lost with it, some of them more than once, since their callers try again too. What
-tells them apart is that the request to blame began a moment before every one of
-these ends, while each other one is missing from some of them or had been running
-for long. So the fewest requests are looked for that explain the ends: the one that
-explains most is taken first, and the ends that it explains count against nobody
-else.
+A request can crash each server that begins to run it. All other requests that ran
+there are lost with the server, some of them more than once, since their callers
+retry too. The request at fault is recognised as follows: it began a moment before
+every one of these crashes, while each other request is missing from some of the
+crashes or had been running for long. So the smallest set of requests that explains
+the crashes is searched for. The request that explains the most crashes is taken
+first, and the crashes that it explains do not count against any other request.
 
-Nothing here does I/O; the time is an argument.
+This module does no I/O; the time is an argument.
 """
 
 from collections.abc import Collection
@@ -18,57 +18,60 @@
 
 from foxtaildale import messages
 
-# Ends that one request must explain to be blamed.
+# Total weight of the crashes that one request must explain to be blamed.
 ENDS: Final = 3.0
-# A request that began this long before an end, seconds, is a likely cause; one of
-# which that is not known, if it was sent then. Its answer's head may be lost with
-# the server, so that nothing tells that it had begun.
+# A request that began at most this long before a crash, seconds, is a likely cause.
+# If it is unknown when the request began, the time at which it was sent counts: the
+# head of its response, which shows that it had begun, may be lost in the crash.
 SOON_S: Final = 0.5
-# How much an end counts against a request that had been there for longer.
-_UNLIKELY: Final = 0.5
-# Time from the first report of an end until it is judged, seconds: reports of
-# other entry VMs may name a likelier cause.
+# Weight of a crash for a request that had been running for longer.
+_UNLIKELY_WEIGHT: Final = 0.5
+# Time from the first report of a crash until it is evaluated, seconds: reports of
+# other entry VMs may contain a likelier cause.
 SETTLE_S: Final = 0.5
-# How much longer one report may be on its way than another, seconds.
-_WAY_S: Final = 0.1
-# How long an end counts, seconds.
+# Maximum difference between the network delays of two reports, seconds.
+_DELAY_SPREAD_S: Final = 0.1
+# How long a crash counts, seconds.
 COUNTS_S: Final = 300.0
-# Ends that are remembered, and requests for each of them.
+# Maximum number of crashes remembered, and of requests for each of them.
 MOST_ENDS: Final = 256
 MOST_REQUESTS: Final = 64
-# Reports that are passed on at once.
+# Maximum number of reports that are passed on at once.
 MOST_REPORTS: Final = 256
 
-# One start of a server: its id, and when it started.
-_Start = tuple[str, int]
+# One incarnation of a server: its id, and when it started, Unix milliseconds.
+_Incarnation = tuple[str, int]
 
 
-class _End:
-    """The end of a server, and what ran there."""
+class _ServerCrash:
+    """The crash of one incarnation of a server, and the requests that ran there."""
 
-    __slots__ = ('_began_at', 'at', 'ended_at', 'ran')
+    __slots__ = ('_began_at', 'at', 'happened_at', 'ran')
 
-    def __init__(self, at: float, ended_at: float) -> None:
-        # When it was first reported, and when it was, seconds.
+    def __init__(self, at: float, happened_at: float) -> None:
+        # When the crash was first reported, and when it happened, seconds.
         self.at = at
-        self.ended_at = ended_at
-        # By fingerprint.
+        self.happened_at = happened_at
+        # Reports of the requests that ran there, by fingerprint.
         self.ran: dict[int, messages.Crash] = {}
-        # When each began there, seconds, by fingerprint.
+        # When each request began there, seconds, by fingerprint.
         self._began_at: dict[int, float] = {}
 
-    def add(self, crash: messages.Crash, broke_at: float) -> None:
-        """Adds a request; leaves out what was sent after the end.
+    def add(self, crash: messages.Crash, crashed_at: float) -> None:
+        """Adds a request, and removes requests that were sent after the crash.
 
-        That went on a kept connection, which the end had broken before.
+        Such a request was sent on a kept-alive connection that the crash had
+        already broken.
         """
         request = crash.fingerprint
         self.ran[request] = crash
-        self._began_at[request] = broke_at - crash.ran_ms / 1000
-        self.ended_at = min(self.ended_at, broke_at)
-        last = self.ended_at + _WAY_S
-        for late in [one for one, at in self._began_at.items() if at > last]:
-            self.drop(late)
+        self._began_at[request] = crashed_at - crash.ran_ms / 1000
+        self.happened_at = min(self.happened_at, crashed_at)
+        last = self.happened_at + _DELAY_SPREAD_S
+        for late_request in [
+            one for one, at in self._began_at.items() if at > last
+        ]:
+            self.drop(late_request)
         if len(self.ran) > MOST_REQUESTS:
             longest = max(self.ran.values(), key=lambda ran: ran.ran_ms)
             self.drop(longest.fingerprint)
@@ -79,108 +82,126 @@
         self._began_at.pop(fingerprint, None)
 
     def reports(self, now: float) -> list[messages.Crash]:
-        """Returns what was added and still counts, with its age."""
-        found = []
+        """Returns the reports that still count, with their current age."""
+        reports = []
         for fingerprint, crash in self.ran.items():
             began_at = self._began_at[fingerprint]
             age_s = now - began_at - crash.ran_ms / 1000
             if age_s <= COUNTS_S:
-                aged = msgspec.structs.replace(crash, age_ms=int(age_s * 1000))
-                found.append(aged)
-        return found
+                report = msgspec.structs.replace(
+                    crash, age_ms=int(age_s * 1000)
+                )
+                reports.append(report)
+        return reports
 
     def weight(self, fingerprint: int) -> float:
-        """Returns how much it counts against a request."""
-        found = self.ran.get(fingerprint)
-        if found is None:
+        """Returns the weight of this crash for a request."""
+        crash = self.ran.get(fingerprint)
+        if crash is None:
             return 0.0
-        return 1.0 if is_likely(found) else _UNLIKELY
+        return 1.0 if is_likely(crash) else _UNLIKELY_WEIGHT
 
 
 class Crashes:
-    """Ends of servers that entry VMs reported."""
+    """Crashes of servers that entry VMs reported."""
 
     __slots__ = ('_ends',)
 
     def __init__(self) -> None:
-        # Those that were reported first at the front.
-        self._ends: dict[_Start, _End] = {}
+        # The crashes that were reported first are at the front.
+        self._ends: dict[_Incarnation, _ServerCrash] = {}
 
     def note(self, now: float, crash: messages.Crash) -> None:
-        """Takes a request that ran on a server as that ended."""
-        start = crash.server, crash.born
-        broke_at = now - crash.age_ms / 1000
-        end = self._ends.get(start)
-        if end is None:
-            end = self._ends[start] = _End(now, broke_at)
+        """Records a request that ran on a server when the server crashed."""
+        incarnation = crash.server, crash.born
+        crashed_at = now - crash.age_ms / 1000
+        server_crash = self._ends.get(incarnation)
+        if server_crash is None:
+            server_crash = self._ends[incarnation] = _ServerCrash(
+                now, crashed_at
+            )
             if len(self._ends) > MOST_ENDS:
                 del self._ends[next(iter(self._ends))]
-        end.add(crash, broke_at)
+        server_crash.add(crash, crashed_at)
 
     def acquit(self, fingerprint: int) -> None:
-        """Forgets a request that is not to blame."""
-        for end in self._ends.values():
-            end.drop(fingerprint)
+        """Removes a request that is not at fault."""
+        for server_crash in self._ends.values():
+            server_crash.drop(fingerprint)
 
     def blamed(self, now: float, known: Collection[int]) -> list[int]:
-        """Returns the fingerprints of requests to blame that are not known.
+        """Returns the fingerprints of requests that are newly blamed.
 
         Args:
             now: Seconds.
-            known: Fingerprints of those that were blamed before.
+            known: Fingerprints of requests that were blamed before.
         """
-        self._forget(now)
-        open_ends = [
-            end
-            for end in self._ends.values()
-            if now - end.at >= SETTLE_S
-            and not any(end.weight(known_one) >= 1.0 for known_one in known)
+        self._expire(now)
+        open_crashes = [
+            server_crash
+            for server_crash in self._ends.values()
+            if now - server_crash.at >= SETTLE_S
+            and not any(
+                server_crash.weight(blamed_request) >= 1.0
+                for blamed_request in known
+            )
         ]
-        found = []
-        while (best := _likeliest(open_ends)) is not None:
-            found.append(best)
-            open_ends = [end for end in open_ends if best not in end.ran]
-        return found
+        blamed = []
+        while (best := _likeliest(open_crashes)) is not None:
+            blamed.append(best)
+            open_crashes = [
+                server_crash
+                for server_crash in open_crashes
+                if best not in server_crash.ran
+            ]
+        return blamed
 
     def pending(self, now: float) -> bool:
-        """Whether any end still counts."""
-        self._forget(now)
+        """Whether any crash still counts."""
+        self._expire(now)
         return bool(self._ends)
 
     def reports(self, now: float) -> list[messages.Crash]:
-        """Returns what was noted and still counts, whoever reported it.
+        """Returns the recorded reports that still count, from all entry VMs.
 
-        The newest come last; those that are told are bounded.
+        The newest come last. At most `MOST_REPORTS` are returned.
         """
-        self._forget(now)
-        found = [
-            crash for end in self._ends.values() for crash in end.reports(now)
+        self._expire(now)
+        reports = [
+            crash
+            for server_crash in self._ends.values()
+            for crash in server_crash.reports(now)
         ]
-        return found[-MOST_REPORTS:]
+        return reports[-MOST_REPORTS:]
 
     def is_settling(self, now: float) -> bool:
-        """Whether an end was reported a moment ago."""
-        return any(now - end.at <= 2 * SETTLE_S for end in self._ends.values())
-
-    def _forget(self, now: float) -> None:
-        for start, end in list(self._ends.items()):
-            if now - end.at <= COUNTS_S:
+        """Whether a crash was reported recently."""
+        return any(
+            now - server_crash.at <= 2 * SETTLE_S
+            for server_crash in self._ends.values()
+        )
+
+    def _expire(self, now: float) -> None:
+        for incarnation, server_crash in list(self._ends.items()):
+            if now - server_crash.at <= COUNTS_S:
                 break
-            del self._ends[start]
+            del self._ends[incarnation]
 
 
 def is_likely(crash: messages.Crash) -> bool:
-    """Whether a server ended as it began to run a request."""
+    """Whether a server crashed just after it began to run a request."""
     return crash.ran_ms <= SOON_S * 1000
 
 
-def _likeliest(ends: list[_End]) -> int | None:
-    """Returns the request that explains most of some ends, if enough."""
+def _likeliest(server_crashes: list[_ServerCrash]) -> int | None:
+    """Returns the request that explains the most crashes, if it is to blame."""
     weights: dict[int, float] = {}
     ran_ms: dict[int, int] = {}
-    for end in ends:
-        for fingerprint, crash in end.ran.items():
-            weight = weights.get(fingerprint, 0.0) + end.weight(fingerprint)
+    for server_crash in server_crashes:
+        for fingerprint, crash in server_crash.ran.items():
+            weight = weights.get(fingerprint, 0.0) + server_crash.weight(
+                fingerprint
+            )
             weights[fingerprint] = weight
             ran_ms[fingerprint] = ran_ms.get(fingerprint, 0) + crash.ran_ms
     if not weights:
--- a/packages/core/foxtaildale/departures.py
+++ b/packages/core/foxtaildale/departures.py
@@ -1,27 +1,28 @@
-"""Which backend servers have said that they leave.
+"""Which backend servers have announced that they leave.
 
-A server that leaves says so in its entry of the list and in its answers; while the
-store is away, in its answers only. What one entry VM hears it tells the others, so
-word of one start of a server has a revision: it counts up each time that the server
-is found to leave (odd) or not to leave any more (even), and the higher one holds,
-whatever order it comes in.
+A leaving server announces it in its entry in the list and in its responses; while
+the store is unavailable, only in its responses. An entry VM reports what it learns
+to the other VMs, in any order. Therefore the state of each incarnation of a server
+has a revision. It is incremented each time the server is found to leave (odd) or no
+longer to leave (even), and the higher revision wins.
 
-Nothing here does I/O; the time is an argument.
+This module does no I/O; the time is an argument.
 """
 
 from collections.abc import Mapping
 from typing import Final
 
-# Servers that are remembered; those that changed longest ago go first.
+# Maximum number of servers remembered; those that changed longest ago are removed
+# first.
 MOST: Final = 4096
-# Entries that call a server ready, written after it was found to leave, that
-# withdraw its leave, and the least time between two that count, seconds. One may
-# have been on its way to the store, and a store that comes back from a copy has old
-# ones written again.
+# Number of entries with state ready, written after a server was found to leave,
+# that withdraw its departure, and the minimum interval between two that count,
+# seconds. One entry is not enough: it may have been in transit to the store, and a
+# store that is restored from a copy receives old entries again.
 READY_ENTRIES: Final = 3
 ENTRY_S: Final = 1.0
-# How long word that is new here is told to other entry VMs, seconds. One that was
-# cut off for longer hears of it from the list, or from the server.
+# How long a change is reported to other entry VMs, seconds. A VM that was
+# disconnected for longer learns of it from the list or from the server.
 NEWS_S: Final = 10.0
 
 # When the server started, Unix milliseconds, and the revision.
@@ -29,102 +30,117 @@
 
 
 class Departures:
-    """What one entry VM knows of them."""
+    """Departures of servers that one entry VM knows of."""
 
-    __slots__ = ('_ready', '_taken_at', '_words')
+    __slots__ = ('_changed_at', '_ready_entries', '_states')
 
     def __init__(self) -> None:
-        # By server, the one that changed last at the end.
-        self._words: dict[str, Word] = {}
-        # When each word was taken, seconds.
-        self._taken_at: dict[str, float] = {}
-        # Entries that call a leaving server ready, and when the last one came.
-        self._ready: dict[str, tuple[int, float]] = {}
-
-    def leaving(self, server: str, born: int) -> bool:
-        """Whether a start of a server leaves; any thread may ask."""
-        return self.revision(server, born) % 2 == 1
-
-    def revision(self, server: str, born: int) -> int:
-        """Returns the revision of the word on a start; 0 if there is none."""
-        known = self._words.get(server)
-        return known[1] if known is not None and known[0] >= born else 0
-
-    def said(self, now: float, server: str, born: int) -> bool:
-        """Takes that a start of a server leaves; returns whether it is new."""
-        self._ready.pop(server, None)
-        known = self._words.get(server)
-        if known is not None and known[0] > born:
+        # By server; the one that changed last is at the end.
+        self._states: dict[str, Word] = {}
+        # When the state of each server last changed here, seconds.
+        self._changed_at: dict[str, float] = {}
+        # For each leaving server, the number of entries with state ready, and when
+        # the last one was counted, seconds.
+        self._ready_entries: dict[str, tuple[int, float]] = {}
+
+    def leaving(self, server: str, started_at: int) -> bool:
+        """Whether an incarnation of a server leaves; safe from any thread."""
+        return self.revision(server, started_at) % 2 == 1
+
+    def revision(self, server: str, started_at: int) -> int:
+        """Returns the revision of an incarnation's state; 0 if there is none."""
+        state = self._states.get(server)
+        return state[1] if state is not None and state[0] >= started_at else 0
+
+    def said(self, now: float, server: str, started_at: int) -> bool:
+        """Records that an incarnation of a server leaves.
+
+        Returns:
+            Whether that is a change.
+        """
+        self._ready_entries.pop(server, None)
+        state = self._states.get(server)
+        if state is not None and state[0] > started_at:
             return False
-        if known is None or known[0] < born:
-            self._put(now, server, (born, 1))
+        if state is None or state[0] < started_at:
+            self._put(now, server, (started_at, 1))
             return True
-        if known[1] % 2 == 1:
+        if state[1] % 2 == 1:
             return False
-        self._put(now, server, (born, known[1] + 1))
+        self._put(now, server, (started_at, state[1] + 1))
         return True
 
-    def withdrawn(self, now: float, server: str, born: int) -> bool:
-        """Takes that it does not leave any more; returns whether that is new."""
-        known = self._words.get(server)
-        if known is None or known[0] != born or known[1] % 2 == 0:
+    def withdrawn(self, now: float, server: str, started_at: int) -> bool:
+        """Records that an incarnation of a server no longer leaves.
+
+        Returns:
+            Whether that is a change.
+        """
+        state = self._states.get(server)
+        if state is None or state[0] != started_at or state[1] % 2 == 0:
             return False
-        self._put(now, server, (born, known[1] + 1))
+        self._put(now, server, (started_at, state[1] + 1))
         return True
 
-    def listed(self, now: float, server: str, born: int) -> bool:
-        """Takes an entry that calls it ready, read from the store.
+    def listed(self, now: float, server: str, started_at: int) -> bool:
+        """Counts an entry with state ready that was read from the store.
 
         Returns:
-            Whether that withdraws its leave.
+            Whether that withdraws the server's departure.
         """
-        if not self.leaving(server, born):
+        if not self.leaving(server, started_at):
             return False
-        count, last_at = self._ready.get(server, (0, now))
+        count, last_at = self._ready_entries.get(server, (0, now))
         if count and now - last_at < ENTRY_S:
             return False
-        self._ready[server] = (count + 1, now)
-        return count + 1 >= READY_ENTRIES and self.withdrawn(now, server, born)
+        self._ready_entries[server] = (count + 1, now)
+        return count + 1 >= READY_ENTRIES and self.withdrawn(
+            now, server, started_at
+        )
+
+    def take(self, now: float, states: Mapping[str, Word]) -> list[str]:
+        """Merges the states that another entry VM reports.
 
-    def take(self, now: float, words: Mapping[str, Word]) -> list[str]:
-        """Takes what another entry VM knows; returns the servers it changes."""
+        Returns:
+            The servers whose state changed.
+        """
         newer = [
             server
-            for server, word in words.items()
-            if tuple(word) > self._words.get(server, (-1, 0))
+            for server, state in states.items()
+            if tuple(state) > self._states.get(server, (-1, 0))
         ]
         for server in newer:
-            self._put(now, server, (words[server][0], words[server][1]))
+            self._put(now, server, (states[server][0], states[server][1]))
         return newer
 
     def word(self, server: str) -> Word:
-        """Returns the word on a server.
+        """Returns the state of a server.
 
         Raises:
-            KeyError: There is none.
+            KeyError: No state of the server is known.
         """
-        return self._words[server]
+        return self._states[server]
 
     def words(self) -> dict[str, Word]:
-        """Returns all that is known, for an entry VM that starts."""
-        return dict(self._words)
+        """Returns the states of all servers, for an entry VM that starts."""
+        return dict(self._states)
 
     def news(self, now: float) -> dict[str, Word]:
-        """Returns what was learned lately."""
-        found: dict[str, Word] = {}
-        for server, taken_at in reversed(self._taken_at.items()):
-            if now - taken_at >= NEWS_S:
+        """Returns the states that changed within the last `NEWS_S` seconds."""
+        recent: dict[str, Word] = {}
+        for server, changed_at in reversed(self._changed_at.items()):
+            if now - changed_at >= NEWS_S:
                 break
-            found[server] = self._words[server]
-        return found
-
-    def _put(self, now: float, server: str, word: Word) -> None:
-        for known in (self._words, self._taken_at, self._ready):
-            known.pop(server, None)
-        self._words[server] = word
-        self._taken_at[server] = now
-        if len(self._words) > MOST:
-            oldest = next(iter(self._words))
-            del self._words[oldest]
-            del self._taken_at[oldest]
-            self._ready.pop(oldest, None)
+            recent[server] = self._states[server]
+        return recent
+
+    def _put(self, now: float, server: str, state: Word) -> None:
+        for table in (self._states, self._changed_at, self._ready_entries):
+            table.pop(server, None)
+        self._states[server] = state
+        self._changed_at[server] = now
+        if len(self._states) > MOST:
+            oldest = next(iter(self._states))
+            del self._states[oldest]
+            del self._changed_at[oldest]
+            self._ready_entries.pop(oldest, None)
--- a/packages/core/foxtaildale/fingerprint.py
+++ b/packages/core/foxtaildale/fingerprint.py
@@ -1,8 +1,8 @@
-"""What all sends of one request have in common, under whatever id they come.
+"""Fingerprints that identify a request across its attempts.
 
-A caller that tries again does so under a new id, often at another entry VM. The
-fingerprint is the same for all of these: it is a digest of the client account,
-the target and the body, from which none of them can be had back.
+A caller retries under a new id, often at another entry VM. The fingerprint is the
+same for all attempts. It is a digest of the client account, the target and the
+body, from which none of these can be recovered.
 """
 
 import hashlib
@@ -14,13 +14,13 @@
 
 def of(call: forwarding.Call) -> int:
     """Returns the fingerprint of a request, 64 bits."""
-    found = hashlib.blake2b(call.body, digest_size=_BYTES)
+    hasher = hashlib.blake2b(call.body, digest_size=_BYTES)
     for part in (call.account, call.host, call.method, call.target):
-        found.update(b'\0')
-        found.update(part.encode())
-    return int.from_bytes(found.digest())
+        hasher.update(b'\0')
+        hasher.update(part.encode())
+    return int.from_bytes(hasher.digest())
 
 
 def text(fingerprint: int) -> str:
-    """Returns it as it stands in log lines and records."""
+    """Returns a fingerprint as text for log lines and records."""
     return f'{fingerprint:016x}'
--- a/packages/core/foxtaildale/hints.py
+++ b/packages/core/foxtaildale/hints.py
@@ -1,9 +1,9 @@
-"""What prefill workers' prefix caches may hold.
+"""Estimated contents of the prefix caches of prefill workers.
 
-Cache events come late and with gaps, so nothing here is sure: a hint sways the
-choice of a worker and the estimate, and never more than what hints turned out
-to be worth lately. A worker that a prompt was placed at is assumed to hold its
-prefix from then on, which closes most gaps before the event arrives.
+Cache events arrive late and with gaps, so these contents are uncertain. A hint
+influences only the choice of a worker and the estimate, weighted by how accurate
+recent hints were. A worker at which a prompt was placed is assumed to hold the
+prompt's prefix from then on, which covers most gaps before the event arrives.
 """
 
 import collections
@@ -16,65 +16,73 @@
 
 _Value = TypeVar('_Value')
 
-# Prefixes remembered for each worker; the oldest go first.
-_REMEMBERED: Final = 1024
+# Maximum number of prefixes remembered for each worker; the oldest are removed
+# first.
+_MAX_PREFIXES: Final = 1024
 
 
 class Hints:
-    """Prefixes by prefill worker."""
+    """Prefixes that each prefill worker may have cached."""
 
-    __slots__ = ('_held', '_tokens', '_trust')
+    __slots__ = ('_accuracy', '_prefix_tokens', '_prefixes')
 
-    # Worker to the prefixes that it may hold, oldest first.
-    _held: dict[str, collections.OrderedDict[str, None]]
-    # Lengths of prefixes, tokens, as events told them.
-    _tokens: collections.OrderedDict[str, int]
-    # Share of the hinted tokens that engines really had.
-    _trust: estimates.Average
+    # The prefixes that each worker may hold, by worker; oldest first.
+    _prefixes: dict[str, collections.OrderedDict[str, None]]
+    # Lengths of prefixes, tokens, as reported by events.
+    _prefix_tokens: collections.OrderedDict[str, int]
+    # Fraction of the hinted tokens that engines actually had cached.
+    _accuracy: estimates.Average
 
     def __init__(self) -> None:
-        self._held = {}
-        self._tokens = collections.OrderedDict()
-        self._trust = estimates.Average(0.5)
+        self._prefixes = {}
+        self._prefix_tokens = collections.OrderedDict()
+        self._accuracy = estimates.Average(0.5)
 
     def on_event(self, worker: str, event: backends.CacheEvent) -> None:
-        """Takes a cache event."""
-        self._tokens[event.prefix] = event.tokens
-        _trim(self._tokens)
+        """Applies a cache event."""
+        self._prefix_tokens[event.prefix] = event.tokens
+        _trim(self._prefix_tokens)
         if event.kind == 'stored':
             self.placed(worker, (event.prefix,))
         else:
-            self._held.get(worker, collections.OrderedDict()).pop(
+            self._prefixes.get(worker, collections.OrderedDict()).pop(
                 event.prefix, None
             )
 
     def placed(self, worker: str, prefixes: Sequence[str]) -> None:
-        """A prompt with these prefixes was placed at a worker."""
-        held = self._held.setdefault(worker, collections.OrderedDict())
+        """Records that a prompt with these prefixes was placed at a worker."""
+        worker_prefixes = self._prefixes.setdefault(
+            worker, collections.OrderedDict()
+        )
         for prefix in prefixes:
-            held[prefix] = None
-            held.move_to_end(prefix)
-        _trim(held)
+            worker_prefixes[prefix] = None
+            worker_prefixes.move_to_end(prefix)
+        _trim(worker_prefixes)
 
     def expect(self, worker: str, prefixes: Sequence[str]) -> int:
-        """Returns how many tokens a worker's cache probably saves."""
-        return round(self._trust.value * self._hinted(worker, prefixes))
+        """Returns the estimated number of tokens that a worker has cached."""
+        return round(self._accuracy.value * self._hinted_tokens(worker, prefixes))
 
     def checked(
         self, worker: str, prefixes: Sequence[str], cached: int
     ) -> None:
-        """Compares a hint with what the engine had."""
-        hinted = self._hinted(worker, prefixes)
+        """Updates the accuracy of hints from the tokens an engine had cached."""
+        hinted = self._hinted_tokens(worker, prefixes)
         if hinted:
-            self._trust.add(min(1.0, cached / hinted))
+            self._accuracy.add(min(1.0, cached / hinted))
 
-    def _hinted(self, worker: str, prefixes: Sequence[str]) -> int:
-        held = self._held.get(worker, ())
+    def _hinted_tokens(self, worker: str, prefixes: Sequence[str]) -> int:
+        worker_prefixes = self._prefixes.get(worker, ())
         return max(
-            (self._tokens.get(p, 0) for p in prefixes if p in held), default=0
+            (
+                self._prefix_tokens.get(p, 0)
+                for p in prefixes
+                if p in worker_prefixes
+            ),
+            default=0,
         )
 
 
 def _trim(table: collections.OrderedDict[str, _Value]) -> None:
-    while len(table) > _REMEMBERED:
+    while len(table) > _MAX_PREFIXES:
         table.popitem(last=False)
--- a/packages/core/foxtaildale/quarantine.py
+++ b/packages/core/foxtaildale/quarantine.py
@@ -1,103 +1,105 @@
-"""Requests that are sent to no server, for a while.
+"""Requests that are sent to no server for a limited time.
 
-Only fingerprints are kept (`fingerprint`). Every entry VM has all of them, so that
-a request is refused without asking anybody. One that ran to its end at some entry
-VM is cleared: it ends no server, whatever it was blamed for. What VMs tell each
-other has the time that is left, since their clocks differ.
+Only fingerprints are stored (`fingerprint`). Every entry VM has all of them, so that
+it can refuse a request without a request to another VM. A request that ran to
+completion at some entry VM is cleared: it crashes no server, whatever it was blamed
+for. VMs report the remaining time to each other, since their clocks differ.
 
-Nothing here does I/O; the time is an argument.
+This module does no I/O; the time is an argument.
 """
 
 from collections.abc import Mapping
 from typing import Final
 
-# How long a request is held, and how long a cleared one can't be, seconds.
+# How long a request is quarantined, and how long a cleared one can't be, seconds.
 HELD_S: Final = 900.0
-# Requests that are remembered of each kind; those that lapse first go first.
+# Maximum number of quarantined and of cleared requests remembered; those that
+# expire first are removed first.
 MOST: Final = 256
-# What is told again lapses when it was first said to, but for this, and what is
-# about to lapse is not taken, seconds: the way between two VMs would lengthen it
-# each time.
+# A repeated report extends an expiry only if it does so by more than this, and a
+# report with less than this left is ignored, seconds: otherwise the network delay
+# between two VMs would extend the expiry with each report.
 _SLACK_S: Final = 5.0
 
 
-class _Lapsing:
-    """Fingerprints, each for a time."""
+class _ExpiringSet:
+    """Fingerprints with expiry times."""
 
     __slots__ = ('until',)
 
     def __init__(self) -> None:
-        # Replaced and never changed, so that any thread may read it.
+        # Expiry by fingerprint, seconds. The dict is replaced and never modified,
+        # so that any thread may read it.
         self.until: dict[int, float] = {}
 
     def add(self, now: float, fingerprint: int, left_s: float) -> bool:
-        """Adds one; returns whether it was not there."""
-        known = self.until.get(fingerprint, now)
-        if known > now and now + left_s <= known + _SLACK_S:
+        """Adds a fingerprint; returns whether it was not present."""
+        expiry = self.until.get(fingerprint, now)
+        if expiry > now and now + left_s <= expiry + _SLACK_S:
             return False
         until = {key: at for key, at in self.until.items() if at > now}
         until[fingerprint] = now + left_s
         while len(until) > MOST:
             del until[min(until, key=until.__getitem__)]
         self.until = until
-        return known <= now
+        return expiry <= now
 
     def drop(self, fingerprint: int) -> None:
-        """Removes one; harmless if it is not there."""
+        """Removes a fingerprint; does nothing if it is not present."""
         if fingerprint in self.until:
             self.until = {
                 key: at for key, at in self.until.items() if key != fingerprint
             }
 
     def left(self, now: float) -> dict[int, float]:
-        """Returns how long each one stays, seconds."""
+        """Returns the remaining time of each fingerprint, seconds."""
         return {key: at - now for key, at in self.until.items() if at > now}
 
 
 class Quarantine:
-    """What one entry VM knows of such requests."""
+    """Quarantined and cleared requests that one entry VM knows of."""
 
-    __slots__ = ('_cleared', '_held')
+    __slots__ = ('_cleared', '_quarantined')
 
     def __init__(self) -> None:
-        self._held = _Lapsing()
-        self._cleared = _Lapsing()
+        self._quarantined = _ExpiringSet()
+        self._cleared = _ExpiringSet()
 
     def hold(
         self, now: float, fingerprint: int, left_s: float = HELD_S
     ) -> bool:
-        """Holds a request; returns whether it was not held before."""
+        """Quarantines a request; returns whether it was not quarantined before."""
         if self._cleared.until.get(fingerprint, now) > now:
             return False
         if not 0 < left_s <= HELD_S:
             return False
-        return self._held.add(now, fingerprint, left_s)
+        return self._quarantined.add(now, fingerprint, left_s)
 
     def clear(
         self, now: float, fingerprint: int, left_s: float = HELD_S
     ) -> bool:
-        """Lets a request pass; returns whether that was not known before."""
+        """Clears a request; returns whether it was not cleared before."""
         if not 0 < left_s <= HELD_S:
             return False
-        self._held.drop(fingerprint)
+        self._quarantined.drop(fingerprint)
         return self._cleared.add(now, fingerprint, left_s)
 
     def left_s(self, now: float, fingerprint: int) -> float:
-        """Returns how long a request is held, seconds; 0 if it is not.
+        """Returns how long a request stays quarantined, seconds; 0 if it is not.
 
         May be called from any thread.
         """
-        until = self._held.until
+        until = self._quarantined.until
         if not until:
             return 0.0
         return max(0.0, until.get(fingerprint, now) - now)
 
     def held(self, now: float) -> dict[int, float]:
-        """Returns how long each request is held, seconds."""
-        return self._held.left(now)
+        """Returns how long each request stays quarantined, seconds."""
+        return self._quarantined.left(now)
 
     def cleared(self, now: float) -> dict[int, float]:
-        """Returns how long each cleared one can't be held, seconds."""
+        """Returns how long each cleared request can't be quarantined, seconds."""
         return self._cleared.left(now)
 
     def take(
@@ -106,7 +108,7 @@
         held: Mapping[int, float],
         cleared: Mapping[int, float],
     ) -> list[int]:
-        """Takes what another VM knows; returns those newly held."""
+        """Merges what another VM reports; returns the newly quarantined requests."""
         for fingerprint, left_s in cleared.items():
             if left_s > _SLACK_S:
                 self.clear(now, fingerprint, left_s)
--- a/packages/core/foxtaildale/suspects.py
+++ b/packages/core/foxtaildale/suspects.py
@@ -1,11 +1,12 @@
-"""Entry VMs that failed as a home, until they answer a probe.
+"""Entry VMs that failed as coordinators, until they reply to a probe.
 
-Load answered: entry VMs that are replaced one after the other while a burst
-lasts. All VMs must choose the same home, or two plans give the same memory
-away and prompts are read for nothing. A VM that passed its home over for a
-fixed time, and longer with each failure, went on with another one up to a
-minute after all others were back. So a suspect is probed, by nobody's request,
-and is a home again as soon as it says that it is fit.
+All VMs must choose the same coordinator; otherwise two plans grant the same memory
+and prefills are wasted. This module serves the case that entry VMs are replaced
+one after the other during a burst. If a VM excluded a failed coordinator for a
+fixed time that grows with each failure, it would use another coordinator up to a
+minute after all other VMs use the first one again. So a suspect is probed
+independently of any request, and is a coordinator again as soon as it reports that
+it is fit.
 
 The time is an argument.
 """
@@ -13,88 +14,90 @@
 import math
 from typing import Final
 
-# Answers that may fail to come in a row. One is lost with a broken connection
-# or a busy moment; giving the home up at once would have two homes give the
-# same memory.
+# Number of consecutive lost replies after which a coordinator is excluded. One
+# reply can be lost with a broken connection or under short load; if the coordinator
+# were excluded at once, two coordinators would grant the same memory.
 MISSES: Final = 2
-# Time until a suspect is probed, seconds; doubled with each time that its
-# answers were lost, up to the longest, so that a home that is overrun is not
-# taken back again and again. One that refused says when it is fit by itself.
+# Delay until a suspect is probed, seconds. It doubles with each exclusion for lost
+# replies, up to the maximum, so that an overloaded coordinator is not used again
+# and again. It does not double after a refusal, because a VM that refuses reports
+# by itself when it is fit.
 PROBE_S: Final = 0.4
 PROBE_MOST_S: Final = 6.4
-# Time without a lost answer after which the first span holds again, seconds.
+# Time without an exclusion for lost replies after which the probe delay is reset
+# to `PROBE_S`, seconds.
 CALM_S: Final = 30.0
 
 
 class _Suspect:
-    __slots__ = ('lost_at', 'misses', 'passed', 'probe_at', 'span_s')
+    __slots__ = ('excluded', 'lost_at', 'misses', 'probe_at', 'probe_delay_s')
 
     def __init__(self) -> None:
         self.misses = 0
-        # Whether it is passed over now.
-        self.passed = False
-        self.span_s = PROBE_S
+        # Whether the VM is excluded now.
+        self.excluded = False
+        self.probe_delay_s = PROBE_S
         self.probe_at = 0.0
-        # When it was last passed over for a lost answer, seconds.
+        # When the VM was last excluded for lost replies, seconds.
         self.lost_at = -math.inf
 
 
 class Suspects:
-    """What one entry VM knows of failing homes."""
+    """Failing coordinators that one entry VM knows of."""
 
-    __slots__ = ('_known',)
+    __slots__ = ('_suspects',)
 
     def __init__(self) -> None:
-        # By name.
-        self._known: dict[str, _Suspect] = {}
+        # By name of the VM.
+        self._suspects: dict[str, _Suspect] = {}
 
     def passed(self) -> frozenset[str]:
-        """Returns those that must not be asked now."""
+        """Returns the VMs that must not be used as coordinators now."""
         return frozenset(
-            name for name, found in self._known.items() if found.passed
+            name for name, suspect in self._suspects.items() if suspect.excluded
         )
 
     def failed(self, now: float, name: str, *, lost: bool) -> bool:
-        """Takes a failed ask; returns whether it is passed over from now on.
+        """Records a failed request; returns whether the VM becomes excluded.
 
         Args:
             now: Seconds.
-            name: The entry VM that was asked.
-            lost: Whether its answer did not come; else it refused, or could
+            name: The entry VM to which the request was sent.
+            lost: Whether its reply did not arrive; else it refused, or could
                 not be reached at all.
         """
-        found = self._known.setdefault(name, _Suspect())
-        found.misses += 1
-        if found.passed or (lost and found.misses < MISSES):
+        suspect = self._suspects.setdefault(name, _Suspect())
+        suspect.misses += 1
+        if suspect.excluded or (lost and suspect.misses < MISSES):
             return False
-        found.passed = True
-        if not lost or now - found.lost_at > CALM_S:
-            found.span_s = PROBE_S
+        suspect.excluded = True
+        if not lost or now - suspect.lost_at > CALM_S:
+            suspect.probe_delay_s = PROBE_S
         else:
-            found.span_s = min(2 * found.span_s, PROBE_MOST_S)
+            suspect.probe_delay_s = min(2 * suspect.probe_delay_s, PROBE_MOST_S)
         if lost:
-            found.lost_at = now
-        found.probe_at = now + found.span_s
+            suspect.lost_at = now
+        suspect.probe_at = now + suspect.probe_delay_s
         return True
 
     def answered(self, name: str) -> None:
-        """Takes a good answer."""
-        found = self._known.get(name)
-        if found is not None:
-            found.misses = 0
+        """Records a successful reply."""
+        suspect = self._suspects.get(name)
+        if suspect is not None:
+            suspect.misses = 0
 
     def due(self, now: float) -> list[str]:
-        """Returns those to probe now."""
+        """Returns the VMs to probe now."""
         return [
             name
-            for name, found in self._known.items()
-            if found.passed and found.probe_at <= now
+            for name, suspect in self._suspects.items()
+            if suspect.excluded and suspect.probe_at <= now
         ]
 
     def probed(self, now: float, name: str, *, fit: bool) -> None:
-        """Takes the answer to a probe, or that none came."""
-        found = self._known[name]
-        found.probe_at = now + PROBE_S
+        """Records the result of a probe; `fit` is False if no reply arrived."""
+        suspect = self._suspects[name]
+        suspect.probe_at = now + PROBE_S
         if fit:
-            found.passed = False
-            found.misses = 0
+            suspect.excluded = False
+            suspect.misses = 0
