--- a/packages/core/foxtaildale/accounts.py
+++ b/packages/core/foxtaildale/accounts.py
@@ -1,8 +1,8 @@
 """Client accounts: who may send requests, with which keys, and how many.
 
-A key is a secret. It is stored and compared as a digest, which is computed as soon
-as a request or a configuration is decoded. So no log line, dump or metric can
-expose the key; they show the account's name instead.
+A key is a secret. It is stored and compared as a digest, which is computed as
+soon as a request or a configuration is decoded. So no log line, dump or metric
+can expose the key; they show the account's name instead.
 """
 
 import hashlib
@@ -44,7 +44,8 @@
     name: str
     # Digests of its keys.
     keys: frozenset[bytes] = frozenset()
-    # Overrides the priority of a route; None leaves the route's priority in force.
+    # Overrides the priority of a route; None leaves the route's priority in
+    # force.
     priority: int | None = None
     limit: Limit = Limit()
 
--- a/packages/core/foxtaildale/allowances.py
+++ b/packages/core/foxtaildale/allowances.py
@@ -1,15 +1,16 @@
 """Usage of each client account, as counted by its coordinator.
 
-This limits an account that sends many times its usual load, over all entry VMs at
-once. One VM, the coordinator of the account, admits its requests or returns how
-long until it would admit them. So only requests beyond the limit are refused, and
-none below it.
-
-A new coordinator does not know what was admitted before it took over. If each new
-one began with a full burst, the account would exceed its limit where coordinators
-change often, for example when VMs are replaced one after the other or all lose
-power. So coordinators notify each other of what they admit. A coordinator that may
-have missed such updates begins with only a part of what may exceed the limit.
+This limits an account that sends many times its usual load, over all entry VMs
+at once. One VM, the coordinator of the account, admits its requests or returns
+how long until it would admit them. So only requests beyond the limit are
+refused, and none below it.
+
+A new coordinator does not know what was admitted before it took over. If each
+new one began with a full burst, the account would exceed its limit where
+coordinators change often, for example when VMs are replaced one after the other
+or all lose power. So coordinators notify each other of what they admit. A
+coordinator that may have missed such updates begins with only a part of what
+may exceed the limit.
 """
 
 import msgspec
@@ -47,7 +48,7 @@
 
 
 class Allowances:
-    """Usage of the accounts that this entry VM counts; the time is an argument."""
+    """Usage of the accounts that this VM counts; the time is an argument."""
 
     __slots__ = ('_admitted', '_buckets', '_known_since', '_tolerance')
 
@@ -62,8 +63,8 @@
             first_start: Whether no usage is possible before `now`.
         """
         self._tolerance = tolerance
-        # The time from which usage is known, seconds: what others admitted before
-        # is unknown. None if others admitted nothing before.
+        # The time from which usage is known, seconds: what others admitted
+        # before is unknown. None if others admitted nothing before.
         self._known_since = None if first_start else now
         self._buckets: dict[str, bucket.Bucket] = {}
         # Units admitted here and not yet announced, by account.
--- a/packages/core/foxtaildale/backends.py
+++ b/packages/core/foxtaildale/backends.py
@@ -1,6 +1,6 @@
 """Messages of the backend servers' HTTP interface.
 
-The router meets model engines that batch continuously:
+Model engines with continuous batching provide these endpoints:
 
     POST /prefill        PrefillReq -> PrefillReply   (prefill workers)
     GET  /kv/ID          KV cache, fetched by the decode worker
@@ -8,9 +8,9 @@
     POST /decode         DecodeReq -> events of Piece, then one Last
     GET  /streams/ID?from=N&holder=H   the same events from position N
     POST /cancel         CancelReq -> CancelReply     (both)
-    GET  /load           Load, lagging
+    GET  /load           Load, not up to date
     GET  /holdings       Holdings
-    GET  /cache?after=N  CacheEvents, late and with gaps
+    GET  /cache?after=N  CacheEvents, delayed and with gaps
     POST /orders         Order -> OrderReply          (both)
     GET  /orders         Observed                     (both)
 
@@ -24,35 +24,36 @@
 import msgspec
 import xxhash
 
-# Engines cache prompt prefixes in blocks of so many tokens.
+# Number of tokens in one block of the prefix cache of an engine.
 PREFIX_TOKENS: Final = 128
 
 
 def prefixes(tokens: list[str]) -> tuple[str, ...]:
-    """Returns the digests of a prompt's whole blocks, shortest first."""
+    """Returns digests of a prompt's block-aligned prefixes, shortest first."""
     hasher = xxhash.xxh64()
-    found = []
+    digests = []
     for start in range(0, len(tokens) - PREFIX_TOKENS + 1, PREFIX_TOKENS):
         block = tokens[start : start + PREFIX_TOKENS]
         hasher.update((' '.join(block) + ' ').encode())
-        found.append(hasher.hexdigest())
-    return tuple(found)
+        digests.append(hasher.hexdigest())
+    return tuple(digests)
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """Why a backend server did not do what was asked."""
+    """Why a backend server did not perform a request."""
 
-    # full, leaving, gone, cancelled, stale-order, bad-request, wrong-role
+    # One of: full, leaving, gone, cancelled, stale-order, bad-request,
+    # wrong-role.
     code: str
     message: str = ''
 
 
 class PrefillReq(msgspec.Struct, frozen=True, kw_only=True):
-    """Computes the KV cache of a prompt."""
+    """Requests the computation of the KV cache of a prompt."""
 
     request: str
     attempt: int
-    # Incarnation of the daemon that works for the caller.
+    # Incarnation of the daemon that handles the caller's request.
     holder: str
     model: str
     prompt: str
@@ -60,21 +61,21 @@
 
 
 class PrefillReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The KV cache is ready, and evicted soon."""
+    """Reports that the KV cache is ready. It is evicted after `lives_ms`."""
 
     request: str
     attempt: int
     kv: str
     # Prompt length in tokens.
     tokens: int
-    # Tokens of it that the prefix cache already had.
+    # Tokens of the prompt that were already in the prefix cache.
     cached: int
-    # How long the result lives unless fetched, milliseconds.
+    # Lifetime of the result if it is not fetched, milliseconds.
     lives_ms: int
 
 
 class ImportReq(msgspec.Struct, frozen=True, kw_only=True):
-    """Fetches a KV cache from a prefill worker into a decode slot."""
+    """Requests the transfer of a KV cache from a prefill worker to a slot."""
 
     request: str
     attempt: int
@@ -85,7 +86,7 @@
 
 
 class ImportReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The KV cache is in the decode worker's memory and holds a slot."""
+    """Reports that the KV cache is in the decode worker and uses a slot."""
 
     request: str
     attempt: int
@@ -93,7 +94,7 @@
 
 
 class DecodeReq(msgspec.Struct, frozen=True, kw_only=True):
-    """Starts the stream of an imported request."""
+    """Requests the start of the stream of an imported request."""
 
     request: str
     attempt: int
@@ -104,7 +105,7 @@
 
 
 class Piece(msgspec.Struct, frozen=True, kw_only=True):
-    """One token of an answer."""
+    """One chunk of a response: one token."""
 
     request: str
     attempt: int
@@ -115,22 +116,22 @@
 
 
 class Last(msgspec.Struct, frozen=True, kw_only=True):
-    """Ends a whole answer."""
+    """The end of a complete response."""
 
     request: str
     attempt: int
     stream: str
-    # Number of pieces.
+    # Number of chunks.
     count: int
-    # xxh64 hex digest of all texts joined, UTF-8.
+    # xxh64 hex digest of the concatenated texts in UTF-8.
     digest: str
 
 
 class CancelReq(msgspec.Struct, frozen=True, kw_only=True):
-    """Frees everything held for a request, an attempt or a holder.
+    """Requests the release of everything held for a request, attempt or holder.
 
-    Empty fields match everything; at least one is set. An attempt of 0 means
-    every attempt.
+    Empty fields match everything; at least one field is set. An attempt of 0
+    matches every attempt.
     """
 
     request: str = ''
@@ -139,19 +140,19 @@
 
 
 class CancelReply(msgspec.Struct, frozen=True):
-    """How many holdings were freed."""
+    """The number of holdings that were released."""
 
     freed: int
 
 
 class Load(msgspec.Struct, frozen=True, kw_only=True):
-    """A lagging report."""
+    """A load report, which is not up to date."""
 
     name: str
     slots: int
     running: int
     queued: int
-    # Tokens of prompt still to prefill.
+    # Prompt tokens that are still to be prefilled.
     backlog_tokens: int
     # Age of the report, milliseconds.
     age_ms: int
@@ -161,36 +162,37 @@
 
 
 class Holding(msgspec.Struct, frozen=True, kw_only=True):
-    """Something an engine keeps in memory for a request."""
+    """A resource that an engine holds for a request."""
 
     request: str
     attempt: int
     holder: str
     kind: HoldingKind
-    # Since it was made, or since its last reader went.
+    # Time since it was created or since its last reader disconnected,
+    # milliseconds.
     age_ms: int
-    # Whether a connection is at work on it.
+    # Whether a connection uses it now.
     attached: bool = False
 
 
 class Holdings(msgspec.Struct, frozen=True):
-    """Everything an engine holds."""
+    """All resources that an engine holds."""
 
     holdings: tuple[Holding, ...]
 
 
 class CacheEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """A prefix entered or left the prefix cache."""
+    """A prefix was stored in the prefix cache or evicted from it."""
 
     number: int
     kind: Literal['stored', 'evicted']
-    # One of `prefixes` of the prompt.
+    # One of the digests that `prefixes` returns for the prompt.
     prefix: str
     tokens: int
 
 
 class CacheEvents(msgspec.Struct, frozen=True):
-    """Late, and numbers may be missing."""
+    """Cache events, which are delayed; event numbers may be missing."""
 
     events: tuple[CacheEvent, ...]
 
@@ -199,11 +201,11 @@
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
-    """States the wanted state of a backend server."""
+    """An order that sets one part of the desired state of a backend server."""
 
     kind: OrderKind
     value: str
-    # Offset of the log record that asks for it: the fencing number.
+    # Offset of the log record that requests it, used as the fencing number.
     fence: int
 
 
@@ -216,6 +218,6 @@
 
 
 class Observed(msgspec.Struct, frozen=True):
-    """What a backend server is in fact set to, one entry a kind."""
+    """The actual state of a backend server, one entry for each order kind."""
 
     orders: tuple[OrderReply, ...]
--- a/packages/core/foxtaildale/backoffs.py
+++ b/packages/core/foxtaildale/backoffs.py
@@ -1,9 +1,9 @@
 """Backend servers that requested backoff.
 
 A server that refuses a request may state for how long it wants no requests from
-the entry VM that sent it. That VM sends it nothing during this time. The other VMs
-are notified and prefer other servers, but may still send to it, because the server
-may have refused only the one VM.
+the entry VM that sent it. That VM sends it nothing during this time. The other
+VMs are notified and prefer other servers, but may still send to it, because the
+server may have refused only the one VM.
 
 This module does no I/O; the time is an argument.
 """
@@ -14,15 +14,16 @@
 # Maximum number of servers remembered; those whose backoff ends first are
 # removed first.
 MOST: Final = 4096
-# Maximum backoff that one response can request, seconds. After that, one request
-# shows whether the server still wants backoff.
+# Maximum backoff that one response can request, seconds. After that, one
+# request shows whether the server still wants backoff.
 MOST_S: Final = 300.0
 # An update of another VM is ignored if it extends the known end of a backoff by
-# less than this, seconds: otherwise the network delay between two VMs would extend
-# the backoff with each update.
+# less than this, seconds: otherwise the network delay between two VMs would
+# extend the backoff with each update.
 _SLACK_S: Final = 0.5
 
-# When the server started, Unix milliseconds, and the remaining backoff, seconds.
+# When the server started, Unix milliseconds, and the remaining backoff,
+# seconds.
 Word = tuple[int, float]
 
 
@@ -32,8 +33,9 @@
     __slots__ = ('_local', '_remote')
 
     def __init__(self) -> None:
-        # By server: when it started, Unix milliseconds, and when the backoff ends,
-        # seconds. `_local` was requested from this VM, `_remote` from other VMs.
+        # By server: when it started, Unix milliseconds, and when the backoff
+        # ends, seconds. `_local` was requested from this VM, `_remote` from
+        # other VMs.
         self._local: dict[str, tuple[int, float]] = {}
         self._remote: dict[str, tuple[int, float]] = {}
 
--- a/packages/core/foxtaildale/bucket.py
+++ b/packages/core/foxtaildale/bucket.py
@@ -8,14 +8,15 @@
 whole burst. These take the level below zero, and nothing is admitted until the
 deficit is replenished.
 
-Where requests differ in size, the level is soon enough for a small one and seldom
-enough for a large one. An account over its limit would then have none of its large
-requests served. Therefore a request may not overtake a larger one that was refused
-a moment before, unless it is so small that it hardly delays the larger one.
+Where requests differ in size, the level is soon enough for a small one and
+seldom enough for a large one. An account over its limit would then have none of
+its large requests served. Therefore a request may not overtake a larger one
+that was refused a moment before, unless it is so small that it hardly delays
+the larger one.
 
 Requests that are refused together with the same wait would retry together, and
-only one of them would find enough units. So each is given a wait that lies behind
-the waits of those refused before it.
+only one of them would find enough units. So each is given a wait that lies
+behind the waits of those refused before it.
 """
 
 from typing import Final
@@ -30,8 +31,8 @@
 ROOM_S: Final = 2.0
 # Fraction of the larger request's cost up to which a request may overtake it.
 SMALL_PART: Final = 0.125
-# Maximum time that requests which were refused earlier add to the wait of a later
-# one, seconds. Not all of them retry, and callers ignore longer waits.
+# Maximum time that requests which were refused earlier add to the wait of a
+# later one, seconds. Not all of them retry, and callers ignore longer waits.
 PROMISED_S: Final = 3.0
 
 
@@ -95,7 +96,7 @@
         return 0.0
 
     def spend(self, now: float, cost: float) -> None:
-        """Spends units that were admitted elsewhere; the level may go below 0."""
+        """Spends units admitted elsewhere; the level may go below 0."""
         self._set(now, self.level(now) - cost)
 
     def give_back(self, now: float, cost: float) -> None:
@@ -103,7 +104,7 @@
         self._set(now, self.level(now) + cost)
 
     def on_limit(self, now: float, limit: accounts.Limit) -> None:
-        """Applies a changed limit; a raised one adds its extra capacity at once."""
+        """Applies a changed limit; added capacity is available at once."""
         level, capacity = self.level(now), self.most
         self.limit = limit
         self._set(now, level + max(0.0, self.most - capacity))
--- a/packages/core/foxtaildale/crashes.py
+++ b/packages/core/foxtaildale/crashes.py
@@ -1,12 +1,13 @@
 """Which requests caused crashes of backend servers.
 
-A request can crash each server that begins to run it. All other requests that ran
-there are lost with the server, some of them more than once, since their callers
-retry too. The request at fault is recognised as follows: it began a moment before
-every one of these crashes, while each other request is missing from some of the
-crashes or had been running for long. So the smallest set of requests that explains
-the crashes is searched for. The request that explains the most crashes is taken
-first, and the crashes that it explains do not count against any other request.
+A request can crash each server that begins to run it. All other requests that
+ran there are lost with the server, some of them more than once, since their
+callers retry too. The request at fault is recognised as follows: it began a
+moment before every one of these crashes, while each other request is missing
+from some of the crashes or had been running for long. So the smallest set of
+requests that explains the crashes is searched for. The request that explains
+the most crashes is taken first, and the crashes that it explains do not count
+against any other request.
 
 This module does no I/O; the time is an argument.
 """
@@ -20,14 +21,15 @@
 
 # Total weight of the crashes that one request must explain to be blamed.
 ENDS: Final = 3.0
-# A request that began at most this long before a crash, seconds, is a likely cause.
-# If it is unknown when the request began, the time at which it was sent counts: the
-# head of its response, which shows that it had begun, may be lost in the crash.
+# A request that began at most this long before a crash, seconds, is a likely
+# cause. If it is unknown when the request began, the time at which it was sent
+# counts: the head of its response, which shows that it had begun, may be lost
+# in the crash.
 SOON_S: Final = 0.5
 # Weight of a crash for a request that had been running for longer.
 _UNLIKELY_WEIGHT: Final = 0.5
-# Time from the first report of a crash until it is evaluated, seconds: reports of
-# other entry VMs may contain a likelier cause.
+# Time from the first report of a crash until it is evaluated, seconds: reports
+# of other entry VMs may contain a likelier cause.
 SETTLE_S: Final = 0.5
 # Maximum difference between the network delays of two reports, seconds.
 _DELAY_SPREAD_S: Final = 0.1
@@ -44,7 +46,7 @@
 
 
 class _ServerCrash:
-    """The crash of one incarnation of a server, and the requests that ran there."""
+    """The crash of one incarnation of a server, and what ran there."""
 
     __slots__ = ('_began_at', 'at', 'happened_at', 'ran')
 
--- a/packages/core/foxtaildale/departures.py
+++ b/packages/core/foxtaildale/departures.py
@@ -1,10 +1,11 @@
 """Which backend servers have announced that they leave.
 
-A leaving server announces it in its entry in the list and in its responses; while
-the store is unavailable, only in its responses. An entry VM reports what it learns
-to the other VMs, in any order. Therefore the state of each incarnation of a server
-has a revision. It is incremented each time the server is found to leave (odd) or no
-longer to leave (even), and the higher revision wins.
+A leaving server announces it in its entry in the list and in its responses;
+while the store is unavailable, only in its responses. An entry VM reports what
+it learns to the other VMs, in any order. Therefore the state of each
+incarnation of a server has a revision. It is incremented each time the server
+is found to leave (odd) or no longer to leave (even), and the higher revision
+wins.
 
 This module does no I/O; the time is an argument.
 """
@@ -12,13 +13,13 @@
 from collections.abc import Mapping
 from typing import Final
 
-# Maximum number of servers remembered; those that changed longest ago are removed
-# first.
+# Maximum number of servers remembered; those that changed longest ago are
+# removed first.
 MOST: Final = 4096
 # Number of entries with state ready, written after a server was found to leave,
 # that withdraw its departure, and the minimum interval between two that count,
-# seconds. One entry is not enough: it may have been in transit to the store, and a
-# store that is restored from a copy receives old entries again.
+# seconds. One entry is not enough: it may have been in transit to the store,
+# and a store that is restored from a copy receives old entries again.
 READY_ENTRIES: Final = 3
 ENTRY_S: Final = 1.0
 # How long a change is reported to other entry VMs, seconds. A VM that was
@@ -39,8 +40,8 @@
         self._states: dict[str, Word] = {}
         # When the state of each server last changed here, seconds.
         self._changed_at: dict[str, float] = {}
-        # For each leaving server, the number of entries with state ready, and when
-        # the last one was counted, seconds.
+        # For each leaving server, the number of entries with state ready, and
+        # when the last one was counted, seconds.
         self._ready_entries: dict[str, tuple[int, float]] = {}
 
     def leaving(self, server: str, started_at: int) -> bool:
@@ -48,7 +49,7 @@
         return self.revision(server, started_at) % 2 == 1
 
     def revision(self, server: str, started_at: int) -> int:
-        """Returns the revision of an incarnation's state; 0 if there is none."""
+        """Returns the revision of an incarnation's state; 0 if none is known."""
         state = self._states.get(server)
         return state[1] if state is not None and state[0] >= started_at else 0
 
--- a/packages/core/foxtaildale/fingerprint.py
+++ b/packages/core/foxtaildale/fingerprint.py
@@ -1,8 +1,8 @@
 """Fingerprints that identify a request across its attempts.
 
-A caller retries under a new id, often at another entry VM. The fingerprint is the
-same for all attempts. It is a digest of the client account, the target and the
-body, from which none of these can be recovered.
+A caller retries under a new id, often at another entry VM. The fingerprint is
+the same for all attempts. It is a digest of the client account, the target and
+the body, from which none of these can be recovered.
 """
 
 import hashlib
--- a/packages/core/foxtaildale/fleet.py
+++ b/packages/core/foxtaildale/fleet.py
@@ -1,13 +1,14 @@
-"""What one entry VM knows of the backend servers, and which one it chooses.
+"""State of the backend servers as seen by one entry VM, and their ranking.
 
-Every entry VM sees only its own requests and what answers tell, so the choice
-weighs for each candidate the load that its last answer told (as long as that is
-fresh), the requests that this entry VM has with it now, and how it treated the
-last ones, those of this entry VM and those of all (`experience`). A server that fails, stalls or sheds loses weight for
-a few seconds and then gets a request again, so that one which recovered is
-found without probes.
+An entry VM sees only its own requests and what responses report. For each
+candidate the choice therefore weighs three things: the load in its last
+response while that is fresh, the requests that this entry VM has in flight
+there, and how recent requests fared, those of this entry VM and those of all
+(`experience`). A server that fails, stalls or sheds load loses weight for a few
+seconds and then gets a request again, so that a recovered server is found
+without probes.
 
-Nothing here does I/O; the time is an argument.
+This module does no I/O; the time is an argument.
 """
 
 from collections.abc import Iterable
@@ -22,47 +23,53 @@
 from foxtaildale import departures
 from foxtaildale import forwarding
 
-# A load report counts for this long, seconds. Requests of plain services take
-# some 60 ms, so an older one says nothing about who runs there now.
+# How long a load report counts, seconds. Requests of plain services take about
+# 60 ms, so an older report does not describe the current load.
 LOAD_FRESH_S: Final = 0.5
-# A failure loses half of its weight in this time, seconds: a grey server is
-# tried again about every three seconds at the rates of the smallest site.
+# Time in which a failure loses half of its weight, seconds. A server that fails
+# only in part is tried again about every three seconds at the request rates of
+# the smallest site.
 FAULT_HALF_S: Final = 3.0
-# Weight of one failure, in requests of queue that a candidate must be shorter
-# to be chosen all the same. Six slots a plain server: one failure is as bad
-# as a server that is full.
+# Weight of one failure, in queued requests: a server with one failure is chosen
+# only if its queue is this much shorter. A plain server has six slots, so one
+# failure weighs as much as a full server.
 FAULT_WEIGHT: Final = 6.0
-# Weight of a server that fails all of its requests, in requests of queue: for a
-# request that may run once only, whose caller gets nothing then, and for one
-# that is sent again elsewhere. A queue of twenty makes a request late.
+# Weights of a server that fails all of its requests, in queued requests. The
+# first is for a request that may run only once, whose caller then gets no
+# response; the second is for a request that is sent again to another server. A
+# queue of 20 makes a request late.
 LOSS_WEIGHT: Final = 50.0
 RETRY_WEIGHT: Final = 6.0
-# Weight of a server that asked other entry VMs to back off, in requests of queue.
+# Weight of a server that requested backoff from other entry VMs, in queued
+# requests.
 BACKOFF_WEIGHT: Final = 20.0
-# How long what was told of that counts, seconds; it is told anew every 0.4 s.
+# How long a reported failure rate counts, seconds; it is reported every 0.4 s.
 FAILING_S: Final = 1.5
-# Decayed failures above which a server is kept out of the plan: one failure
-# counts for three seconds.
+# Decayed number of failures above which a server is excluded from the plan. One
+# failure excludes it for three seconds.
 FAULTY: Final = 0.5
-# A server that refused for want of room is passed over for this long, seconds,
-# about the time in which one in ten slots comes free.
+# How long a server that refused a request because it was full is ranked lower,
+# seconds. About one in ten slots becomes free in this time.
 FULL_S: Final = 0.08
-# A server that vanished from the list while the store was not well is used on
-# for this long, seconds. Entries of living servers come back within two
-# seconds of the store's return; a leaving one must get nothing two seconds
-# after it was seen to leave, so the time stays under that bound.
+# How long a server is still used after it vanished from the list while the
+# store was unhealthy, seconds. Entries of running servers reappear within two
+# seconds after the store recovers. A leaving server must get no requests later
+# than two seconds after its departure was observed, so the time stays below
+# that bound.
 VANISHED_S: Final = 1.5
-# A server at whose address another one answered is passed over for this long,
-# seconds: a heartbeat, in which its entry is renewed, changed or removed.
+# How long a server is excluded after another server responded at its address,
+# seconds. This is one heartbeat, within which its entry is renewed, changed or
+# removed.
 MISDIRECTED_S: Final = 1.2
-# Servers whose newest start is remembered; more than a deployment lists.
-_STARTS: Final = 4096
-# How much a new measurement of the time a request takes counts.
-_SPEED_SHARE: Final = 0.2
+# Maximum number of servers whose newest incarnation is remembered; a deployment
+# lists fewer.
+_MAX_INCARNATIONS: Final = 4096
+# Weight of a new measurement in the smoothed request time.
+_SMOOTHING: Final = 0.2
 
 
 class Tally:
-    """What is known of one backend server beyond its entry."""
+    """The state of one backend server beyond its entry in the list."""
 
     __slots__ = (
         'backend',
@@ -83,23 +90,26 @@
     )
 
     def __init__(self, backend: forwarding.Backend) -> None:
-        # Its entry in the list, and the same with what it said since.
+        # Its entry in the list, and the entry updated with what it announced
+        # since.
         self.listed = backend
         self.backend = backend
-        # Requests of this entry VM that it has now, and KV memory of those.
+        # Requests of this entry VM that are in flight there, and their KV
+        # cache, tokens.
         self.in_flight = 0
         self.held_tokens = 0
         self.load: forwarding.Load | None = None
         self.load_at = 0.0
-        # How many of this entry VM's requests the load contains.
+        # How many requests of this entry VM are included in the load.
         self.load_mine = 0
-        # Decaying count of failures, as of `fault_at`.
+        # Decaying number of failures, as of `fault_at`.
         self.faults = 0.0
         self.fault_at = 0.0
         self.full_until = 0.0
         self.misdirected_until = 0.0
-        # Part of its requests that it fails beyond what the best server of its
-        # service does, as all entry VMs see it, and when that was told.
+        # Fraction of its requests that it fails, as seen by all entry VMs,
+        # minus that of the best server of its service; and when it was
+        # reported, seconds.
         self.failing = 0.0
         self.failing_at = -math.inf
         # Smoothed time of one request, seconds; 0 until one was measured.
@@ -108,114 +118,116 @@
         self.vanished_at: float | None = None
 
     def faults_now(self, now: float) -> float:
-        """Returns the decayed count of failures."""
+        """Returns the decayed number of failures."""
         if not self.faults:
             return 0.0
         return self.faults * math.exp2((self.fault_at - now) / FAULT_HALF_S)
 
     def failing_now(self, now: float) -> float:
-        """Returns the part of its requests that it fails, if told lately."""
+        """Returns its excess failure rate; 0 if there is no fresh report."""
         return self.failing if now - self.failing_at < FAILING_S else 0.0
 
     def busy(self, now: float) -> float:
-        """Returns how many requests it is thought to have."""
+        """Returns the estimated number of requests that it has."""
         others = 0
         if self.load is not None and now - self.load_at < LOAD_FRESH_S:
-            told = self.load.running + self.load.waiting
-            others = max(0, told - self.load_mine)
+            reported = self.load.running + self.load.waiting
+            others = max(0, reported - self.load_mine)
         return self.in_flight + others
 
 
 class Fleet:
-    """All backend servers; owned by one actor."""
+    """All backend servers. An instance is used by one actor only."""
 
     __slots__ = (
-        '_born',
         '_data_centre',
         '_random',
-        '_tallies',
+        '_started_at',
+        '_states',
         'backoffs',
         'departures',
     )
 
-    # By id.
-    _tallies: dict[str, Tally]
+    # By id of the server.
+    _states: dict[str, Tally]
 
     def __init__(self, data_centre: str, rng: random.Random) -> None:
         self._data_centre = data_centre
         self._random = rng
-        self._tallies = {}
-        # Newest start of each server, also of some that are gone; those that
-        # wrote last at the end.
-        self._born: dict[str, int] = {}
-        # Which servers have said that they leave, also some that are not listed.
+        self._states = {}
+        # When the newest incarnation of each server started, Unix milliseconds;
+        # also of some removed servers. The most recently updated are at the
+        # end.
+        self._started_at: dict[str, int] = {}
+        # Servers that announced that they leave, including some that are not
+        # listed.
         self.departures = departures.Departures()
-        # Which ones asked for backoff.
+        # Servers that requested backoff.
         self.backoffs = backoffs.Backoffs()
 
     def put(self, backend: forwarding.Backend) -> bool:
-        """Takes a new or changed entry of the list.
+        """Applies a new or changed entry of the list.
 
-        A later start of a server under its id begins with nothing: neither the
-        load, the failures nor the leave of the one before say anything of it.
+        A later incarnation of a server begins with an empty state: neither the
+        load, the failures nor the departure of the previous one apply to it.
 
         Returns:
-            Whether it is taken; an entry of an earlier start is not. Taken, it
-            would send requests where another start was seen to leave, or take
-            a living one for one that leaves.
+            Whether the entry is applied. An entry of an earlier incarnation is
+            not: it would direct requests to an incarnation that left, or mark a
+            running one as leaving.
         """
         if backend.born < self.born(backend.id):
             return False
-        self._note_start(backend)
-        tally = self._tallies.get(backend.id)
-        if tally is None or tally.backend.born < backend.born:
-            tally = self._tallies[backend.id] = Tally(backend)
-        elif tally.listed != backend:
-            tally.misdirected_until = 0.0
-        tally.listed = backend
-        tally.vanished_at = None
+        self._record_incarnation(backend)
+        state = self._states.get(backend.id)
+        if state is None or state.backend.born < backend.born:
+            state = self._states[backend.id] = Tally(backend)
+        elif state.listed != backend:
+            state.misdirected_until = 0.0
+        state.listed = backend
+        state.vanished_at = None
         self.left(backend.id)
         return True
 
     def left(self, server: str) -> None:
-        """Takes a change of what is known of a server's leave."""
-        tally = self._tallies.get(server)
-        if tally is not None:
-            listed = tally.listed
-            tally.backend = msgspec.structs.replace(
+        """Updates a server after a change in `departures`."""
+        state = self._states.get(server)
+        if state is not None:
+            listed = state.listed
+            state.backend = msgspec.structs.replace(
                 listed,
                 leaving=listed.leaving
                 or self.departures.leaving(server, listed.born),
             )
 
     def born(self, server: str) -> int:
-        """Returns when the newest start of a server was; 0 if not known."""
-        return self._born.get(server, 0)
+        """Returns when a server's newest incarnation started; 0 if unknown."""
+        return self._started_at.get(server, 0)
 
     def remove(self, server: str, now: float, *, store_well: bool) -> None:
-        """Takes the end of an entry.
+        """Handles the removal of an entry from the list.
 
         Args:
             server: The backend server's id.
             now: Seconds.
-            store_well: Whether the store answered all the while. If it did
-                not, the entry may have lapsed although the server lives.
+            store_well: Whether the store was reachable all the time. If it was
+                not, the entry may have expired although the server runs.
         """
-        tally = self._tallies.get(server)
-        if tally is None:
+        state = self._states.get(server)
+        if state is None:
             return
-        if store_well or tally.backend.leaving:
-            del self._tallies[server]
-        elif tally.vanished_at is None:
-            tally.vanished_at = now
+        if store_well or state.backend.leaving:
+            del self._states[server]
+        elif state.vanished_at is None:
+            state.vanished_at = now
 
     def tally(self, server: str) -> Tally | None:
-        """Returns what is known of one backend server."""
-        return self._tallies.get(server)
+        """Returns the state of one backend server; None if it is not known."""
+        return self._states.get(server)
 
     def known(self) -> list[Tally]:
-        """Returns all backend servers."""
-        return list(self._tallies.values())
+        """Returns the states of all backend servers."""
+        return list(self._states.values())
 
     def candidates(
         self,
@@ -227,115 +239,117 @@
         repeatable: bool = True,
         in_backoff: bool = False,
     ) -> list[Tally]:
-        """Returns the servers that may get work of a service, best first.
+        """Returns the servers that may get requests of a service, best first.
 
         Args:
             service: The service.
             now: Seconds.
-            stage: What its engines must do; empty for a plain service.
-            avoid: Servers that it must not go to, by id.
-            repeatable: Whether it may run again if its answer is lost.
-            in_backoff: Whether those count that asked this entry VM to back off.
+            stage: Stage of its engines; empty for a plain service.
+            avoid: Ids of servers to exclude.
+            repeatable: Whether the request may run again if its response is
+                lost.
+            in_backoff: Whether to include servers that requested backoff from
+                this entry VM.
         """
-        loss = RETRY_WEIGHT if repeatable else LOSS_WEIGHT
-        self._forget(now)
-        passed = frozenset(avoid)
-        found = [
-            tally
-            for tally in self._tallies.values()
-            if tally.backend.service == service
-            and tally.backend.stage == stage
-            and not tally.backend.leaving
-            and tally.misdirected_until <= now
-            and tally.backend.id not in passed
-            and (in_backoff or not self._backoff_s(tally, now))
+        failure_weight = RETRY_WEIGHT if repeatable else LOSS_WEIGHT
+        self._remove_lost(now)
+        avoided = frozenset(avoid)
+        servers = [
+            state
+            for state in self._states.values()
+            if state.backend.service == service
+            and state.backend.stage == stage
+            and not state.backend.leaving
+            and state.misdirected_until <= now
+            and state.backend.id not in avoided
+            and (in_backoff or not self._backoff_s(state, now))
         ]
-        self._random.shuffle(found)
-        typical_s = _typical(found)
-        found.sort(
-            key=lambda tally: (
-                self._cost(tally, now, typical_s)
-                + loss * tally.failing_now(now)
+        self._random.shuffle(servers)
+        median_s = _median_request_s(servers)
+        servers.sort(
+            key=lambda state: (
+                self._cost(state, now, median_s)
+                + failure_weight * state.failing_now(now)
             )
         )
-        return found
+        return servers
 
     def usable(self, server: str, now: float) -> forwarding.Backend | None:
-        """Returns a server if it is known and may get new work."""
-        tally = self._tallies.get(server)
+        """Returns a server if it is known and may get new requests."""
+        state = self._states.get(server)
         if (
-            tally is None
-            or tally.backend.leaving
-            or self._backoff_s(tally, now)
+            state is None
+            or state.backend.leaving
+            or self._backoff_s(state, now)
         ):
             return None
-        if _is_lost(tally, now):
+        if _is_lost(state, now):
             return None
-        return tally.backend if tally.misdirected_until <= now else None
+        return state.backend if state.misdirected_until <= now else None
 
     def in_backoff(self, service: str, now: float) -> tuple[str, ...]:
-        """Returns the servers that this entry VM must leave alone, by id."""
+        """Returns the ids of the servers from which this entry VM backs off."""
         return tuple(
-            tally.backend.id
-            for tally in self._tallies.values()
-            if tally.backend.service == service and self._backoff_s(tally, now)
+            state.backend.id
+            for state in self._states.values()
+            if state.backend.service == service and self._backoff_s(state, now)
         )
 
     def backoff_s(
         self, service: str, now: float, stage: forwarding.Stage = ''
     ) -> float:
-        """Returns when the first server takes requests again, if all are in backoff.
+        """Returns when the first backoff ends, if all servers are in backoff.
 
         Returns:
-            Seconds; 0 if one is not, or there is none.
+            Seconds from now; 0 if a server is not in backoff, or there is none.
         """
         return min(
             (
-                self._backoff_s(tally, now)
-                for tally in self._tallies.values()
-                if tally.backend.service == service
-                and tally.backend.stage == stage
-                and not tally.backend.leaving
-                and tally.misdirected_until <= now
+                self._backoff_s(state, now)
+                for state in self._states.values()
+                if state.backend.service == service
+                and state.backend.stage == stage
+                and not state.backend.leaving
+                and state.misdirected_until <= now
             ),
             default=0.0,
         )
 
     def faulty(self, service: str, now: float) -> tuple[str, ...]:
-        """Returns servers that failed, or are in backoff elsewhere, if others are left.
+        """Returns servers that failed or are in backoff elsewhere.
 
-        Looked at stage by stage: where all of a stage failed, what they share
-        is rather at fault, and they are tried again.
+        Each stage is evaluated separately. If all servers of a stage failed, a
+        shared cause is more likely; they are left out and tried again.
         """
         stages: dict[forwarding.Stage, list[Tally]] = {}
-        for tally in self._tallies.values():
-            if tally.backend.service == service and not tally.backend.leaving:
-                stages.setdefault(tally.backend.stage, []).append(tally)
-        found: list[str] = []
-        for tallies in stages.values():
+        for state in self._states.values():
+            if state.backend.service == service and not state.backend.leaving:
+                stages.setdefault(state.backend.stage, []).append(state)
+        faulty: list[str] = []
+        for states in stages.values():
             failed = [
-                tally.backend.id
-                for tally in tallies
-                if tally.faults_now(now) > FAULTY
-                or self._in_backoff_elsewhere(tally, now)
+                state.backend.id
+                for state in states
+                if state.faults_now(now) > FAULTY
+                or self._in_backoff_elsewhere(state, now)
             ]
-            if len(failed) < len(tallies):
-                found.extend(failed)
-        return tuple(found)
+            if len(failed) < len(states):
+                faulty.extend(failed)
+        return tuple(faulty)
 
     def sent(self, server: str, tokens: int = 0) -> None:
-        """Counts a request that is on its way to a server."""
-        tally = self._tallies.get(server)
-        if tally is not None:
-            tally.in_flight += 1
-            tally.held_tokens += tokens
+        """Counts a request that is sent to a server."""
+        state = self._states.get(server)
+        if state is not None:
+            state.in_flight += 1
+            state.held_tokens += tokens
 
     def ended(self, server: str, tokens: int = 0) -> None:
-        """Counts the end of a request."""
-        tally = self._tallies.get(server)
-        if tally is not None:
-            tally.in_flight = max(0, tally.in_flight - 1)
-            tally.held_tokens = max(0, tally.held_tokens - tokens)
+        """Counts a request that is no longer in flight."""
+        state = self._states.get(server)
+        if state is not None:
+            state.in_flight = max(0, state.in_flight - 1)
+            state.held_tokens = max(0, state.held_tokens - tokens)
 
     def answered(
         self,
@@ -343,15 +357,15 @@
         now: float,
         took_s: float | None = None,
     ) -> None:
-        """Takes a good answer."""
-        tally = self._tallies.get(server)
-        if tally is None:
+        """Records a successful response."""
+        state = self._states.get(server)
+        if state is None:
             return
         if took_s is not None:
-            old_s = tally.took_s or took_s
-            tally.took_s = old_s + _SPEED_SHARE * (took_s - old_s)
-        tally.faults = tally.faults_now(now) * 0.5
-        tally.fault_at = now
+            old_s = state.took_s or took_s
+            state.took_s = old_s + _SMOOTHING * (took_s - old_s)
+        state.faults = state.faults_now(now) * 0.5
+        state.fault_at = now
 
     def loaded(
         self,
@@ -361,107 +375,110 @@
         *,
         streams: bool = False,
     ) -> None:
-        """Takes the load that an answer told.
+        """Records the load that a response reported.
 
         Args:
             server: The server's id.
             now: Seconds.
-            load: What it said.
-            streams: Whether it is still at work on what it answered.
+            load: The reported load.
+            streams: Whether the server is still streaming the response.
         """
-        tally = self._tallies.get(server)
-        if tally is None:
+        state = self._states.get(server)
+        if state is None:
             return
-        tally.load = load
-        tally.load_at = now
-        tally.load_mine = max(0, tally.in_flight - (not streams))
+        state.load = load
+        state.load_at = now
+        state.load_mine = max(0, state.in_flight - (not streams))
 
     def failed(self, server: str, now: float) -> None:
-        """Takes a reset, a garbled answer, silence or an error."""
-        tally = self._tallies.get(server)
-        if tally is not None:
-            tally.faults = tally.faults_now(now) + 1.0
-            tally.fault_at = now
+        """Records a reset, a malformed response, a timeout or an error."""
+        state = self._states.get(server)
+        if state is not None:
+            state.faults = state.faults_now(now) + 1.0
+            state.fault_at = now
 
     def told_failing(self, rates: Mapping[str, float], now: float) -> None:
-        """Takes what part of their requests servers fail, as all see it."""
-        least: dict[str, float] = {}
+        """Applies the failure rates of servers, as seen by all entry VMs."""
+        min_rates: dict[str, float] = {}
         for server, rate in rates.items():
-            tally = self._tallies.get(server)
-            if tally is not None:
-                name = tally.backend.service
-                least[name] = min(rate, least.get(name, 1.0))
+            state = self._states.get(server)
+            if state is not None:
+                service_name = state.backend.service
+                min_rates[service_name] = min(
+                    rate, min_rates.get(service_name, 1.0)
+                )
         for server, rate in rates.items():
-            tally = self._tallies.get(server)
-            if tally is not None:
-                tally.failing = rate - least[tally.backend.service]
-                tally.failing_at = now
+            state = self._states.get(server)
+            if state is not None:
+                state.failing = rate - min_rates[state.backend.service]
+                state.failing_at = now
 
     def full(self, server: str, now: float) -> None:
-        """Takes a refusal for want of room."""
-        tally = self._tallies.get(server)
-        if tally is not None:
-            tally.full_until = now + FULL_S
+        """Records a refusal by a server that is full."""
+        state = self._states.get(server)
+        if state is not None:
+            state.full_until = now + FULL_S
 
     def not_run(self, server: str, now: float, *, misdirected: bool) -> None:
-        """Takes a promise that a request did not run.
+        """Records a server's statement that a request did not run.
 
         Args:
             server: The server's id.
             now: Seconds.
-            misdirected: Whether another server has its address now; else it had
-                no room.
+            misdirected: Whether another server has its address now; else the
+                server is full.
         """
         if misdirected:
-            tally = self._tallies.get(server)
-            if tally is not None:
-                tally.misdirected_until = now + MISDIRECTED_S
+            state = self._states.get(server)
+            if state is not None:
+                state.misdirected_until = now + MISDIRECTED_S
         else:
             self.full(server, now)
 
-    def _note_start(self, backend: forwarding.Backend) -> None:
+    def _record_incarnation(self, backend: forwarding.Backend) -> None:
         if not backend.born:
             return
-        self._born.pop(backend.id, None)
-        self._born[backend.id] = backend.born
-        if len(self._born) > _STARTS:
-            del self._born[next(iter(self._born))]
-
-    def _forget(self, now: float) -> None:
-        for server, tally in list(self._tallies.items()):
-            if _is_lost(tally, now):
-                del self._tallies[server]
-
-    def _backoff_s(self, tally: Tally, now: float) -> float:
-        backend = tally.backend
+        self._started_at.pop(backend.id, None)
+        self._started_at[backend.id] = backend.born
+        if len(self._started_at) > _MAX_INCARNATIONS:
+            del self._started_at[next(iter(self._started_at))]
+
+    def _remove_lost(self, now: float) -> None:
+        for server, state in list(self._states.items()):
+            if _is_lost(state, now):
+                del self._states[server]
+
+    def _backoff_s(self, state: Tally, now: float) -> float:
+        backend = state.backend
         return self.backoffs.own_s(now, backend.id, backend.born)
 
-    def _in_backoff_elsewhere(self, tally: Tally, now: float) -> bool:
-        backend = tally.backend
+    def _in_backoff_elsewhere(self, state: Tally, now: float) -> bool:
+        backend = state.backend
         return self.backoffs.told_s(now, backend.id, backend.born) > 0
 
-    def _cost(self, tally: Tally, now: float, typical_s: float) -> float:
-        """Returns how long a new request would wait there, in requests."""
-        speed = tally.took_s / typical_s if typical_s and tally.took_s else 1.0
-        cost = (tally.busy(now) + 1.0) * max(speed, 0.5)
-        cost += FAULT_WEIGHT * tally.faults_now(now)
-        if tally.full_until > now:
+    def _cost(self, state: Tally, now: float, median_s: float) -> float:
+        """Returns the estimated queue ahead of a new request, in requests."""
+        slowness = state.took_s / median_s if median_s and state.took_s else 1.0
+        cost = (state.busy(now) + 1.0) * max(slowness, 0.5)
+        cost += FAULT_WEIGHT * state.faults_now(now)
+        if state.full_until > now:
             cost += FAULT_WEIGHT
-        if self._in_backoff_elsewhere(tally, now):
+        if self._in_backoff_elsewhere(state, now):
             cost += BACKOFF_WEIGHT
-        if tally.backend.data_centre != self._data_centre:
-            # Breaks ties only: bytes between data centres cost a little.
+        if state.backend.data_centre != self._data_centre:
+            # Breaks ties only: traffic between data centres costs slightly
+            # more.
             cost += 0.1
         return cost
 
 
-def _is_lost(tally: Tally, now: float) -> bool:
-    """Whether a server vanished from the list and did not come again."""
-    vanished_at = tally.vanished_at
+def _is_lost(state: Tally, now: float) -> bool:
+    """Whether a server vanished from the list and did not reappear in time."""
+    vanished_at = state.vanished_at
     return vanished_at is not None and now - vanished_at > VANISHED_S
 
 
-def _typical(tallies: list[Tally]) -> float:
+def _median_request_s(states: list[Tally]) -> float:
     """Returns the median time of a request, seconds; 0 if none was measured."""
-    times = sorted(tally.took_s for tally in tallies if tally.took_s)
+    times = sorted(state.took_s for state in states if state.took_s)
     return times[len(times) // 2] if times else 0.0
--- a/packages/core/foxtaildale/forwarding.py
+++ b/packages/core/foxtaildale/forwarding.py
@@ -1,8 +1,8 @@
-"""Values of a request that is forwarded to backend servers as it came.
+"""Types for requests that are forwarded to backend servers unchanged.
 
-The product's own interface has `backends`; these are for deployments whose
-callers and backend servers share a protocol, so that method, path, headers and
-body pass through and only what the system decides is added.
+`backends` has the product's own interface. The types here are for deployments
+whose callers and backend servers share a protocol: method, path, headers and
+body pass through, and the router adds only its decisions.
 """
 
 from typing import Final
@@ -11,84 +11,85 @@
 import msgspec
 
 Stage = Literal['', 'prefill', 'decode']
-# 'no' is a promise of the backend server; anything else may have run.
+# Whether a request ran. 'no' is guaranteed by the backend server; with 'maybe'
+# the request may have run.
 Ran = Literal['no', 'maybe']
-# Status of a server that is not the one that the request was meant for.
+# HTTP status of a server that is not the intended receiver of a request.
 MISDIRECTED: Final = 421
-# Status of a server that turns a request away.
+# HTTP status of a server that refuses a request.
 UNAVAILABLE: Final = 503
 
 
 class Backend(msgspec.Struct, frozen=True, kw_only=True):
-    """One start of one backend server, as the store lists it."""
+    """One incarnation of a backend server, as listed in the store."""
 
     id: str
-    # When it started, Unix milliseconds; a later start under the same id knows
-    # nothing of the ones before. 0 where entries don't tell it.
+    # When it started, Unix milliseconds; 0 if the entry does not state it. A
+    # later incarnation under the same id has no state of earlier ones.
     born: int = 0
     service: str
     address: str
     data_centre: str = ''
     slots: int = 1
-    # Whether it announced that it leaves; it takes no new work.
+    # Whether it announced that it leaves; it accepts no new requests.
     leaving: bool = False
-    # What a model engine does; empty for a plain service.
+    # Stage of a model engine; empty for a plain service.
     stage: Stage = ''
 
 
 class EntryVm(msgspec.Struct, frozen=True):
-    """One entry VM, as it lists itself for the others."""
+    """One entry VM, as it lists itself for the other VMs."""
 
-    # Where the others ask it.
+    # Address for requests of other entry VMs.
     peer_address: str
     data_centre: str = ''
-    # Processor time that it may use, cores.
+    # Processor capacity that it may use, cores.
     cores: float = 1.0
 
 
 class Held(msgspec.Struct, frozen=True):
-    """A request that is sent to no server, as the store keeps it."""
+    """A quarantined request, as stored in the store."""
 
-    # Digest of the request; the same for all sends of it.
+    # Digest of the request; the same for all its attempts.
     fingerprint: int
-    # Seconds since the epoch.
+    # End of the quarantine, seconds since the Unix epoch.
     until: float
 
 
 class Call(msgspec.Struct, kw_only=True):
     """One request of a caller."""
 
-    # The caller's id of this try.
+    # The caller's id of this attempt.
     id: str
     method: str
-    # Path and query, byte by byte as they came.
+    # Path and query, byte for byte as received.
     target: str
     path: str
     host: str
-    # What is passed on, in the order that it came.
+    # Headers that are forwarded, in the order received.
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    # How long the caller waits from the start of the request, seconds.
+    # How long the caller waits, from the start of the request, seconds.
     patience_s: float | None = None
-    # Prompt and largest answer of a request for a model, tokens.
+    # Length of the prompt and maximum length of the output of a model request,
+    # tokens.
     prompt_tokens: int = 0
     output_tokens: int = 0
-    # The caller's guess of the length of the answer, tokens; 0 if none.
+    # The caller's estimate of the output length, tokens; 0 if it gave none.
     hinted_tokens: int = 0
-    # Position that a resumed stream goes on after; None at its start.
+    # Position after which a stream is resumed; None for a new stream.
     after_event: int | None = None
-    # The same for each try of one request: a digest of what its caller asks.
+    # Digest of the content of the request; the same for all its attempts.
     digest: int = 0
-    # Digest of the key that its caller sent; None if it sent none that can be
-    # read.
+    # Digest of the caller's key; None if it sent no valid key.
     key: bytes | None = None
-    # Name of the client account that it is for, told to backend servers; empty
-    # where no account is known.
+    # Name of its client account, which is sent to backend servers; empty if no
+    # account is known.
     account: str = ''
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What a backend server said of its load with an answer."""
+    """The load that a backend server reports with a response."""
 
     running: int
     waiting: int
@@ -96,80 +97,81 @@
 
 
 class SelfReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What a backend server says of itself with an answer."""
+    """What a backend server reports about itself with a response."""
 
     load: Load | None = None
-    # Requests a second that the server takes from all entry VMs together; None
-    # if it names no limit.
+    # Requests a second that the server accepts from all entry VMs together;
+    # None if it names no limit.
     limit: float | None = None
-    # Whether it leaves, and takes no new work.
+    # Whether it leaves and accepts no new requests.
     leaving: bool = False
-    # For how long it wants no requests from this entry VM, seconds; None if it
-    # does not say.
+    # Backoff that it requests from this entry VM, seconds; None if it requests
+    # none.
     backoff_s: float | None = None
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """What answers of every kind tell of their backend server."""
+    """What every response of a backend server contains."""
 
     status: int
     report: SelfReport = SelfReport()
-    # Id of the server that answered; empty if it does not say.
+    # Id of the server that responded; empty if it is not stated.
     server: str = ''
 
     @property
     def ok(self) -> bool:
-        """Whether it is a success."""
+        """Whether the status is a success."""
         return 200 <= self.status < 300
 
     @property
     def misdirected(self) -> bool:
-        """Whether another server than the one that was meant answered."""
+        """Whether a server other than the intended one responded."""
         return self.status == MISDIRECTED
 
     @property
     def not_run(self) -> bool:
-        """Whether the server did not do what was asked, and won't."""
+        """Whether the server did not run the request and will not run it."""
         return self.status in (MISDIRECTED, UNAVAILABLE)
 
     def replaces(self, server: str) -> bool:
-        """Whether another server answered at the address of one that is gone.
+        """Whether another server responded at the address of a removed server.
 
-        One that is itself there may refuse as well what its stage does not do.
+        The status alone does not show this: the intended server may also refuse
+        a request that its stage does not handle.
         """
         return self.misdirected and bool(self.server) and self.server != server
 
 
 class Head(Answer, frozen=True, kw_only=True):
-    """Status and headers of a backend server's answer to a request."""
+    """Status and headers of a backend server's response to a request."""
 
     headers: tuple[tuple[str, str], ...]
     ran: Ran = 'maybe'
-    # Whether the answer is for the request that was sent.
+    # Whether the response belongs to the request that was sent.
     matches: bool = True
 
     @property
     def not_run(self) -> bool:
-        """Whether the server promises that the request did not run."""
+        """Whether the server guarantees that the request did not run."""
         return self.ran == 'no'
 
 
 class Reply(Answer, frozen=True, kw_only=True):
-    """A backend server's answer to a call that carries no request."""
+    """A backend server's response to a call without a caller's request."""
 
-    # What was asked for: the name of a reservation, or what came of an order.
+    # Result of the call: the name of a reservation, or the outcome of an order.
     text: str = ''
 
 
 class Prefilled(msgspec.Struct, frozen=True):
-    """A prompt that a prefill worker holds for a decode worker."""
+    """A prefilled prompt that a prefill worker holds for a decode worker."""
 
     worker: Backend
     handle: str
 
 
 class Reserved(msgspec.Struct, frozen=True):
-    """Memory and a slot that a decode worker keeps for one request."""
+    """Memory and a slot that a decode worker reserves for one request."""
 
     worker: Backend
     hold: str
--- a/packages/core/foxtaildale/hints.py
+++ b/packages/core/foxtaildale/hints.py
@@ -1,9 +1,10 @@
 """Estimated contents of the prefix caches of prefill workers.
 
 Cache events arrive late and with gaps, so these contents are uncertain. A hint
-influences only the choice of a worker and the estimate, weighted by how accurate
-recent hints were. A worker at which a prompt was placed is assumed to hold the
-prompt's prefix from then on, which covers most gaps before the event arrives.
+influences only the choice of a worker and the estimate, weighted by how
+accurate recent hints were. A worker at which a prompt was placed is assumed to
+hold the prompt's prefix from then on, which covers most gaps before the event
+arrives.
 """
 
 import collections
@@ -61,12 +62,14 @@
 
     def expect(self, worker: str, prefixes: Sequence[str]) -> int:
         """Returns the estimated number of tokens that a worker has cached."""
-        return round(self._accuracy.value * self._hinted_tokens(worker, prefixes))
+        return round(
+            self._accuracy.value * self._hinted_tokens(worker, prefixes)
+        )
 
     def checked(
         self, worker: str, prefixes: Sequence[str], cached: int
     ) -> None:
-        """Updates the accuracy of hints from the tokens an engine had cached."""
+        """Updates the accuracy of hints with what an engine had cached."""
         hinted = self._hinted_tokens(worker, prefixes)
         if hinted:
             self._accuracy.add(min(1.0, cached / hinted))
--- a/packages/core/foxtaildale/quarantine.py
+++ b/packages/core/foxtaildale/quarantine.py
@@ -1,9 +1,10 @@
 """Requests that are sent to no server for a limited time.
 
-Only fingerprints are stored (`fingerprint`). Every entry VM has all of them, so that
-it can refuse a request without a request to another VM. A request that ran to
-completion at some entry VM is cleared: it crashes no server, whatever it was blamed
-for. VMs report the remaining time to each other, since their clocks differ.
+Only fingerprints are stored (`fingerprint`). Every entry VM has all of them, so
+that it can refuse a request without a request to another VM. A request that ran
+to completion at some entry VM is cleared: it crashes no server, whatever it was
+blamed for. VMs report the remaining time to each other, since their clocks
+differ.
 
 This module does no I/O; the time is an argument.
 """
@@ -11,14 +12,15 @@
 from collections.abc import Mapping
 from typing import Final
 
-# How long a request is quarantined, and how long a cleared one can't be, seconds.
+# How long a request is quarantined, and how long a cleared one can't be,
+# seconds.
 HELD_S: Final = 900.0
 # Maximum number of quarantined and of cleared requests remembered; those that
 # expire first are removed first.
 MOST: Final = 256
-# A repeated report extends an expiry only if it does so by more than this, and a
-# report with less than this left is ignored, seconds: otherwise the network delay
-# between two VMs would extend the expiry with each report.
+# A repeated report extends an expiry only if it does so by more than this, and
+# a report with less than this left is ignored, seconds: otherwise the network
+# delay between two VMs would extend the expiry with each report.
 _SLACK_S: Final = 5.0
 
 
@@ -28,8 +30,8 @@
     __slots__ = ('until',)
 
     def __init__(self) -> None:
-        # Expiry by fingerprint, seconds. The dict is replaced and never modified,
-        # so that any thread may read it.
+        # Expiry by fingerprint, seconds. The dict is replaced and never
+        # modified, so that any thread may read it.
         self.until: dict[int, float] = {}
 
     def add(self, now: float, fingerprint: int, left_s: float) -> bool:
@@ -68,7 +70,7 @@
     def hold(
         self, now: float, fingerprint: int, left_s: float = HELD_S
     ) -> bool:
-        """Quarantines a request; returns whether it was not quarantined before."""
+        """Quarantines a request; returns whether that is a change."""
         if self._cleared.until.get(fingerprint, now) > now:
             return False
         if not 0 < left_s <= HELD_S:
@@ -78,14 +80,14 @@
     def clear(
         self, now: float, fingerprint: int, left_s: float = HELD_S
     ) -> bool:
-        """Clears a request; returns whether it was not cleared before."""
+        """Clears a request; returns whether that is a change."""
         if not 0 < left_s <= HELD_S:
             return False
         self._quarantined.drop(fingerprint)
         return self._cleared.add(now, fingerprint, left_s)
 
     def left_s(self, now: float, fingerprint: int) -> float:
-        """Returns how long a request stays quarantined, seconds; 0 if it is not.
+        """Returns how long a request is quarantined, seconds; 0 if it is not.
 
         May be called from any thread.
         """
@@ -95,11 +97,11 @@
         return max(0.0, until.get(fingerprint, now) - now)
 
     def held(self, now: float) -> dict[int, float]:
-        """Returns how long each request stays quarantined, seconds."""
+        """Returns how long each request is quarantined, seconds."""
         return self._quarantined.left(now)
 
     def cleared(self, now: float) -> dict[int, float]:
-        """Returns how long each cleared request can't be quarantined, seconds."""
+        """Returns how long each request stays cleared, seconds."""
         return self._cleared.left(now)
 
     def take(
@@ -108,7 +110,11 @@
         held: Mapping[int, float],
         cleared: Mapping[int, float],
     ) -> list[int]:
-        """Merges what another VM reports; returns the newly quarantined requests."""
+        """Merges the report of another VM.
+
+        Returns:
+            The fingerprints of newly quarantined requests.
+        """
         for fingerprint, left_s in cleared.items():
             if left_s > _SLACK_S:
                 self.clear(now, fingerprint, left_s)
--- a/packages/core/foxtaildale/routes.py
+++ b/packages/core/foxtaildale/routes.py
@@ -1,8 +1,8 @@
 """Which service a request goes to: hosts, path prefixes and weighted splits.
 
-A `Table` is one version of the operators' configuration, checked and decoded.
-It is immutable; a request keeps the table that it was matched with, so a change
-of the configuration never mixes two versions within one request.
+A `Table` is one version of the operators' configuration, validated and decoded.
+It is immutable. A request keeps the table with which it was matched, so a
+configuration change never mixes two versions within one request.
 """
 
 from typing import Final
@@ -13,20 +13,20 @@
 
 from foxtaildale import accounts
 
-# Whether a request may be run again after it was sent once.
+# Whether a request may run again after it was sent once.
 Kind = Literal['idempotent', 'non_idempotent', 'stream']
 
 
 class Target(msgspec.Struct, frozen=True):
-    """One service of a split."""
+    """One service of a weighted split."""
 
     service: str
-    # Share of the route's requests, relative to the other targets.
+    # Weight of the service relative to the other targets of the route.
     weight: int
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """What requests under one host and path prefix need."""
+    """How requests under one host and path prefix are handled."""
 
     name: str
     host: str
@@ -34,47 +34,48 @@
     path_prefix: str
     kind: Kind
     targets: tuple[Target, ...]
-    # Longest time that a request may be kept without its final answer, seconds.
+    # Maximum time until the final response of a request, seconds.
     timeout_s: float
-    # Time within which the first event or the answer is of full use, seconds.
+    # Time until the first event or the response within which it has full value,
+    # seconds.
     target_s: float
-    # Longest pause between two events that is still on time, seconds.
+    # Maximum time between two events that counts as on time, seconds.
     gap_s: float = 0.0
-    # 0 is the most urgent.
+    # 0 is the highest priority.
     priority: int = 0
-    # Backend servers that one request may be sent to.
+    # Maximum number of backend servers to which one request is sent.
     max_attempts: int = 1
-    # Whether its requests carry a prompt for a model engine.
+    # Whether its requests contain a prompt for a model engine.
     model: bool = False
-    # Whether a broken stream may go on at another backend server.
+    # Whether an interrupted stream may be resumed at another backend server.
     resumable: bool = False
-    # Whether requests need no key of a client account.
+    # Whether requests are accepted without the key of a client account.
     public: bool = False
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request may be sent again although it may have run."""
         return self.kind == 'idempotent'
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
-    """What the operators say of the backend servers of one service."""
+    """The operators' settings for the backend servers of one service."""
 
     name: str
-    # KV cache that one engine holds, tokens; 0 for a plain service.
+    # Capacity of the KV cache of one engine, tokens; 0 for a plain service.
     kv_tokens: int = 0
-    # Longest life of a reservation at an engine, seconds.
+    # Maximum lifetime of a reservation at an engine, seconds.
     hold_s: float = 0.0
-    # How long an engine keeps a prefilled prompt that nobody took, seconds.
+    # How long an engine keeps a prefilled prompt that is not fetched, seconds.
     handle_s: float = 0.0
-    # Requests in one batch of an engine.
+    # Maximum number of requests in one batch of an engine.
     slots: int = 0
-    # Tokens of the answer in one event of a stream.
+    # Output tokens in one event of a stream.
     event_tokens: int = 1
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """What callers may send."""
+    """Limits on requests of callers: sizes in bytes, timeouts in seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -89,12 +90,12 @@
     routes: tuple[Route, ...] = ()
     services: tuple[Service, ...] = ()
     limits: Limits = Limits()
-    # Client accounts; None where requests need no key. Where there are to be
-    # accounts and none is left, nobody has a key.
+    # Client accounts; None if requests need no key. If the tuple is empty,
+    # requests need a key but no key is valid.
     client_accounts: tuple[accounts.Account, ...] | None = None
 
     def service(self, name: str) -> Service:
-        """Returns a service; an unknown one has no special features."""
+        """Returns a service; an unknown one has default settings."""
         for service in self.services:
             if service.name == name:
                 return service
@@ -102,13 +103,13 @@
 
 
 class Matcher:
-    """Finds the route of a request in one table."""
+    """Finds the routes of requests in one table."""
 
     __slots__ = ('_by_host', 'client_accounts', 'table')
 
     table: Table
     client_accounts: accounts.Accounts
-    # Routes of each host, longest prefix first.
+    # Routes by host, longest path prefix first.
     _by_host: dict[str, tuple[Route, ...]]
 
     def __init__(self, table: Table) -> None:
@@ -118,7 +119,7 @@
         for route in table.routes:
             hosts.setdefault(route.host.lower(), []).append(route)
         self._by_host = {
-            host: tuple(sorted(routes, key=_longest_first))
+            host: tuple(sorted(routes, key=_negative_prefix_length))
             for host, routes in hosts.items()
         }
 
@@ -128,11 +129,11 @@
         return self.table.client_accounts is not None
 
     def find(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix that begins the path.
+        """Returns the route with the longest matching path prefix, if any.
 
         Args:
-            host: The Host header; a port in it is ignored.
-            path: As the caller sent it, without the query.
+            host: The Host header; its port is ignored.
+            path: The path as the caller sent it, without the query.
         """
         name = host.strip().lower().partition(':')[0]
         for route in self._by_host.get(name, ()):
@@ -141,7 +142,7 @@
         return None
 
 
-def _longest_first(route: Route) -> int:
+def _negative_prefix_length(route: Route) -> int:
     return -len(route.path_prefix)
 
 
@@ -149,10 +150,10 @@
 
 
 def pick_service(route: Route, request_id: str) -> str:
-    """Returns the service of one request, by the weights of the split.
+    """Returns the service of one request according to the weights of the split.
 
-    The choice is a hash of the request's id, so every entry VM and every try
-    under one id chooses alike.
+    The choice is a hash of the request's id, so that every entry VM makes the
+    same choice for every attempt under one id.
     """
     total = sum(target.weight for target in route.targets)
     if total <= 0:
--- a/packages/core/foxtaildale/sendtokens.py
+++ b/packages/core/foxtaildale/sendtokens.py
@@ -2,10 +2,10 @@
 
 One VM is the coordinator of these limits. It grants send tokens, one for each
 send, at the rate that a server named (`Quota`). The other VMs request tokens in
-advance for their expected sends and spend those that they have (`Tokens`), so that
-no request waits for a reply of the coordinator. A token expires after a short time,
-so that unused tokens are granted again and no VM can accumulate them. Servers
-without a limit cause no overhead here.
+advance for their expected sends and spend those that they have (`Tokens`), so
+that no request waits for a reply of the coordinator. A token expires after a
+short time, so that unused tokens are granted again and no VM can accumulate
+them. Servers without a limit cause no overhead here.
 
 This module does no I/O; the time is an argument.
 """
@@ -181,7 +181,7 @@
                 entry.until = now + LEASE_S
 
     def alone(self, now: float, entry_vms: int) -> None:
-        """Grants this VM its share of each limit while no coordinator replies."""
+        """Grants this VM its share of each limit if no coordinator replies."""
         for entry in self._limits.values():
             since = now if entry.level_at is None else entry.level_at
             rate = max(LEAST, entry.limit) / max(1, entry_vms)
--- a/packages/core/foxtaildale/shares.py
+++ b/packages/core/foxtaildale/shares.py
@@ -1,9 +1,10 @@
-"""An entry VM's own part of what each client account may use.
+"""An entry VM's share of the limit of each client account.
 
-Load answered: a VM that can ask no other one what an account has used. It lets
-in its part of the rate, by the number of entry VMs. A part is less than what one
-request may count as, so the first one is let in and paid back at the part's
-rate; the sum over all VMs then passes the limit by one request each at most.
+This serves a VM that can reach no other VM to learn what an account has used.
+It admits requests within its share of the rate, which depends on the number of
+entry VMs. A share may be smaller than the cost of one request, so the first
+request is admitted and its deficit is replenished at the share's rate. The sum
+over all VMs then exceeds the limit by at most one request for each VM.
 """
 
 from foxtaildale import accounts
@@ -12,7 +13,7 @@
 
 
 class Shares:
-    """Parts of one entry VM; the time is an argument."""
+    """Shares of one entry VM; the time is an argument."""
 
     __slots__ = ('_buckets',)
 
@@ -22,37 +23,37 @@
     def ask(
         self, now: float, account: accounts.Account, cost: float, entry_vms: int
     ) -> allowances.Answer:
-        """Lets a request in, or says when it would be.
+        """Admits a request, or returns how long until it would be admitted.
 
         Args:
             now: Seconds.
-            account: Whose request it is.
-            cost: What it counts as, units.
+            account: The account of the request.
+            cost: Cost of the request, units.
             entry_vms: How many VMs share the limit.
         """
-        found = self._bucket(now, account, entry_vms)
-        wait_s = found.take(now, cost)
-        return allowances.Answer(wait_s, found.level(now))
+        share = self._bucket(now, account, entry_vms)
+        wait_s = share.take(now, cost)
+        return allowances.Answer(wait_s, share.level(now))
 
     def give_back(self, now: float, name: str, cost: float) -> None:
-        """Takes back what a request counted as that did not run."""
-        found = self._buckets.get(name)
-        if found is not None:
-            found.give_back(now, cost)
+        """Refunds the cost of a request that did not run."""
+        share = self._buckets.get(name)
+        if share is not None:
+            share.give_back(now, cost)
 
     def _bucket(
         self, now: float, account: accounts.Account, entry_vms: int
     ) -> bucket.Bucket:
-        whole = account.limit
+        total = account.limit
         limit = accounts.Limit(
-            unit=whole.unit,
-            rate=whole.rate / entry_vms,
-            burst=whole.burst / entry_vms,
+            unit=total.unit,
+            rate=total.rate / entry_vms,
+            burst=total.burst / entry_vms,
         )
-        found = self._buckets.get(account.name)
-        if found is None:
-            found = bucket.Bucket(limit, now, limit.burst)
-            self._buckets[account.name] = found
-        elif found.limit != limit:
-            found.on_limit(now, limit)
-        return found
+        share = self._buckets.get(account.name)
+        if share is None:
+            share = bucket.Bucket(limit, now, limit.burst)
+            self._buckets[account.name] = share
+        elif share.limit != limit:
+            share.on_limit(now, limit)
+        return share
--- a/packages/core/foxtaildale/suspects.py
+++ b/packages/core/foxtaildale/suspects.py
@@ -1,12 +1,12 @@
 """Entry VMs that failed as coordinators, until they reply to a probe.
 
-All VMs must choose the same coordinator; otherwise two plans grant the same memory
-and prefills are wasted. This module serves the case that entry VMs are replaced
-one after the other during a burst. If a VM excluded a failed coordinator for a
-fixed time that grows with each failure, it would use another coordinator up to a
-minute after all other VMs use the first one again. So a suspect is probed
-independently of any request, and is a coordinator again as soon as it reports that
-it is fit.
+All VMs must choose the same coordinator; otherwise two plans grant the same
+memory and prefills are wasted. This module serves the case that entry VMs are
+replaced one after the other during a burst. If a VM excluded a failed
+coordinator for a fixed time that grows with each failure, it would use another
+coordinator up to a minute after all other VMs use the first one again. So a
+suspect is probed independently of any request, and is a coordinator again as
+soon as it reports that it is fit.
 
 The time is an argument.
 """
@@ -15,17 +15,18 @@
 from typing import Final
 
 # Number of consecutive lost replies after which a coordinator is excluded. One
-# reply can be lost with a broken connection or under short load; if the coordinator
-# were excluded at once, two coordinators would grant the same memory.
+# reply can be lost with a broken connection or under short load; if the
+# coordinator were excluded at once, two coordinators would grant the same
+# memory.
 MISSES: Final = 2
-# Delay until a suspect is probed, seconds. It doubles with each exclusion for lost
-# replies, up to the maximum, so that an overloaded coordinator is not used again
-# and again. It does not double after a refusal, because a VM that refuses reports
-# by itself when it is fit.
+# Delay until a suspect is probed, seconds. It doubles with each exclusion for
+# lost replies, up to the maximum, so that an overloaded coordinator is not used
+# again and again. It does not double after a refusal, because a VM that refuses
+# reports by itself when it is fit.
 PROBE_S: Final = 0.4
 PROBE_MOST_S: Final = 6.4
-# Time without an exclusion for lost replies after which the probe delay is reset
-# to `PROBE_S`, seconds.
+# Time without an exclusion for lost replies after which the probe delay is
+# reset to `PROBE_S`, seconds.
 CALM_S: Final = 30.0
 
 
--- a/packages/core/foxtaildale/workers.py
+++ b/packages/core/foxtaildale/workers.py
@@ -1,15 +1,15 @@
-"""Backend servers as a pool sees them: listed, booked, trusted or suspended."""
+"""Backend servers of a pool: list entry, bookings, failures, suspension."""
 
 from typing import Final
 
 from foxtaildale import backends
 from foxtaildale import values
 
-# Failures in a row after which a worker gets no work for a while.
-_FAILURES: Final = 2
-# First and longest suspension, seconds.
-_SUSPEND_S: Final = 1.0
-_SUSPEND_MOST_S: Final = 16.0
+# Number of consecutive failures after which a worker is suspended.
+_MAX_FAILURES: Final = 2
+# First and maximum duration of a suspension, seconds.
+_FIRST_SUSPENSION_S: Final = 1.0
+_MAX_SUSPENSION_S: Final = 16.0
 
 
 class Worker:
@@ -17,8 +17,8 @@
 
     __slots__ = (
         '_failures',
-        '_suspend_s',
         '_suspended_until',
+        '_suspension_s',
         'free_at',
         'link_at',
         'load',
@@ -26,14 +26,15 @@
     )
 
     server: values.BackendServer
-    # When the booked prefills end, and when its link is free; seconds.
+    # When its booked prefills end, and when its network link becomes free,
+    # seconds.
     free_at: float
     link_at: float
-    # Last report, None before the first.
+    # The last load report; None before the first one.
     load: backends.Load | None
-    # Failures in a row; a success clears them.
+    # Number of consecutive failures; a success resets it.
     _failures: int
-    _suspend_s: float
+    _suspension_s: float
     _suspended_until: float
 
     def __init__(self, server: values.BackendServer) -> None:
@@ -42,11 +43,11 @@
         self.link_at = 0.0
         self.load = None
         self._failures = 0
-        self._suspend_s = _SUSPEND_S
+        self._suspension_s = _FIRST_SUSPENSION_S
         self._suspended_until = 0.0
 
     def live(self) -> bool:
-        """Whether the list says that new work may go there."""
+        """Whether new work may be sent there according to the list."""
         return self.server.state == 'live'
 
     def usable(self, now: float) -> bool:
@@ -54,19 +55,20 @@
         return self.live() and self._suspended_until <= now
 
     def worked(self) -> None:
-        """Takes a success."""
+        """Records a success."""
         self._failures = 0
-        self._suspend_s = _SUSPEND_S
+        self._suspension_s = _FIRST_SUSPENSION_S
 
     def failed(self, now: float) -> None:
-        """Takes a failure.
+        """Records a failure.
 
-        A dead worker has the emptiest ledger, so it would draw all new work
-        until the lagging list drops it; callers would see one failure after
-        the other. After two in a row it rests, each time twice as long, and
-        one more failure after a rest is enough for the next.
+        A dead worker has the fewest bookings, so it would attract all new work
+        until it is removed from the list, which lags behind, and callers would
+        see one failure after the other. So a worker is suspended after two
+        consecutive failures, each time for twice as long. After a suspension,
+        one more failure is enough for the next one.
         """
         self._failures += 1
-        if self._failures >= _FAILURES and self._suspended_until <= now:
-            self._suspended_until = now + self._suspend_s
-            self._suspend_s = min(2 * self._suspend_s, _SUSPEND_MOST_S)
+        if self._failures >= _MAX_FAILURES and self._suspended_until <= now:
+            self._suspended_until = now + self._suspension_s
+            self._suspension_s = min(2 * self._suspension_s, _MAX_SUSPENSION_S)
