--- a/packages/core/foxtaildale/crashes.py
+++ b/packages/core/foxtaildale/crashes.py
@@ -48,11 +48,11 @@
 class _ServerCrash:
     """The crash of one incarnation of a server, and what ran there."""
 
-    __slots__ = ('_began_at', 'at', 'happened_at', 'ran')
+    __slots__ = ('_began_at', 'happened_at', 'ran', 'reported_at')
 
-    def __init__(self, at: float, happened_at: float) -> None:
+    def __init__(self, reported_at: float, happened_at: float) -> None:
         # When the crash was first reported, and when it happened, seconds.
-        self.at = at
+        self.reported_at = reported_at
         self.happened_at = happened_at
         # Reports of the requests that ran there, by fingerprint.
         self.ran: dict[int, messages.Crash] = {}
@@ -79,13 +79,13 @@
             self.drop(longest.fingerprint)
 
     def drop(self, fingerprint: int) -> None:
-        """Removes a request; harmless if it is not there."""
+        """Removes a request; does nothing if it is not present."""
         self.ran.pop(fingerprint, None)
         self._began_at.pop(fingerprint, None)
 
     def reports(self, now: float) -> list[messages.Crash]:
         """Returns the reports that still count, with their current age."""
-        reports = []
+        current = []
         for fingerprint, crash in self.ran.items():
             began_at = self._began_at[fingerprint]
             age_s = now - began_at - crash.ran_ms / 1000
@@ -93,8 +93,8 @@
                 report = msgspec.structs.replace(
                     crash, age_ms=int(age_s * 1000)
                 )
-                reports.append(report)
-        return reports
+                current.append(report)
+        return current
 
     def weight(self, fingerprint: int) -> float:
         """Returns the weight of this crash for a request."""
@@ -142,7 +142,7 @@
         open_crashes = [
             server_crash
             for server_crash in self._ends.values()
-            if now - server_crash.at >= SETTLE_S
+            if now - server_crash.reported_at >= SETTLE_S
             and not any(
                 server_crash.weight(blamed_request) >= 1.0
                 for blamed_request in known
@@ -169,23 +169,23 @@
         The newest come last. At most `MOST_REPORTS` are returned.
         """
         self._expire(now)
-        reports = [
+        current = [
             crash
             for server_crash in self._ends.values()
             for crash in server_crash.reports(now)
         ]
-        return reports[-MOST_REPORTS:]
+        return current[-MOST_REPORTS:]
 
     def is_settling(self, now: float) -> bool:
         """Whether a crash was reported recently."""
         return any(
-            now - server_crash.at <= 2 * SETTLE_S
+            now - server_crash.reported_at <= 2 * SETTLE_S
             for server_crash in self._ends.values()
         )
 
     def _expire(self, now: float) -> None:
         for incarnation, server_crash in list(self._ends.items()):
-            if now - server_crash.at <= COUNTS_S:
+            if now - server_crash.reported_at <= COUNTS_S:
                 break
             del self._ends[incarnation]
 
--- a/packages/core/foxtaildale/departures.py
+++ b/packages/core/foxtaildale/departures.py
@@ -49,7 +49,7 @@
         return self.revision(server, started_at) % 2 == 1
 
     def revision(self, server: str, started_at: int) -> int:
-        """Returns the revision of an incarnation's state; 0 if none is known."""
+        """Returns the revision of an incarnation; 0 if none is known."""
         state = self._states.get(server)
         return state[1] if state is not None and state[0] >= started_at else 0
 
