--- a/packages/daemon/foxtaildaled/asking.py
+++ b/packages/daemon/foxtaildaled/asking.py
@@ -1,10 +1,11 @@
-"""Chooses homes among the entry VMs, and asks them.
+"""Chooses coordinators among the entry VMs and sends them requests.
 
-What has to be counted or planned over all entry VMs (places at engines, what
-client accounts use) has one of them as its home, chosen by rendezvous hash of
-its name, so all choose the same without agreement. A VM that does not answer, or
-says that it is not fit, is passed over until it answers a probe (`suspects`),
-whatever it was asked for, and the next one by the hash is asked instead.
+Whatever must be counted or planned over all entry VMs (placements at engines,
+the usage of client accounts) has one entry VM as its coordinator. It is chosen
+by rendezvous hashing of a name, so all VMs choose the same one without
+agreement. A VM that does not reply, or reports that it is not fit, is excluded
+for all names until it replies to a probe (`suspects`); the next VM by the hash
+is asked instead.
 """
 
 from collections.abc import Callable
@@ -24,19 +25,20 @@
 from foxtaildaled import actors
 from foxtaildaled import beliefs
 
-# Answers that may be lost under one ask before it is given up, two of each of
-# two homes but one, and homes that may refuse it: those answer within
-# milliseconds.
+# Limits of one request: it fails after `LOST` lost replies, which is one less
+# than two replies of each of two coordinators, or after `REFUSED` refusals.
+# More refusals are allowed since they arrive within milliseconds.
 LOST: Final = 3
 REFUSED: Final = 8
-# Longest wait for the answer to a probe, seconds; a round trip takes two
+# Timeout for the reply to a probe, seconds. A round trip takes two
 # milliseconds.
 PROBE_ANSWER_S: Final = 0.25
-# Longest wait until a home has heard what it is told, seconds.
+# Timeout for the reply to a notification, seconds.
 TELL_S: Final = 0.25
-# News that may wait to be told. A lost end of a place is mended by the next
-# survey, a lost report by the next failure, what was not given back comes back
-# at the rate of the account.
+# Maximum number of queued notifications; more are dropped. The next inventory
+# makes up for a lost release of a placement and the next failure for a lost
+# report. Units that were not refunded become available again at the rate of the
+# account.
 QUEUE_LIMIT: Final = 500
 
 # Name and peer address of an entry VM.
@@ -46,19 +48,19 @@
 
 
 class Asking:
-    """The asking side of all homes; safe for concurrent use."""
+    """Client of all coordinators; safe for concurrent use."""
 
     __slots__ = (
+        '_cache',
         '_clock',
+        '_eligible_vms',
         '_entry_vm',
         '_handle',
-        '_heard',
-        '_homes',
         '_lock',
-        '_news',
+        '_notifications',
         '_owner',
         '_peers',
-        '_strong',
+        '_replied',
         '_suspects',
     )
 
@@ -72,27 +74,27 @@
         clock: ports.Clock,
     ) -> None:
         self._entry_vm = entry_vm
-        # Answers what this entry VM asks itself as a home.
+        # Handles requests for which this entry VM itself is the coordinator.
         self._handle = handle
         self._owner = owner
         self._peers = peers
         self._clock = clock
         self._lock = threading.Lock()
         self._suspects = suspects.Suspects()
-        self._strong = homes.Strong(lambda vm: vm.cores)
-        self._homes = homes.Homes()
-        # Entry VMs that answered once, so that one which is gone for good is told
-        # from one that is busy.
-        self._heard: set[str] = set()
-        # What homes are to hear of, in order.
-        self._news: queue.Queue[tuple[str, messages.Any]] = queue.Queue(
-            QUEUE_LIMIT
+        self._eligible_vms = homes.Strong(lambda vm: vm.cores)
+        self._cache = homes.Homes()
+        # Entry VMs that replied at least once. This distinguishes VMs that are
+        # busy from VMs that were removed but are still listed.
+        self._replied: set[str] = set()
+        # Queued notifications by name, in the order in which they are sent.
+        self._notifications: queue.Queue[tuple[str, messages.Any]] = (
+            queue.Queue(QUEUE_LIMIT)
         )
 
     def start(self) -> None:
-        """Starts the thread that tells news."""
+        """Starts the thread that sends notifications."""
         threading.Thread(
-            target=self._tell_news, name='asking', daemon=True
+            target=self._send_notifications, name='asking', daemon=True
         ).start()
 
     def ask(
@@ -102,64 +104,66 @@
         answers: tuple[type[_Answer], ...],
         answer_s: float,
     ) -> _Answer | None:
-        """Asks the home of something; None if no home answers.
+        """Sends a request to a coordinator; None if no coordinator replies.
 
         Args:
-            name: What it is the home of.
-            msg: What to ask.
-            answers: The messages that answer it.
-            answer_s: Longest wait for one home's answer, seconds.
+            name: The name whose coordinator is asked.
+            msg: The request.
+            answers: The message types that are valid replies.
+            answer_s: Timeout for the reply of one coordinator, seconds.
         """
         lost = refused = 0
         while lost < LOST and refused < REFUSED:
-            home = self._home(name)
-            if home is None:
+            coordinator = self._coordinator(name)
+            if coordinator is None:
                 return None
             try:
-                reply = self._send(home, msg, answer_s)
+                reply = self._send(coordinator, msg, answer_s)
             except errors.PortError as exc:
                 if isinstance(exc, errors.AnswerLostError):
                     lost += 1
                 else:
                     refused += 1
-                self._suspect(home, exc)
+                self._suspect(coordinator, exc)
                 continue
             with self._lock:
-                self._suspects.answered(home[0])
-                self._heard.add(home[0])
+                self._suspects.answered(coordinator[0])
+                self._replied.add(coordinator[0])
             if isinstance(reply, answers):
                 return reply
             refused += 1
         return None
 
     def tell(self, name: str, msg: messages.Any) -> None:
-        """Tells the home of something a moment later, if it hears it."""
+        """Notifies a coordinator asynchronously; does not retry."""
         try:
-            self._news.put_nowait((name, msg))
+            self._notifications.put_nowait((name, msg))
         except queue.Full:
             logs.event(
                 logging.WARNING, 'home not told', what=type(msg).__name__
             )
 
     def is_home(self, name: str) -> bool:
-        """Whether this entry VM is the home of something."""
-        home = self._home(name)
-        return home is not None and home[0] == self._entry_vm
+        """Whether this entry VM is the coordinator of a name."""
+        coordinator = self._coordinator(name)
+        return coordinator is not None and coordinator[0] == self._entry_vm
 
     def heirs(self, name: str, count: int) -> list[str]:
-        """Returns the addresses of others that are home by turns.
+        """Returns the addresses of the first coordinators by rank.
 
-        Those that are, or would be in turn, if those before them failed; this
-        entry VM is never one.
+        These are the current coordinator and its successors, in the order in
+        which they would take over. This entry VM is never among them.
         """
-        known = self._known()
+        entry_vms = self._entry_vms()
         with self._lock:
-            fit = self._strong.among(known, self._suspects.passed())
+            eligible = self._eligible_vms.among(
+                entry_vms, self._suspects.passed()
+            )
         ranked = sorted(
-            fit, key=lambda vm: (homes.score(name, vm), vm), reverse=True
+            eligible, key=lambda vm: (homes.score(name, vm), vm), reverse=True
         )
         others = [vm for vm in ranked if vm != self._entry_vm]
-        return [known[vm].peer_address for vm in others[:count]]
+        return [entry_vms[vm].peer_address for vm in others[:count]]
 
     def probe(self) -> None:
         """Probes the suspects that are due."""
@@ -167,9 +171,11 @@
             due = self._suspects.due(self._clock())
         if not due:
             return
-        known = self._known()
+        entry_vms = self._entry_vms()
         addresses = {
-            name: known[name].peer_address for name in due if name in known
+            name: entry_vms[name].peer_address
+            for name in due
+            if name in entry_vms
         }
         replies = self._peers.ask_all(
             list(addresses.values()), messages.AskHome(), PROBE_ANSWER_S
@@ -183,51 +189,59 @@
                 logs.event(logging.INFO, 'home regained', entry_vm_asked=name)
 
     def greet(self, name: str) -> None:
-        """Asks a home whether it lives, before a request needs it.
+        """Probes a coordinator before a request needs it.
 
-        The list of VMs also names some that are gone for good. Found out by the
-        first requests of each new process, that costs each of them two lost
-        answers, half a second of a target of 0.9 s.
+        The list of VMs also contains VMs that were removed. If the first
+        requests of each new process had to detect this, each of them would
+        lose two replies, which takes half a second of a target of 0.9 s.
         """
-        home = self._home(name)
-        if home is None or home[0] == self._entry_vm or home[0] in self._heard:
+        coordinator = self._coordinator(name)
+        if (
+            coordinator is None
+            or coordinator[0] == self._entry_vm
+            or coordinator[0] in self._replied
+        ):
             return
         try:
-            reply = self._peers.ask(home[1], messages.AskHome(), PROBE_ANSWER_S)
+            reply = self._peers.ask(
+                coordinator[1], messages.AskHome(), PROBE_ANSWER_S
+            )
         except errors.PortError as exc:
-            self._suspect(home, exc)
+            self._suspect(coordinator, exc)
             return
         with self._lock:
-            self._heard.add(home[0])
+            self._replied.add(coordinator[0])
         if isinstance(reply, messages.HomeReply) and not reply.fit:
-            self._suspect(home, errors.RejectedError('unfit', 'not fit'))
+            self._suspect(coordinator, errors.RejectedError('unfit', 'not fit'))
 
-    def _tell_news(self) -> None:
+    def _send_notifications(self) -> None:
         while True:
-            name, msg = self._news.get()
-            home = self._home(name)
-            if home is None:
+            name, msg = self._notifications.get()
+            coordinator = self._coordinator(name)
+            if coordinator is None:
                 continue
             try:
-                self._send(home, msg, TELL_S)
+                self._send(coordinator, msg, TELL_S)
             except errors.PortError as exc:
-                self._suspect(home, exc)
+                self._suspect(coordinator, exc)
 
-    def _known(self) -> dict[str, forwarding.EntryVm]:
+    def _entry_vms(self) -> dict[str, forwarding.EntryVm]:
         return self._owner.run(lambda state, _: state.entry_vms)
 
-    def _home(self, name: str) -> Home | None:
-        """Returns the home of something; None if none is left."""
-        known = self._known()
+    def _coordinator(self, name: str) -> Home | None:
+        """Returns the coordinator of a name; None if no VM is eligible."""
+        entry_vms = self._entry_vms()
         with self._lock:
-            fit = self._strong.among(known, self._suspects.passed())
-            found = self._homes.home(name, fit)
-        return (found, known[found].peer_address) if found else None
+            eligible = self._eligible_vms.among(
+                entry_vms, self._suspects.passed()
+            )
+            chosen = self._cache.home(name, eligible)
+        return (chosen, entry_vms[chosen].peer_address) if chosen else None
 
     def _send(
-        self, home: Home, msg: messages.Any, answer_s: float
+        self, coordinator: Home, msg: messages.Any, answer_s: float
     ) -> messages.Any:
-        name, address = home
+        name, address = coordinator
         if name != self._entry_vm:
             return self._peers.ask(address, msg, answer_s)
         reply = self._handle(msg)
@@ -235,8 +249,8 @@
             raise errors.RejectedError(reply.code, reply.message)
         return reply
 
-    def _suspect(self, home: Home, exc: errors.PortError) -> None:
-        name, address = home
+    def _suspect(self, coordinator: Home, exc: errors.PortError) -> None:
+        name, address = coordinator
         lost = isinstance(exc, errors.AnswerLostError)
         with self._lock:
             passed = self._suspects.failed(self._clock(), name, lost=lost)
--- a/packages/daemon/foxtaildaled/balancing.py
+++ b/packages/daemon/foxtaildaled/balancing.py
@@ -1,9 +1,9 @@
-"""Orders engines to change between reading prompts and making tokens.
+"""Orders engines to change between the stages prefill and decode.
 
-The home of a service knows its load and what should change (`balance`); before
-it orders anything it claims the right to in the store (`lease`). What came of
-an order is seen in the list of backend servers, not in its answer: an order
-without one may be carried out seconds later.
+The coordinator of a service knows its load and which engines should change
+(`balance`). Before it orders a change, it claims a lease in the store
+(`lease`). The outcome of an order is read from the list of backend servers and
+not from the reply: an order whose reply was lost may be executed seconds later.
 """
 
 import logging
@@ -19,26 +19,26 @@
 from foxtaildaled import beliefs
 from foxtaildaled import places
 
-# Time between looks, seconds; a surplus must have lasted one.
+# Polling interval, seconds. A surplus must have lasted for one interval.
 LOOK_S: Final = 0.5
-# Time between two claims for one service, seconds: what one order did is in
-# the list of servers a heartbeat of 1.2 s later.
+# Minimum interval between two claims for one service, seconds. The effect of an
+# order is in the list of servers one heartbeat of 1.2 s later.
 PAUSE_S: Final = 2.0
 
 
 class Balancing:
-    """Looks and orders; `step` is called by a loop."""
+    """Orders stage changes; `step` is called by a loop."""
 
     __slots__ = (
+        '_client',
         '_clock',
         '_codec',
         '_entry_vm',
         '_holder',
         '_lease_s',
         '_leases',
-        '_next_at',
+        '_next_claim_at',
         '_owner',
-        '_plan',
         '_store',
         '_workers',
     )
@@ -57,84 +57,86 @@
         clock: ports.Clock,
     ) -> None:
         self._entry_vm = entry_vm
-        # Names this start of this entry VM in its claims.
+        # Identifies this incarnation of this entry VM in its claims.
         self._holder = holder
         self._lease_s = lease_s
         self._owner = owner
-        self._plan = plan
+        self._client = plan
         self._codec = codec
         self._store = store
         self._workers = workers
         self._clock = clock
         self._leases: dict[str, lease.Lease] = {}
-        # No claim for a service before, seconds.
-        self._next_at: dict[str, float] = {}
+        # Earliest time of the next claim by service, seconds.
+        self._next_claim_at: dict[str, float] = {}
 
     def step(self) -> None:
-        """Looks once at every service that is planned here."""
+        """Orders the due stage changes of each service that is planned here."""
         wanted = self._owner.run(
             lambda state, now: state.plans.stage_changes(now)
         )
         for service, changes in wanted.items():
-            if self._clock() < self._next_at.get(service, 0.0):
+            if self._clock() < self._next_claim_at.get(service, 0.0):
                 continue
-            if changes and self._plan.is_home(service):
-                self._change(service, changes)
+            if changes and self._client.is_home(service):
+                self._order_changes(service, changes)
 
-    def _change(
+    def _order_changes(
         self, service: str, changes: tuple[balance.Change, ...]
     ) -> None:
-        held = self._leases.setdefault(
+        service_lease = self._leases.setdefault(
             service, lease.Lease(self._holder, self._lease_s)
         )
         try:
-            fence = self._claim(service, held)
+            fence = self._claim(service, service_lease)
         except errors.PortError as exc:
             logs.event(
                 logging.INFO, 'claim failed', service=service, error=str(exc)
             )
-            self._next_at[service] = self._clock() + PAUSE_S
+            self._next_claim_at[service] = self._clock() + PAUSE_S
             return
         if fence is None:
             return
-        self._next_at[service] = self._clock() + PAUSE_S
+        self._next_claim_at[service] = self._clock() + PAUSE_S
         for change in changes:
-            if held.may_order(self._clock()):
+            if service_lease.may_order(self._clock()):
                 self._order(service, change, fence)
 
-    def _claim(self, service: str, held: lease.Lease) -> int | None:
-        """Returns a fencing token; None while another VM may be ordering.
+    def _claim(self, service: str, service_lease: lease.Lease) -> int | None:
+        """Returns a fencing token; None while another VM may order changes.
 
         Raises:
-            errors.PortError: The store did not take the claim, or may have.
+            errors.PortError: The store refused the claim, or the outcome is
+                not known.
         """
         topic = self._codec.holders_topic
-        found = self._store.newest(topic)
+        holders = self._store.newest(topic)
         offset, holder = None, ''
-        for entry in found.entries:
+        for entry in holders.entries:
             if entry.key == service:
                 offset, holder = entry.offset, entry.value.decode()
-        epoch = positions.epoch(found.end)
-        if not held.may_claim(self._clock(), epoch, offset, holder):
+        epoch = positions.epoch(holders.end)
+        if not service_lease.may_claim(self._clock(), epoch, offset, holder):
             return None
-        held.claiming(self._clock())
+        service_lease.claiming(self._clock())
         value = self._holder.encode()
-        return self._store.claim(topic, service, value, found.end) + 1
+        return self._store.claim(topic, service, value, holders.end) + 1
 
     def _order(self, service: str, change: balance.Change, fence: int) -> None:
         server = change.backend
-        # Noted first: whatever its answer, it may be carried out.
+        # The order is recorded before it is sent, since it may be executed
+        # whatever the reply is.
         self._owner.run(
             lambda state, now: state.plans.stage_ordered(
                 service, server.id, now
             )
         )
         try:
-            answer = self._workers.order_stage(
+            reply = self._workers.order_stage(
                 server, change.stage, self._entry_vm, fence
             ).text
         except errors.PortError as exc:
-            answer = str(exc)
+            reply = str(exc)
         logs.event(
             logging.INFO,
             'stage ordered',
@@ -142,5 +144,5 @@
             service=service,
             stage=change.stage,
             fence=fence,
-            answer=answer,
+            answer=reply,
         )
--- a/packages/daemon/foxtaildaled/beliefs.py
+++ b/packages/daemon/foxtaildaled/beliefs.py
@@ -1,7 +1,8 @@
-"""What a router believes of configuration, backend servers and entry VMs.
+"""A router's view of the configuration, the backend servers and the entry VMs.
 
-All of it comes from records of the store's keyed topics, read from the store
-or, while that can't be reached, from other entry VMs. Owned by one actor.
+The view is built from the records of the store's keyed topics. They are read
+from the store or, while it is unreachable, from other entry VMs. One actor owns
+the view.
 """
 
 from collections.abc import Callable
@@ -28,17 +29,19 @@
 from foxtaildaled import plans
 from foxtaildaled import verdicts
 
-# A store that failed within this time may have let entries of living servers
-# lapse, seconds: servers write every 1.2 s, entries lapse after three of
-# those, and living ones are back two seconds after the store is.
-_UNWELL_S = 4.0
-# Time after the store came back from a copy in which what it lacks is written again,
-# seconds; above `syncing.LISTED_S`, after which an entry VM lists itself again.
-_REWRITTEN_S = 20.0
+# Time after a store failure during which a missing entry does not mean that the
+# server was removed, seconds. Servers write their entries every 1.2 s and
+# entries expire after three such intervals, so entries of live servers may have
+# expired during the failure. They are back two seconds after the store is.
+_STORE_GRACE_S = 4.0
+# Time after the store was restored from a copy within which missing records are
+# written again, seconds. It is longer than `syncing.LISTED_S`, the time after
+# which an entry VM lists itself again.
+_REWRITE_S = 20.0
 
 
 class Beliefs:
-    """State of a router; the time is an argument."""
+    """State of a router; the current time is passed as an argument."""
 
     __slots__ = (
         '_codec',
@@ -76,7 +79,7 @@
         self._mirrors = {
             topic: mirror.Mirror(
                 functools.partial(codec.rank, topic),
-                # Servers are back within seconds if they live.
+                # Live servers write their entries again within seconds.
                 keeps=topic != codec.servers_topic,
             )
             for topic in (
@@ -85,41 +88,43 @@
                 codec.members_topic,
             )
         }
-        # When the store was seen to have come back from a copy, seconds.
+        # When this process noticed that the store was restored from a copy,
+        # seconds.
         self._epoch_at = -math.inf
-        # Called with a server that started again under its id; ends what was
-        # sent to it before, and returns how many requests that were.
+        # Called with a server that restarted under the same id. It ends the
+        # requests that were sent to the earlier incarnation and returns their
+        # number.
         self.on_restarted: Callable[[forwarding.Backend], int] = lambda _: 0
-        # Servers whose newest entry can't be read; told once each.
+        # Servers whose newest entry can't be decoded; each is logged once.
         self._unreadable: set[str] = set()
         self.fleet = fleet.Fleet(data_centre, rng)
         self.announcements = announcements.Announcements(self.fleet)
         self.experience = experience.Experience()
         self.verdicts = verdicts.Verdicts(codec, wall)
-        # The configuration in force; None while none is known.
+        # The configuration in force; None until one is received.
         self.matcher: routes.Matcher | None = None
-        # Whether the list of servers was read once.
+        # Whether the list of servers was received at least once.
         self.servers_known = False
-        # The entry VMs, by name; replaced and never changed, so that whoever
-        # has it may keep it, and see that nothing changed since.
+        # The entry VMs by name. The dictionary is replaced and never modified,
+        # so that callers may store it and detect changes by identity.
         self.entry_vms: dict[str, forwarding.EntryVm] = {}
-        # As of when the list of servers is known, and when the store last
-        # failed to answer.
+        # The time as of which the list of servers is current, and when the
+        # store last failed to reply.
         self.fresh_at: float | None = None
         self.failed_at: float | None = None
-        # Of the services that this entry VM is the home of.
+        # The plans of the services that this entry VM coordinates.
         self.plans = plans.Plans(self, peer_address)
 
     def end(self, topic: str) -> int:
-        """Returns the offset up to which a topic is known."""
+        """Returns the offset up to which a topic was applied."""
         return self._mirrors[topic].end
 
     def take(
         self, topic: str, keyed: ports.Keyed, now: float, *, whole: bool
     ) -> None:
-        """Takes an answer of the store."""
-        known = self._mirrors[topic]
-        before = known.end
+        """Applies a reply of the store."""
+        topic_mirror = self._mirrors[topic]
+        before = topic_mirror.end
         if positions.epoch(keyed.end) < positions.epoch(before):
             logs.event(
                 logging.INFO,
@@ -129,36 +134,38 @@
                 known=before,
             )
             return
-        take = known.snapshot if whole else known.apply
-        entries = tuple(self._sealed(topic, entry) for entry in keyed.entries)
-        since = self._since(topic, entries)
-        news = take(entries, keyed.end)
-        self._note_epoch(topic, before, now, 'store')
+        apply = topic_mirror.snapshot if whole else topic_mirror.apply
+        entries = tuple(
+            self._seal_entry(topic, entry) for entry in keyed.entries
+        )
+        positions_before = self._changed_positions(topic, entries)
+        changes = apply(entries, keyed.end)
+        self._record_epoch(topic, before, now, 'store')
         if (
             topic != self._codec.config_topic
-            and now - self._epoch_at > _REWRITTEN_S
+            and now - self._epoch_at > _REWRITE_S
         ):
-            news += known.drop_carried()
+            changes += topic_mirror.drop_carried()
         if topic == self._codec.servers_topic:
             self.servers_known = True
             self.fresh_at = now
-        self._learn(topic, news, now, 'store', since)
+        self._apply_changes(topic, changes, now, 'store', positions_before)
 
     def take_reply(self, reply: messages.RecordsReply, now: float) -> None:
-        """Takes what another entry VM knows."""
+        """Applies the records and reports of another entry VM."""
         for topic, records in reply.records.items():
-            known = self._mirrors.get(topic)
-            if known is None:
+            topic_mirror = self._mirrors.get(topic)
+            if topic_mirror is None:
                 continue
             entries = [mirror.Entry(*record) for record in records]
             end = reply.ends.get(topic, 0)
-            since = self._since(topic, entries)
-            before = known.end
-            news = known.apply(entries, end)
-            self._note_epoch(topic, before, now, 'peer')
+            positions_before = self._changed_positions(topic, entries)
+            before = topic_mirror.end
+            changes = topic_mirror.apply(entries, end)
+            self._record_epoch(topic, before, now, 'peer')
             if topic == self._codec.servers_topic and end:
                 self.servers_known = True
-            self._learn(topic, news, now, 'peer', since)
+            self._apply_changes(topic, changes, now, 'peer', positions_before)
         if self.servers_known:
             self.fresh_at = max(self.fresh_at or 0.0, now - reply.age_s)
         self.fleet.told_failing(reply.failing, now)
@@ -168,15 +175,18 @@
     def reply(
         self, ask: messages.AskRecords, now: float
     ) -> messages.RecordsReply:
-        """Returns what another entry VM lacks."""
+        """Returns the records that another entry VM lacks."""
         records = {
             topic: tuple(
                 (entry.key, entry.offset, entry.value, entry.removed)
-                for entry in known.since(ask.ends.get(topic, 0))
+                for entry in topic_mirror.since(ask.ends.get(topic, 0))
             )
-            for topic, known in self._mirrors.items()
+            for topic, topic_mirror in self._mirrors.items()
+        }
+        ends = {
+            topic: topic_mirror.end
+            for topic, topic_mirror in self._mirrors.items()
         }
-        ends = {topic: known.end for topic, known in self._mirrors.items()}
         age_s = now - self.fresh_at if self.fresh_at is not None else 1e9
         self.experience.told(now, ask.seen)
         self.announcements.take(ask, now)
@@ -189,7 +199,8 @@
             store_lost=self.store_lost(),
             held=self.verdicts.quarantine.held(now),
             cleared=self.verdicts.quarantine.cleared(now),
-            # One that starts knows no topic yet.
+            # A VM that has just started has no topic yet and needs all
+            # departures.
             departures=departures.news(now)
             if any(ask.ends.values())
             else departures.words(),
@@ -197,21 +208,24 @@
         )
 
     def ask(self, now: float) -> messages.AskRecords:
-        """Returns the question for another entry VM."""
+        """Returns the request to another entry VM for its records."""
         return messages.AskRecords(
-            ends={topic: known.end for topic, known in self._mirrors.items()},
+            ends={
+                topic: topic_mirror.end
+                for topic, topic_mirror in self._mirrors.items()
+            },
             seen=self.experience.news(),
             departures=self.fleet.departures.news(now),
             backoffs=self.fleet.backoffs.words(now),
         )
 
     def ask_self(self, now: float) -> None:
-        """Takes what was seen here, as the one that others ask."""
+        """Applies own observations where this VM collects those of others."""
         self.experience.told(now, self.experience.news())
         self.fleet.told_failing(self.experience.rates(now), now)
 
     def handle(self, msg: messages.Any, now: float) -> messages.Any:
-        """Answers a message of another entry VM."""
+        """Handles a message of another entry VM and returns the reply."""
         if isinstance(msg, messages.AskRecords):
             return self.reply(msg, now)
         if isinstance(msg, messages.AskPlace):
@@ -225,12 +239,12 @@
         return messages.Fail(code='not-for-a-router')
 
     def plain_failed(self, server: str, now: float) -> None:
-        """Takes a failure of a plain server under a request of this VM."""
+        """Records that a plain server failed a request of this VM."""
         self.fleet.failed(server, now)
         self.experience.note(server, failed=True)
 
     def on_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Takes changed settings."""
+        """Applies the seeds of changed settings."""
         self._seeds = seeds
 
     def is_fresh(self, now: float, limit_s: float) -> bool:
@@ -238,25 +252,25 @@
         return self.fresh_for(now, limit_s) > 0
 
     def fresh_for(self, now: float, limit_s: float) -> float:
-        """Returns how long the list of servers stays younger than a limit."""
+        """Returns how long the list stays younger than a limit, seconds."""
         if self.fresh_at is None:
             return 0.0
         return max(0.0, self.fresh_at + limit_s - now)
 
     def store_lost(self) -> bool:
-        """Whether the store failed this entry VM since it last answered."""
+        """Whether the store failed after its last reply to this entry VM."""
         if self.failed_at is None:
             return False
         return self.fresh_at is None or self.failed_at > self.fresh_at
 
     def failed(self, now: float) -> None:
-        """Takes a failed call to the store."""
+        """Records a failed call to the store."""
         self.failed_at = now
 
     def is_listed(self, name: str, member: forwarding.EntryVm) -> bool:
-        """Whether the store lists an entry VM as it should."""
-        listed = self._mirrors[self._codec.members_topic]
-        return self.entry_vms.get(name) == member and not listed.is_carried(
+        """Whether the store lists an entry VM with the given data."""
+        members = self._mirrors[self._codec.members_topic]
+        return self.entry_vms.get(name) == member and not members.is_carried(
             name
         )
 
@@ -267,21 +281,21 @@
         addresses.discard(self._peer_address)
         return sorted(addresses)
 
-    def _sealed(self, topic: str, entry: mirror.Entry) -> mirror.Entry:
+    def _seal_entry(self, topic: str, entry: mirror.Entry) -> mirror.Entry:
         value = self._codec.seal(topic, entry.value)
         if value is entry.value:
             return entry
         return msgspec.structs.replace(entry, value=value)
 
-    def _note_epoch(
+    def _record_epoch(
         self, topic: str, before: int, now: float, source: str
     ) -> None:
-        """Notes that a topic is of a later epoch than it was, if it is."""
-        known = self._mirrors[topic]
-        end = known.end
+        """Records that a topic is in a later epoch than before, if it is."""
+        topic_mirror = self._mirrors[topic]
+        end = topic_mirror.end
         epoch = positions.epoch(end)
-        if not before and known.carries():
-            # Others saw it come back before this process started.
+        if not before and topic_mirror.carries():
+            # Other VMs noticed the restore before this process started.
             self._epoch_at = now
         if not before or epoch == positions.epoch(before):
             return
@@ -299,54 +313,54 @@
             source=source,
         )
 
-    def _is_well(self, now: float) -> bool:
-        """Whether the store has answered and kept its records of late."""
-        if now - self._epoch_at <= _UNWELL_S:
+    def _is_store_healthy(self, now: float) -> bool:
+        """Whether the store had no recent failure and was not just restored."""
+        if now - self._epoch_at <= _STORE_GRACE_S:
             return False
-        return self.failed_at is None or now - self.failed_at > _UNWELL_S
+        return self.failed_at is None or now - self.failed_at > _STORE_GRACE_S
 
-    def _since(
+    def _changed_positions(
         self, topic: str, entries: Iterable[mirror.Entry]
     ) -> dict[str, int]:
-        """Returns since when the servers of some records say what they say."""
+        """Returns the last changed positions of the servers of some records."""
         if topic != self._codec.servers_topic:
             return {}
-        known = self._mirrors[topic]
+        topic_mirror = self._mirrors[topic]
         return {
-            entry.key: since
+            entry.key: position
             for entry in entries
-            if (since := known.changed_at(entry.key)) is not None
+            if (position := topic_mirror.changed_at(entry.key)) is not None
         }
 
-    def _learn(
+    def _apply_changes(
         self,
         topic: str,
-        news: list[mirror.Entry],
+        changes: list[mirror.Entry],
         now: float,
         source: str,
-        since: dict[str, int],
+        positions_before: dict[str, int],
     ) -> None:
-        for entry in news:
+        for entry in changes:
             try:
                 if topic == self._codec.config_topic:
-                    self._learn_table(entry, source)
+                    self._apply_table(entry, source)
                 elif topic == self._codec.servers_topic:
-                    if self._learn_server(entry, now, source):
+                    if self._apply_server(entry, now, source):
                         continue
-                    if entry.key in since:
-                        before = since[entry.key]
+                    if entry.key in positions_before:
+                        before = positions_before[entry.key]
                         self._mirrors[topic].repeats(entry, before)
                 elif not self.verdicts.learn(entry, now, source):
-                    self._learn_member(entry)
+                    self._apply_member(entry)
             except errors.DecodeError as exc:
                 if topic == self._codec.servers_topic:
-                    # Its newest entry names no server to use, whoever wrote
-                    # it; a living server writes again within seconds.
+                    # The newest entry defines no usable server, whoever wrote
+                    # it. A live server writes its entry again within seconds.
                     self.fleet.remove(entry.key, now, store_well=True)
                     if entry.key in self._unreadable:
                         continue
                     self._unreadable.add(entry.key)
-                # What was known of a configuration or an entry VM stays.
+                # The previous configuration or entry VM stays in use.
                 logs.event(
                     logging.ERROR,
                     'record not readable',
@@ -357,7 +371,7 @@
                     error=str(exc),
                 )
 
-    def _learn_table(self, entry: mirror.Entry, source: str) -> None:
+    def _apply_table(self, entry: mirror.Entry, source: str) -> None:
         if entry.key != self._codec.config_key or not entry.value:
             return
         table = self._codec.table(entry.value)
@@ -374,19 +388,21 @@
             source=source,
         )
 
-    def _learn_server(
+    def _apply_server(
         self, entry: mirror.Entry, now: float, source: str
     ) -> bool:
-        """Takes a record; returns whether it says something new."""
-        tally = self.fleet.tally(entry.key)
-        before = tally.listed if tally is not None else None
+        """Applies a server's record; returns whether it changed anything."""
+        server_state = self.fleet.tally(entry.key)
+        before = server_state.listed if server_state is not None else None
         if not entry.value:
             self._unreadable.discard(entry.key)
             if before is None:
                 return True
-            well = self._is_well(now)
-            self.fleet.remove(entry.key, now, store_well=well)
-            event = 'backend server gone' if well else 'backend server vanished'
+            healthy = self._is_store_healthy(now)
+            self.fleet.remove(entry.key, now, store_well=healthy)
+            event = (
+                'backend server gone' if healthy else 'backend server vanished'
+            )
             logs.event(
                 logging.INFO,
                 event,
@@ -398,20 +414,20 @@
         backend = self._codec.server(entry.key, entry.value)
         unreadable = entry.key in self._unreadable
         self._unreadable.discard(entry.key)
-        known = self.fleet.born(entry.key)
+        known_start = self.fleet.born(entry.key)
         if not self.fleet.put(backend):
             logs.event(
                 logging.INFO,
                 'old entry passed over',
                 server=entry.key,
                 born=backend.born,
-                known=known,
+                known=known_start,
                 offset=entry.offset,
                 source=source,
             )
             return True
-        if known and backend.born > known:
-            self._restart(backend, known, entry.offset, source)
+        if known_start and backend.born > known_start:
+            self._apply_restart(backend, known_start, entry.offset, source)
         self.announcements.listed(backend, now, source)
         if before is None or _differs(before, backend):
             logs.event(
@@ -426,12 +442,12 @@
                 offset=entry.offset,
                 source=source,
             )
-        return unreadable or tally is None or before != backend
+        return unreadable or server_state is None or before != backend
 
-    def _restart(
+    def _apply_restart(
         self, backend: forwarding.Backend, before: int, offset: int, source: str
     ) -> None:
-        """Forgets all that was known of the starts before."""
+        """Removes what was recorded about earlier incarnations of a server."""
         self.plans.restarted(backend.id)
         logs.event(
             logging.INFO,
@@ -444,16 +460,16 @@
             source=source,
         )
 
-    def _learn_member(self, entry: mirror.Entry) -> None:
+    def _apply_member(self, entry: mirror.Entry) -> None:
         if entry.value:
             member = self._codec.member(entry.key, entry.value)
             self.entry_vms = {**self.entry_vms, entry.key: member}
         else:
-            left = dict(self.entry_vms)
-            left.pop(entry.key, None)
-            self.entry_vms = left
+            remaining = dict(self.entry_vms)
+            remaining.pop(entry.key, None)
+            self.entry_vms = remaining
 
 
 def _differs(before: forwarding.Backend, after: forwarding.Backend) -> bool:
-    """Whether a server's entry changed in what requests depend on."""
+    """Whether a server's entry changed in a way that affects requests."""
     return (before.leaving, before.stage) != (after.leaving, after.stage)
--- a/packages/daemon/foxtaildaled/fitness.py
+++ b/packages/daemon/foxtaildaled/fitness.py
@@ -1,10 +1,11 @@
-"""Whether this entry VM may be the home of a service.
+"""Decides whether this entry VM may be the coordinator of a service.
 
-Load answered: entry VMs that are replaced one after the other, every two
-seconds. Rendezvous hashing gives a new process the services of its predecessor
-back at once; the home then moves twice for each VM, in the middle of a burst,
-and whoever has not noticed goes on with the other one. A new process is a home
-only after a while, unless no other VM has been up for longer.
+Entry VMs may be replaced one after the other, every two seconds. Rendezvous
+hashing would assign the services of the old process to the new one immediately.
+The coordinator would then change twice for each replaced VM, possibly during a
+burst, and VMs that have not noticed a change would continue to use the other
+one. A new process therefore becomes a coordinator only after a delay, unless no
+other VM has been up for longer.
 """
 
 import heapq
@@ -17,27 +18,29 @@
 from foxtaildaled import actors
 from foxtaildaled import beliefs
 
-# Time after its start in which a process leaves homes to older ones, seconds.
-# Of VMs that are replaced every two seconds each is gone for four, so that one
-# of eight is up for ten at any moment.
+# Time after its start during which a process leaves the coordinator role to
+# older processes, seconds. If VMs are replaced every two seconds, each is down
+# for four seconds, so one of eight has been up for ten seconds at any moment.
 GROWN_S: Final = 10.0
-# Time between looks for older ones, and the longest wait for answers, seconds.
+# Interval between checks for older processes, and timeout for the replies,
+# seconds.
 LOOK_S: Final = 0.5
 ANSWER_S: Final = 0.25
-# VMs that are asked, always the same ones: enough that hardly any asks none that
-# is older where half of all were killed at once. Many that start together and
-# ask all others would open a connection for each pair.
+# Number of VMs that are asked; they are always the same ones. It is large
+# enough that almost every VM asks an older one after half of all VMs were
+# killed at once. If many VMs started together and asked all others, they would
+# open a connection for each pair.
 SAMPLE: Final = 8
 
 
 class Fitness:
-    """Says whether to ask this entry VM; `step` is called by a loop."""
+    """Tracks the fitness of this entry VM; `step` is called by a loop."""
 
     __slots__ = (
         '_clock',
         '_entry_vm',
-        '_grown_at',
-        '_oldest',
+        '_is_oldest',
+        '_mature_at',
         '_owner',
         '_peers',
         '_stopping',
@@ -58,41 +61,43 @@
         self._peers = peers
         self._stopping = stopping
         self._clock = clock
-        self._grown_at = clock()
+        self._mature_at = clock()
         if not first_start:
-            self._grown_at += GROWN_S
-        # Whether no other VM that answers has been up for longer.
-        self._oldest = False
+            self._mature_at += GROWN_S
+        # Whether no other VM that replies has been up for longer.
+        self._is_oldest = False
 
     def reason(self) -> str:
-        """Returns why it is not fit, as a code; empty if it is."""
+        """Returns the code why this VM is not fit; empty if it is fit."""
         if self._stopping.is_set():
             return 'stopping'
-        return '' if self._grown or self._oldest else 'young'
+        return '' if self._is_mature or self._is_oldest else 'young'
 
     def reply(self) -> messages.HomeReply:
-        """Answers a probe."""
+        """Returns the reply to a probe."""
         stopping = self._stopping.is_set()
         return messages.HomeReply(
-            fit=not self.reason(), grown=self._grown and not stopping
+            fit=not self.reason(), grown=self._is_mature and not stopping
         )
 
     def step(self) -> None:
-        """Looks for older VMs, as long as this one is young."""
-        if self._grown:
+        """Checks for older VMs until the delay has passed."""
+        if self._is_mature:
             return
-        known = self._owner.run(lambda state, _: state.peers())
-        if not known:
+        addresses = self._owner.run(lambda state, _: state.peers())
+        if not addresses:
             return
-        addresses = heapq.nlargest(
-            SAMPLE, known, key=lambda peer: homes.score(self._entry_vm, peer)
+        sample = heapq.nlargest(
+            SAMPLE,
+            addresses,
+            key=lambda peer: homes.score(self._entry_vm, peer),
         )
-        replies = self._peers.ask_all(addresses, messages.AskHome(), ANSWER_S)
-        self._oldest = not any(
+        replies = self._peers.ask_all(sample, messages.AskHome(), ANSWER_S)
+        self._is_oldest = not any(
             isinstance(reply, messages.HomeReply) and reply.grown
             for reply in replies.values()
         )
 
     @property
-    def _grown(self) -> bool:
-        return self._clock() >= self._grown_at
+    def _is_mature(self) -> bool:
+        return self._clock() >= self._mature_at
--- a/packages/daemon/foxtaildaled/introductions.py
+++ b/packages/daemon/foxtaildaled/introductions.py
@@ -1,4 +1,4 @@
-"""What a process learns from others at its start."""
+"""Copies the router state from another entry VM at the start of a process."""
 
 import logging
 import random
@@ -13,10 +13,11 @@
 from foxtaildaled import actors
 from foxtaildaled import beliefs
 
-# How long a process that starts asks others before it reads the store itself,
-# seconds: at the first start of all, long before callers come, and else as long
-# as an answer of one that is up takes. Then the longest wait for one answer, and
-# the pause after all were asked.
+# How long a starting process asks other VMs before it reads the store itself,
+# seconds. `FIRST_START_S` applies when all entry VMs start for the first time,
+# long before there are callers. Otherwise `ANSWERED_S` applies, which is as
+# long as the reply of a running VM takes. `SEED_ANSWER_S` is the timeout for
+# one reply, `SEED_PAUSE_S` the pause after all seeds were asked.
 FIRST_START_S: Final = 2.0
 ANSWERED_S: Final = 0.1
 SEED_ANSWER_S: Final = 0.12
@@ -24,23 +25,24 @@
 
 
 class Introduction:
-    """Learns at the start from an entry VM that is up, in place of the store.
+    """Copies the state from a running entry VM instead of the store.
 
-    Each start would else read all there is, and with the store slow or down it
-    would wait for it. The VMs that the settings name read the store; the others
-    ask those. Where none knows enough at once, as when all VMs lost power, this
-    one reads the store itself: callers wait for it. At the first start of all
-    nobody does, and it can ask again.
+    Otherwise each start would read all records, and would wait while the store
+    is slow or down. The VMs that the settings name as seeds read the store; the
+    others ask the seeds. If no seed has a sufficient state in time, for example
+    after a power failure of all VMs, this VM reads the store itself, because
+    callers are waiting for it. At the first start of all VMs there are no
+    callers yet, so it has time to ask again.
     """
 
     __slots__ = (
         '_clock',
         '_done',
-        '_limit_s',
+        '_max_age_s',
         '_owner',
-        '_patience_s',
         '_peers',
         '_seeds',
+        '_timeout_s',
     )
 
     def __init__(
@@ -55,61 +57,61 @@
         clock: ports.Clock,
         rng: random.Random,
     ) -> None:
-        """Prepares it.
+        """Initializes the introduction.
 
         Args:
-            owner: Owns what the router believes.
+            owner: Owner of the router state.
             peers: The other entry VMs.
             own: Peer address of this entry VM.
             seeds: Peer addresses that the settings name.
-            limit_s: Greatest age of what is taken, seconds.
+            limit_s: Maximum age of the state that is copied, seconds.
             first_start: Whether all entry VMs start for the first time.
-            clock: Seconds.
-            rng: Chooses which seed is asked first.
+            clock: Returns the current time, seconds.
+            rng: Chooses the order of the seeds.
         """
         self._owner = owner
         self._peers = peers
-        # One that the settings name must read, since all others ask it.
+        # A seed must read the store itself, since all other VMs ask it.
         self._seeds = [] if own in seeds else rng.sample(seeds, len(seeds))
-        self._limit_s = limit_s
-        self._patience_s = FIRST_START_S if first_start else ANSWERED_S
+        self._max_age_s = limit_s
+        self._timeout_s = FIRST_START_S if first_start else ANSWERED_S
         self._clock = clock
         self._done = threading.Event()
 
     def wait(self) -> None:
-        """Returns when it is over, whatever came of it."""
+        """Waits until the introduction has succeeded or failed."""
         self._done.wait()
 
     def run(self) -> None:
-        """Asks, for a while at most; does nothing once it is over."""
+        """Asks the seeds for a limited time; does nothing once it is over."""
         if self._done.is_set():
             return
-        end = self._clock() + self._patience_s
-        asked = 0
-        while self._seeds and (left_s := end - self._clock()) > 0:
-            seed = self._seeds[asked % len(self._seeds)]
-            if self._ask(seed, min(left_s, SEED_ANSWER_S)):
+        deadline = self._clock() + self._timeout_s
+        attempts = 0
+        while self._seeds and (left_s := deadline - self._clock()) > 0:
+            seed = self._seeds[attempts % len(self._seeds)]
+            if self._ask_seed(seed, min(left_s, SEED_ANSWER_S)):
                 break
-            asked += 1
-            if asked % len(self._seeds) == 0:
+            attempts += 1
+            if attempts % len(self._seeds) == 0:
                 time.sleep(SEED_PAUSE_S)
         self._done.set()
 
-    def _ask(self, seed: str, answer_s: float) -> bool:
-        """Asks one; returns whether it knew enough to begin with."""
-        ask = self._owner.run(lambda state, now: state.ask(now))
+    def _ask_seed(self, seed: str, timeout_s: float) -> bool:
+        """Asks a seed; returns whether the state is sufficient to start."""
+        request = self._owner.run(lambda state, now: state.ask(now))
         try:
-            reply = self._peers.ask(seed, ask, answer_s)
+            reply = self._peers.ask(seed, request, timeout_s)
         except errors.PortError as exc:
             logs.event(logging.INFO, 'peer lost', address=seed, error=str(exc))
             return False
         if not isinstance(reply, messages.RecordsReply):
             return False
-        if reply.age_s > self._limit_s:
+        if reply.age_s > self._max_age_s:
             return False
 
-        def turn(state: beliefs.Beliefs, now: float) -> bool:
+        def apply_reply(state: beliefs.Beliefs, now: float) -> bool:
             state.take_reply(reply, now)
             return state.matcher is not None and bool(state.entry_vms)
 
-        return self._owner.run(turn)
+        return self._owner.run(apply_reply)
--- a/packages/daemon/foxtaildaled/places.py
+++ b/packages/daemon/foxtaildaled/places.py
@@ -1,7 +1,8 @@
-"""Asks the home of a service for places, and says what is held.
+"""Requests placements from the coordinator of a service.
 
-One that does not answer is passed over and the next one asked (`asking`); what
-its plan lacks it asks all VMs for (`surveys`).
+It also reports the placements that this entry VM uses. A coordinator that does
+not reply is skipped and the next one is asked (`asking`). A coordinator asks
+all VMs for the placements that its plan lacks (`surveys`).
 """
 
 import threading
@@ -15,14 +16,15 @@
 from foxtaildaled import asking
 from foxtaildaled import beliefs
 
-# Longest wait for the home's answer, seconds. It decides without waiting; a
-# round trip takes two milliseconds, and much of a target of 0.9 s is left.
+# Timeout for the coordinator's reply, seconds. The coordinator decides without
+# waiting and a round trip takes two milliseconds; after a timeout, much of a
+# target of 0.9 s is left.
 ANSWER_S: Final = 0.25
-# Time between looks for suspects to probe, seconds.
+# Interval between checks for suspects to probe, seconds.
 PROBE_S: Final = 0.2
 
 Answer = messages.Place | messages.Queued | messages.TooLate
-_ANSWERS: Final[tuple[type[Answer], ...]] = (
+_REPLY_TYPES: Final[tuple[type[Answer], ...]] = (
     messages.Place,
     messages.Queued,
     messages.TooLate,
@@ -30,15 +32,15 @@
 
 
 class Places:
-    """The asking side; safe for concurrent use."""
+    """Client of the coordinators for placements; safe for concurrent use."""
 
     __slots__ = (
-        '_asking',
         '_clock',
+        '_coordinators',
         '_entry_vm',
-        '_held',
         '_lock',
         '_owner',
+        '_placements',
     )
 
     def __init__(
@@ -51,39 +53,42 @@
     ) -> None:
         self._entry_vm = entry_vm
         self._owner = owner
-        self._asking = homes
+        self._coordinators = homes
         self._clock = clock
         self._lock = threading.Lock()
-        # What this entry VM holds, and since when; by service and request.
-        self._held: dict[str, dict[str, tuple[messages.KeptPlace, float]]] = {}
+        # Placements that this entry VM uses and since when, by service and
+        # request.
+        self._placements: dict[
+            str, dict[str, tuple[messages.KeptPlace, float]]
+        ] = {}
 
     def ask(self, msg: messages.AskPlace) -> Answer | None:
-        """Asks for a place; None if no home answers."""
-        return self._asking.ask(msg.service, msg, _ANSWERS, ANSWER_S)
+        """Requests a placement; None if no coordinator replies."""
+        return self._coordinators.ask(msg.service, msg, _REPLY_TYPES, ANSWER_S)
 
     def hold(self, service: str, place: messages.KeptPlace) -> None:
-        """Notes a place that is in use from now on."""
+        """Records a placement that is in use from now on."""
         with self._lock:
-            held = self._held.setdefault(service, {})
-            held[place.request] = (place, self._clock())
+            placements = self._placements.setdefault(service, {})
+            placements[place.request] = (place, self._clock())
 
     def end(self, msg: messages.EndPlace) -> None:
-        """Gives a place back; the home hears of it a moment later."""
+        """Releases a placement; the coordinator is notified asynchronously."""
         with self._lock:
-            self._held.get(msg.service, {}).pop(msg.request, None)
-        self._asking.tell(msg.service, msg)
+            self._placements.get(msg.service, {}).pop(msg.request, None)
+        self._coordinators.tell(msg.service, msg)
 
     def report(
         self, service: str, server: str, *, replaced: bool = False
     ) -> None:
-        """Reports a failed server; the home hears of it a moment later.
+        """Reports a failed server to the coordinator asynchronously.
 
         Args:
             service: Its service.
             server: Its id.
-            replaced: Whether another server answered at its address.
+            replaced: Whether another server responded at its address.
         """
-        self._asking.tell(
+        self._coordinators.tell(
             service,
             messages.ServerFailed(
                 service=service,
@@ -94,28 +99,30 @@
         )
 
     def held(self, service: str) -> messages.KeepPlaces:
-        """Returns what this entry VM holds of a service."""
+        """Returns the placements of a service that this entry VM uses."""
         now = self._clock()
         with self._lock:
-            found = list(self._held.get(service, {}).values())
+            placements = list(self._placements.get(service, {}).values())
         return messages.KeepPlaces(
             service=service,
             holder=self._entry_vm,
             places=tuple(
-                msgspec.structs.replace(place, age_ms=int((now - since) * 1000))
-                for place, since in found
+                msgspec.structs.replace(
+                    placement, age_ms=int((now - since) * 1000)
+                )
+                for placement, since in placements
             ),
         )
 
     def step(self) -> None:
-        """Probes homes that are not heard of yet and suspects, as a loop."""
+        """Probes new coordinators and suspects; called by a loop."""
         services = self._owner.run(
             lambda state, _: state.plans.planned_services()
         )
         for service in services:
-            self._asking.greet(service)
-        self._asking.probe()
+            self._coordinators.greet(service)
+        self._coordinators.probe()
 
     def is_home(self, service: str) -> bool:
-        """Whether this entry VM is the home of a service."""
-        return self._asking.is_home(service)
+        """Whether this entry VM is the coordinator of a service."""
+        return self._coordinators.is_home(service)
--- a/packages/daemon/foxtaildaled/plans.py
+++ b/packages/daemon/foxtaildaled/plans.py
@@ -1,8 +1,8 @@
-"""The plans of the services that this entry VM is the home of.
+"""The plans of the services that this entry VM coordinates.
 
-A home plans the engines of a service for all entry VMs (`placing`). One that is
-new knows nothing of what is held, and gives no place before it has asked the
-others (`surveys`). Owned by the actor of `beliefs`.
+A coordinator plans the engines of a service for all entry VMs (`placing`). A
+new coordinator does not know which placements are in use, and grants none
+before it has asked the other VMs (`surveys`). Owned by the actor of `beliefs`.
 """
 
 from collections.abc import Callable
@@ -20,19 +20,22 @@
 from foxtaildale import placing
 from foxtaildale import routes
 
-# A service is surveyed as long as places of it were asked for within this time,
-# at this pace (a little under the time between looks, so that none is left out),
-# and its home gives none when it was surveyed longer ago, seconds.
-_ASKED_S = 2.0
-_SURVEY_S = 0.9
-_SURVEYED_S = 3.0
-# VMs that are surveyed beside those that hold places by the plan, each second in
-# turn, so that the home of a large site is not busy with the answers of all.
-_SURVEY_SAMPLE = 16
+# In seconds: inventories of a service are taken as long as placements were
+# requested within `_REQUESTED_S`. `_INVENTORY_S` is the minimum interval
+# between two inventories; it is slightly shorter than the interval of the loop,
+# so that no iteration is skipped. The coordinator grants no placements if the
+# last inventory is older than `_MAX_INVENTORY_AGE_S`.
+_REQUESTED_S = 2.0
+_INVENTORY_S = 0.9
+_MAX_INVENTORY_AGE_S = 3.0
+# Number of VMs that each inventory asks in rotation, in addition to the VMs
+# that have placements according to the plan. It is limited so that the
+# coordinator of a large site is not busy with the replies of all VMs.
+_INVENTORY_SAMPLE = 16
 
 
 class Known(Protocol):
-    """What the plans need of what the router believes."""
+    """The part of the router state that the plans need."""
 
     fleet: fleet.Fleet
     matcher: routes.Matcher | None
@@ -43,103 +46,106 @@
 
 
 class Plans:
-    """Plans by service; the time is an argument."""
+    """The plans by service; the current time is passed as an argument."""
 
     __slots__ = (
-        '_asked',
-        '_known',
+        '_inventory_at',
         '_peer_address',
         '_plans',
-        '_survey_from',
-        '_surveyed',
+        '_requested_at',
+        '_sample_start',
+        '_state',
         'on_unsurveyed',
     )
 
-    def __init__(self, known: Known, peer_address: str) -> None:
-        self._known = known
+    def __init__(self, state: Known, peer_address: str) -> None:
+        self._state = state
         self._peer_address = peer_address
         self._plans: dict[str, placing.Plan] = {}
-        # When places were last asked for here, and when it was last known what
-        # all entry VMs hold, by service.
-        self._asked: dict[str, float] = {}
-        self._surveyed: dict[str, float] = {}
-        # Where the sample of VMs to survey goes on.
-        self._survey_from = 0
-        # Called when a survey is needed at once.
+        # By service: when placements were last requested from this VM, and
+        # when the last inventory of all entry VMs was complete.
+        self._requested_at: dict[str, float] = {}
+        self._inventory_at: dict[str, float] = {}
+        # Index at which the next sample of VMs starts.
+        self._sample_start = 0
+        # Called when an inventory is needed immediately.
         self.on_unsurveyed: Callable[[], None] = lambda: None
 
     def ask(self, msg: messages.AskPlace, now: float) -> messages.Any:
-        """Answers as the home of a service."""
-        if self._known.matcher is None:
+        """Handles a placement request as the coordinator of a service."""
+        if self._state.matcher is None:
             return messages.Fail(code='not-ready')
         name = msg.service
-        service = self._known.matcher.table.service(name)
+        service = self._state.matcher.table.service(name)
         plan = self._plans.setdefault(name, placing.Plan())
-        self._asked[name] = now
+        self._requested_at[name] = now
         engines = self._engines(name, now)
-        if not self._is_surveyed(name, now):
-            # Asked as a waiter it loses no time: its place is granted as soon
-            # as it is known what there is to grant.
+        if not self._has_inventory(name, now):
+            # The request is queued without engines, so that it loses no time:
+            # its placement is granted as soon as the inventory is complete.
             self.on_unsurveyed()
             engines = _no_engines
         return plan.ask(now, msg, service, engines)
 
     def surveys_due(self, now: float) -> list[str]:
-        """Returns the services of which it should be asked what is held."""
+        """Returns the services whose inventory is due."""
         return [
             service
-            for service, asked_at in self._asked.items()
-            if now - asked_at < _ASKED_S
-            and now - self._surveyed.get(service, -math.inf) >= _SURVEY_S
+            for service, requested_at in self._requested_at.items()
+            if now - requested_at < _REQUESTED_S
+            and now - self._inventory_at.get(service, -math.inf) >= _INVENTORY_S
         ]
 
     def survey_peers(self, service: str, now: float) -> list[str]:
-        """Returns the addresses of those to ask what they hold.
+        """Returns the addresses of the VMs to ask for their placements.
 
-        All of them if that was not known lately; else those that hold places
-        by the plan, and a sample of the others.
+        These are all VMs if there is no recent inventory; otherwise the VMs
+        that have placements according to the plan, and a sample of the others.
         """
-        addresses = self._known.peers()
-        if not self._is_surveyed(service, now):
+        addresses = self._state.peers()
+        if not self._has_inventory(service, now):
             return addresses
         names = self._plans[service].holders() if service in self._plans else ()
         holders = {
-            self._known.entry_vms[name].peer_address
+            self._state.entry_vms[name].peer_address
             for name in names
-            if name in self._known.entry_vms
+            if name in self._state.entry_vms
         }
         others = [address for address in addresses if address not in holders]
-        if len(others) > _SURVEY_SAMPLE:
-            start = self._survey_from % len(others)
-            self._survey_from = start + _SURVEY_SAMPLE
-            others = (others + others)[start : start + _SURVEY_SAMPLE]
+        if len(others) > _INVENTORY_SAMPLE:
+            start = self._sample_start % len(others)
+            self._sample_start = start + _INVENTORY_SAMPLE
+            others = (others + others)[start : start + _INVENTORY_SAMPLE]
         holders.discard(self._peer_address)
         return sorted({*holders, *others})
 
     def surveyed(
-        self, service: str, found: Iterable[messages.KeepPlaces], now: float
+        self, service: str, reports: Iterable[messages.KeepPlaces], now: float
     ) -> bool:
-        """Takes what entry VMs hold.
+        """Applies the placements that entry VMs report.
 
         Returns:
-            Whether that was not known here.
+            Whether there was no recent inventory before.
         """
-        first = not self._is_surveyed(service, now)
-        for held in found:
-            self.keep(held, now)
-        self._surveyed[service] = now
+        first = not self._has_inventory(service, now)
+        for report in reports:
+            self.keep(report, now)
+        self._inventory_at[service] = now
         return first
 
-    def _is_surveyed(self, service: str, now: float) -> bool:
-        return now - self._surveyed.get(service, -math.inf) < _SURVEYED_S
+    def _has_inventory(self, service: str, now: float) -> bool:
+        return (
+            now - self._inventory_at.get(service, -math.inf)
+            < _MAX_INVENTORY_AGE_S
+        )
 
     def stage_changes(
         self, now: float
     ) -> dict[str, tuple[balance.Change, ...]]:
-        """Returns which engines should change their stage, by service."""
-        if self._known.matcher is None:
+        """Returns the stage changes that are wanted, by service."""
+        if self._state.matcher is None:
             return {}
-        table = self._known.matcher.table
+        table = self._state.matcher.table
         return {
             name: plan.stage_changes(
                 now, table.service(name), self._engines(name, now)
@@ -148,40 +154,40 @@
         }
 
     def stage_ordered(self, service: str, server: str, now: float) -> None:
-        """Notes that an engine was ordered to change."""
+        """Records that an engine was ordered to change its stage."""
         self._plans[service].balance.ordered(now, server)
 
     def end(self, msg: messages.EndPlace, now: float) -> None:
-        """Takes a place back as the home of a service."""
+        """Releases a placement as the coordinator of a service."""
         plan = self._plans.get(msg.service)
         if plan is not None:
             plan.end(now, msg)
 
     def failed(self, msg: messages.ServerFailed, now: float) -> None:
-        """Takes a report of a failed server as the home of its service."""
+        """Records a report of a failed server as the coordinator."""
         plan = self._plans.setdefault(msg.service, placing.Plan())
         plan.failed(now, msg)
 
     def keep(self, msg: messages.KeepPlaces, now: float) -> None:
-        """Takes what an entry VM holds as the home of a service."""
-        # What is held at an earlier start of a worker is lost there.
-        places = tuple(
-            place
-            for place in msg.places
-            if place.born >= self._known.fleet.born(place.worker)
+        """Applies the placements that an entry VM reports."""
+        # A placement at an earlier incarnation of a worker is lost.
+        placements = tuple(
+            placement
+            for placement in msg.places
+            if placement.born >= self._state.fleet.born(placement.worker)
         )
         plan = self._plans.setdefault(msg.service, placing.Plan())
-        plan.keep(now, msgspec.structs.replace(msg, places=places))
+        plan.keep(now, msgspec.structs.replace(msg, places=placements))
 
     def planned_services(self) -> tuple[str, ...]:
-        """Returns the services whose engines are planned by a home."""
-        if self._known.matcher is None:
+        """Returns the services whose engines are planned by a coordinator."""
+        if self._state.matcher is None:
             return ()
-        services = self._known.matcher.table.services
+        services = self._state.matcher.table.services
         return tuple(item.name for item in services if item.kv_tokens)
 
     def planned(self) -> dict[str, dict[str, object]]:
-        """Returns the plans for a person to read."""
+        """Returns a summary of the plans for operators."""
         return {
             name: {'waiting': plan.waiting(), 'planned': plan.planned()}
             for name, plan in self._plans.items()
@@ -189,17 +195,18 @@
 
     def _engines(self, service: str, now: float) -> placing.Engines:
         return lambda: (
-            # Those in backoff for this entry VM may take requests of others.
-            self._known.fleet.candidates(
+            # Engines in backoff for this entry VM may accept requests of other
+            # VMs.
+            self._state.fleet.candidates(
                 service, now, 'decode', in_backoff=True
             ),
-            self._known.fleet.candidates(
+            self._state.fleet.candidates(
                 service, now, 'prefill', in_backoff=True
             ),
         )
 
     def restarted(self, server: str) -> None:
-        """Forgets what was known of a server that started again."""
+        """Removes what was recorded about a server that restarted."""
         for plan in self._plans.values():
             plan.restarted(server)
 
--- a/packages/daemon/foxtaildaled/sends.py
+++ b/packages/daemon/foxtaildaled/sends.py
@@ -1,15 +1,17 @@
-"""Budget of repeated sends, by service.
+"""Retry budget by service.
 
-All entry VMs share one bound on sends beyond the first of each request. Each
-keeps to its part: its own requests' share, plus its part of the fixed slack by
-the number of entry VMs that were ever listed. That needs no agreement, and a
-VM that is gone and still counted only makes the part smaller.
+All entry VMs share one limit on the attempts beyond the first of each request.
+Each VM stays within its part: a ratio of its own requests, plus the fixed burst
+divided by the number of entry VMs that were ever listed. This needs no
+agreement between the VMs; a removed VM that is still counted only makes the
+part smaller.
 
-A process that starts again has forgotten what it spent, and one that is not
-listed yet is not counted by the others. Either one would spend a part that is
-spent already, and VMs that are replaced one after the other would pass the bound
-together. So neither has a part of the slack until a whole window has passed since its start, unless all entry VMs
-start for the first time.
+A restarted process does not know what it spent before, and the other VMs do not
+count a process that is not listed yet. Either process would spend a part that
+is already spent, and VMs that are replaced one after the other would exceed the
+limit together. A process therefore gets no part of the burst until it is listed
+and a full window has passed since its start. If all entry VMs start for the
+first time, it does not wait for the window.
 """
 
 import threading
@@ -20,24 +22,24 @@
 from foxtaildaled import actors
 from foxtaildaled import beliefs
 
-# Share of the bound that is used. Each VM keeps to its part in every window, so
-# the parts add up to the bound; the rest is for sends that are decided in one
-# window and arrive in the next.
-_USED: Final = 0.9
+# Fraction of the limit that is used. Each VM stays within its part in every
+# window, so the parts add up to this fraction. The remainder covers retries
+# that are decided in one window and arrive in the next.
+_USED_PART: Final = 0.9
 
 
 class Sends:
-    """Gives out repeated sends."""
+    """Decides whether a request may be sent again."""
 
     __slots__ = (
         '_budgets',
         '_burst',
+        '_burst_from',
         '_clock',
         '_entry_vm',
         '_lock',
         '_owner',
         '_ratio',
-        '_slack_from',
     )
 
     def __init__(
@@ -50,39 +52,42 @@
         *,
         first_start: bool = False,
     ) -> None:
-        self._ratio = ratio * _USED
-        self._burst = burst * _USED
+        self._ratio = ratio * _USED_PART
+        self._burst = burst * _USED_PART
         self._owner = owner
         self._clock = clock
         self._entry_vm = entry_vm
-        # What an earlier process of this VM spent has left the window then.
-        self._slack_from = clock()
+        # From this time on, the window contains nothing that an earlier process
+        # of this VM spent.
+        self._burst_from = clock()
         if not first_start:
-            self._slack_from += budget.WINDOW_S
+            self._burst_from += budget.WINDOW_S
         self._lock = threading.Lock()
         self._budgets: dict[str, budget.Budget] = {}
 
     def first(self, service: str) -> None:
-        """Counts a request."""
+        """Counts the first attempt of a request."""
         with self._lock:
             self._budget(service).first(self._clock())
 
     def take(self, service: str, deadline: float) -> bool:
-        """Takes one repeated send, if there is one before the deadline."""
+        """Counts one retry, if the budget allows it before the deadline."""
         entry_vms = self._owner.run(lambda state, _: frozenset(state.entry_vms))
         now = self._clock()
         burst = 0.0
-        if self._entry_vm in entry_vms and now >= self._slack_from:
-            # Not rounded down: where there are many VMs that would take half of
-            # the bound away.
+        if self._entry_vm in entry_vms and now >= self._burst_from:
+            # The part is not rounded down: with many VMs, rounding would remove
+            # up to half of the limit.
             burst = self._burst / len(entry_vms)
         with self._lock:
-            found = self._budget(service)
-            found.on_preset(self._ratio, burst)
-            return found.allow(now, deadline)
+            service_budget = self._budget(service)
+            service_budget.on_preset(self._ratio, burst)
+            return service_budget.allow(now, deadline)
 
     def _budget(self, service: str) -> budget.Budget:
-        found = self._budgets.get(service)
-        if found is None:
-            found = self._budgets[service] = budget.Budget(self._ratio, 0)
-        return found
+        service_budget = self._budgets.get(service)
+        if service_budget is None:
+            service_budget = self._budgets[service] = budget.Budget(
+                self._ratio, 0
+            )
+        return service_budget
--- a/packages/daemon/foxtaildaled/spots.py
+++ b/packages/daemon/foxtaildaled/spots.py
@@ -1,8 +1,9 @@
-"""Finds a place at a decode worker for a request.
+"""Obtains a placement at a decode worker for a request.
 
-The home of the service plans for all entry VMs. Where no home answers, a place
-is reserved at the worker itself, which alone knows its memory; a route whose
-attempts are used up goes back to the worker that it was sent to.
+The coordinator of the service plans for all entry VMs. If no coordinator
+replies, memory is reserved at the worker itself, which alone knows how much it
+has. A request that has used all attempts of its route returns to the workers
+that it was sent to.
 """
 
 import itertools
@@ -23,20 +24,20 @@
 from foxtaildaled import places
 from foxtaildaled import sendlimits
 
-# Decode workers that are asked for a place in one try.
+# Maximum number of decode workers that one attempt asks for a reservation.
 ASKS: Final = 3
 
 
 class Spots:
-    """Asks the home, else the workers."""
+    """Requests placements from the coordinator, otherwise from the workers."""
 
     __slots__ = (
+        '_client',
         '_clock',
         '_entry_vm',
-        '_line',
-        '_names',
+        '_local_queue',
         '_owner',
-        '_plan',
+        '_request_numbers',
         '_send_limits',
         '_workers',
     )
@@ -53,40 +54,41 @@
     ) -> None:
         self._owner = owner
         self._workers = workers
-        self._plan = plan
+        self._client = plan
         self._send_limits = send_limits
         self._entry_vm = entry_vm
         self._clock = clock
-        self._line = line.Line()
-        # Numbers the asks: the end of a place is told behind the next ask of
-        # the same request, and must not end what that one was granted.
-        self._names = itertools.count()
+        self._local_queue = line.Line()
+        # Numbers the placement requests. The release of a placement may reach
+        # the coordinator after the next placement request for the same caller
+        # request, and must not release what that one was granted.
+        self._request_numbers = itertools.count()
 
     def find(
         self, req: passage.Passage, sent: list[str], *, started: bool = False
     ) -> attempt.Spot:
-        """Waits for a place.
+        """Waits for a placement.
 
         Args:
             req: The request.
-            sent: Servers that it was sent to, by id.
-            started: Whether its caller has a part of the answer.
+            sent: Ids of the servers that it was sent to.
+            started: Whether its caller has received part of the response.
 
         Raises:
-            attempt.Refused: There is none in time.
+            attempt.Refused: No placement became available in time.
         """
         if len(sent) < req.route.max_attempts and req.service.kv_tokens:
-            spot = self._planned_spot(req, sent, started=started)
+            spot = self._coordinated_spot(req, sent, started=started)
             if spot is not None:
                 return spot
         return attempt.Spot(self._reserve(req, sent))
 
     def give_back(self, req: passage.Passage, spot: attempt.Spot) -> None:
-        """Gives a place back, with what was measured there."""
-        self._line.place_freed()
+        """Releases a placement and reports what was measured there."""
+        self._local_queue.place_freed()
         if not spot.request:
             return
-        self._plan.end(
+        self._client.end(
             messages.EndPlace(
                 service=req.service.name,
                 request=spot.request,
@@ -99,31 +101,33 @@
         )
 
     def takes(self, server: forwarding.Backend) -> bool:
-        """Whether a server that was chosen still takes requests."""
+        """Whether a chosen server still accepts requests."""
         return self._owner.run(
             lambda state, now: state.fleet.usable(server.id, now) is not None
         )
 
     def failed(self, req: passage.Passage, server: forwarding.Backend) -> None:
-        """Takes the failure of a server, for this VM and for the home."""
+        """Records the failure of a server and reports it to the coordinator."""
         self._owner.run(lambda state, now: state.fleet.failed(server.id, now))
-        self._plan.report(req.service.name, server.id)
+        self._client.report(req.service.name, server.id)
 
     def replaced(
         self, req: passage.Passage, server: forwarding.Backend
     ) -> None:
-        """Takes that another server answered at a server's address.
+        """Reports that another server responded at a server's address.
 
-        The list still names one that is gone; the home would send it everybody's
-        next request until the list is right.
+        The list of servers still contains the removed server. Without the
+        report, the coordinator would assign requests of all entry VMs to it
+        until the list is updated.
         """
-        self._plan.report(req.service.name, server.id, replaced=True)
+        self._client.report(req.service.name, server.id, replaced=True)
 
     def check(self, req: passage.Passage, sent: list[str]) -> None:
-        """Ends a request whose caller or time is gone, or that nothing takes.
+        """Refuses a request that can no longer be served.
 
         Raises:
-            attempt.Refused: It is.
+            attempt.Refused: The caller disconnected, the time is used up, or
+                all servers are in backoff.
         """
         if req.caller_gone():
             raise attempt.Refused(codes.CANCELLED if sent else codes.GONE)
@@ -142,12 +146,12 @@
                 codes.BACKEND_REFUSED, 'backoff', retry_after_s=backoff_s
             )
 
-    def _planned_spot(
+    def _coordinated_spot(
         self, req: passage.Passage, sent: list[str], *, started: bool
     ) -> attempt.Spot | None:
-        """Waits for a place in the home's plan; None if no home answers."""
-        name = f'{req.call.id}/{next(self._names)}'
-        began = self._clock()
+        """Waits for a placement by the coordinator; None if none replies."""
+        name = f'{req.call.id}/{next(self._request_numbers)}'
+        started_at = self._clock()
         avoid = list(sent)
         queued = False
         try:
@@ -160,26 +164,28 @@
                     )
                 )
                 avoided = (*avoid, *faulty, *self._send_limits.spent())
-                msg = self._question(req, name, avoided, started=started)
-                reply = self._plan.ask(msg)
+                msg = self._placement_request(
+                    req, name, avoided, started=started
+                )
+                reply = self._client.ask(msg)
                 if reply is None:
                     return None
                 if isinstance(reply, messages.Place):
-                    waited_s = self._clock() - began
-                    spot = self._take_place(req, msg, reply, waited_s)
+                    waited_s = self._clock() - started_at
+                    spot = self._accept_placement(req, msg, reply, waited_s)
                     if spot is not None:
                         name = ''
                         return spot
-                    # This entry VM knows better: it leaves, is gone, or takes
-                    # no more now.
+                    # This entry VM has newer information: the worker is
+                    # leaving, was removed, or has no send tokens left.
                     if reply.worker not in self._send_limits.spent():
                         avoid.append(reply.worker)
-                    self._plan.end(
+                    self._client.end(
                         messages.EndPlace(
                             service=req.service.name, request=name
                         )
                     )
-                    name = f'{req.call.id}/{next(self._names)}'
+                    name = f'{req.call.id}/{next(self._request_numbers)}'
                     continue
                 if isinstance(reply, messages.TooLate):
                     raise attempt.Refused(
@@ -200,21 +206,22 @@
                         came_back=reply.came_back,
                         short_of=reply.short_of,
                     )
-                self._bear(reply, patience_s, self._clock() - began)
+                self._check_wait(reply, patience_s, self._clock() - started_at)
                 req.gone.wait(reply.again_in_ms / 1000)
         finally:
             if name:
-                self._plan.end(
+                self._client.end(
                     messages.EndPlace(service=req.service.name, request=name)
                 )
 
-    def _bear(
+    def _check_wait(
         self, reply: messages.Queued, patience_s: float, waited_s: float
     ) -> None:
-        """Goes on waiting, or gives up.
+        """Checks whether to continue waiting.
 
         Raises:
-            attempt.Refused: The wait is over, or will be too long.
+            attempt.Refused: The patience is used up, or the estimated wait
+                exceeds it.
         """
         patience_ms = int(patience_s * 1000)
         wait_s = reply.wait_ms / 1000
@@ -234,7 +241,7 @@
                 position=reply.position,
             )
 
-    def _question(
+    def _placement_request(
         self,
         req: passage.Passage,
         name: str,
@@ -243,17 +250,22 @@
         started: bool,
     ) -> messages.AskPlace:
         call = req.call
-        # What a resumed stream has made so far is read with its prompt, and is
-        # no part of what is still to come. Planned as a new request, it outgrew
-        # its share, and the engine had another one read again.
-        made = (call.after_event or 0) * req.service.event_tokens
+        # The tokens that a resumed stream has already generated are prefilled
+        # with its prompt and are not part of the remaining output. If it were
+        # planned as a new request, it would exceed its planned memory and the
+        # engine would evict another request, which is then prefilled again.
+        generated = (call.after_event or 0) * req.service.event_tokens
         return messages.AskPlace(
             service=req.service.name,
             request=name,
             holder=self._entry_vm,
-            prompt=call.prompt_tokens + made,
-            hinted=_rest(call.hinted_tokens, made, req.service),
-            longest=_rest(call.output_tokens, made, req.service),
+            prompt=call.prompt_tokens + generated,
+            hinted=_remaining_tokens(
+                call.hinted_tokens, generated, req.service
+            ),
+            longest=_remaining_tokens(
+                call.output_tokens, generated, req.service
+            ),
             waited_ms=int(req.age_s() * 1000),
             target_ms=int(req.route.target_s * 1000),
             priority=req.priority,
@@ -264,31 +276,31 @@
             left_ms=max(1, int(req.left_s() * 1000)),
         )
 
-    def _take_place(
+    def _accept_placement(
         self,
         req: passage.Passage,
         msg: messages.AskPlace,
-        place: messages.Place,
+        placement: messages.Place,
         waited_s: float,
     ) -> attempt.Spot | None:
-        """Returns the spot of a granted place, if its worker may be used."""
+        """Returns the spot of a placement; None if its worker is not usable."""
 
-        def turn(
+        def read_state(
             state: beliefs.Beliefs, now: float
         ) -> tuple[forwarding.Backend | None, forwarding.Backend | None]:
             return (
-                state.fleet.usable(place.worker, now),
-                state.fleet.usable(place.prefiller, now),
+                state.fleet.usable(placement.worker, now),
+                state.fleet.usable(placement.prefiller, now),
             )
 
-        worker, prefiller = self._owner.run(turn)
+        worker, prefiller = self._owner.run(read_state)
         if worker is None or not self._send_limits.take(worker.id):
             return None
-        self._plan.hold(
+        self._client.hold(
             req.service.name,
             messages.KeptPlace(
                 request=msg.request,
-                worker=place.worker,
+                worker=placement.worker,
                 prompt=msg.prompt,
                 hinted=msg.hinted,
                 longest=msg.longest,
@@ -298,8 +310,8 @@
         req.log(
             'placed',
             server=worker.id,
-            prefill=place.prefiller,
-            reads_itself=place.reads_itself,
+            prefill=placement.prefiller,
+            reads_itself=placement.reads_itself,
             waited_ms=int(waited_s * 1000),
             prompt=msg.prompt,
             hinted=msg.hinted,
@@ -307,47 +319,47 @@
         )
         reserved = forwarding.Reserved(worker, '', 0)
         spot = attempt.Spot(reserved, msg.request, prefiller)
-        spot.reads_itself = place.reads_itself
+        spot.reads_itself = placement.reads_itself
         return spot
 
     def _reserve(
         self, req: passage.Passage, sent: list[str]
     ) -> forwarding.Reserved:
-        """Waits for a place at the workers themselves, without a plan."""
+        """Waits for a reservation at a worker, without the coordinator."""
         tokens = room.tokens(req.call)
         patience_s = room.patience_s(req.route)
-        began = self._clock()
-        self._line.join(req)
+        started_at = self._clock()
+        self._local_queue.join(req)
         try:
             while True:
                 self.check(req, sent)
-                if self._line.is_first(req):
+                if self._local_queue.is_first(req):
                     reserved = self._try_reserve(req, tokens, sent)
                     if reserved is not None:
                         return reserved
-                if self._clock() - began > patience_s:
+                if self._clock() - started_at > patience_s:
                     raise attempt.Refused(
                         codes.PATIENCE_OVER,
                         patience_ms=int(patience_s * 1000),
                     )
-                self._line.pause()
+                self._local_queue.pause()
         finally:
-            self._line.leave(req)
+            self._local_queue.leave(req)
 
     def _try_reserve(
         self, req: passage.Passage, tokens: int, sent: list[str]
     ) -> forwarding.Reserved | None:
-        """Asks some decode workers for a place; None if all are full."""
-        found = self._decoders(req, sent)
-        if not found:
+        """Requests a reservation from some workers; None if all are full."""
+        candidates = self._decoders(req, sent)
+        if not candidates:
             raise attempt.Refused(codes.NO_BACKEND)
         if not req.service.hold_s:
-            for server in found:
+            for server in candidates:
                 if self._send_limits.take(server.id):
                     return forwarding.Reserved(server, '', tokens)
             return None
         ttl_s = min(req.service.hold_s, room.HOLD_S)
-        for server in found[:ASKS]:
+        for server in candidates[:ASKS]:
             if not self._send_limits.take(server.id):
                 continue
             try:
@@ -380,29 +392,32 @@
     ) -> list[forwarding.Backend]:
         service = req.service
         stage = _stage(service)
-        # A route's attempts bound the servers that see a request.
-        closed = len(sent) >= req.route.max_attempts
+        # A route's maximum number of attempts limits how many servers a request
+        # is sent to.
+        attempts_used_up = len(sent) >= req.route.max_attempts
 
-        def turn(
+        def read_state(
             state: beliefs.Beliefs, now: float
         ) -> list[forwarding.Backend]:
-            found = state.fleet.candidates(
-                service.name, now, stage, () if closed else sent
+            candidates = state.fleet.candidates(
+                service.name, now, stage, () if attempts_used_up else sent
             )
             return [
-                tally.backend
-                for tally in found
-                if not closed or tally.backend.id in sent
+                server_state.backend
+                for server_state in candidates
+                if not attempts_used_up or server_state.backend.id in sent
             ]
 
-        return self._owner.run(turn)
+        return self._owner.run(read_state)
 
 
 def _stage(service: routes.Service) -> forwarding.Stage:
-    """Returns what the servers do that requests of a service run on."""
+    """Returns the stage of the servers that run the requests of a service."""
     return 'decode' if service.kv_tokens else ''
 
 
-def _rest(tokens: int, made: int, service: routes.Service) -> int:
-    """Returns what is left of a length, tokens; 0 if it is not known."""
-    return max(service.event_tokens, tokens - made) if tokens else 0
+def _remaining_tokens(
+    tokens: int, generated: int, service: routes.Service
+) -> int:
+    """Returns the remaining tokens of a length; 0 if it is not known."""
+    return max(service.event_tokens, tokens - generated) if tokens else 0
--- a/packages/daemon/foxtaildaled/surveys.py
+++ b/packages/daemon/foxtaildaled/surveys.py
@@ -1,11 +1,12 @@
-"""Asks all entry VMs what they hold, as the home of a service.
+"""Asks entry VMs for their placements, as the coordinator of a service.
 
-A home that knows nothing gives memory away that is in use: the prompts of those
-that it places are read, and the decode workers turn them away. A new home
-therefore gives no place before all VMs were asked, which takes some
-milliseconds, and goes on asking every second those that hold something, as far
-as it knows, and some of the others in turn: another home that some VMs still
-ask is then seen by what those VMs hold.
+A coordinator without this inventory would grant memory that is in use: the
+prompts of the placed requests would be prefilled and the decode workers would
+then reject the requests. A new coordinator therefore grants no placement before
+it has asked all VMs, which takes some milliseconds. Afterwards it asks once a
+second the VMs that have placements as far as it knows, and some of the others
+in rotation. If some VMs still use another coordinator, the placements of these
+VMs show it.
 """
 
 from collections.abc import Callable
@@ -18,17 +19,18 @@
 from foxtaildaled import actors
 from foxtaildaled import beliefs
 
-# Time between looks at what is due, seconds; a first ask wakes the loop.
+# Interval between checks for due inventories, seconds. A first request for a
+# placement wakes the loop.
 LOOK_S: Final = 1.0
-# Longest wait for the answers, seconds. Waiters ask again every 40 ms; a VM
-# that just died must not hold all of them up for longer than a prefill.
+# Timeout for the replies, seconds. Queued requests poll every 40 ms; a VM that
+# just crashed must not delay all of them for longer than a prefill.
 ANSWER_S: Final = 0.15
 
 
 class Surveys:
-    """The asking side; `step` is called by a loop."""
+    """Takes the inventories; `step` is called by a loop."""
 
-    __slots__ = ('_clock', '_held', '_owner', '_peers')
+    __slots__ = ('_clock', '_own_placements', '_owner', '_peers')
 
     def __init__(
         self,
@@ -40,32 +42,32 @@
     ) -> None:
         self._owner = owner
         self._peers = peers
-        # Returns what this entry VM itself holds of a service.
-        self._held = held
+        # Returns the placements of this entry VM itself for a service.
+        self._own_placements = held
         self._clock = clock
 
     def step(self) -> None:
-        """Asks for the services that are due."""
+        """Takes the inventories of the services that are due."""
         due = self._owner.run(lambda state, now: state.plans.surveys_due(now))
         for service in due:
-            self._survey(service)
+            self._take_inventory(service)
 
-    def _survey(self, service: str) -> None:
-        began = self._clock()
+    def _take_inventory(self, service: str) -> None:
+        started_at = self._clock()
         addresses = self._owner.run(
             lambda state, now: state.plans.survey_peers(service, now)
         )
-        ask = messages.AskHeld(service=service)
-        replies = self._peers.ask_all(addresses, ask, ANSWER_S)
-        found = [
+        request = messages.AskHeld(service=service)
+        replies = self._peers.ask_all(addresses, request, ANSWER_S)
+        reports = [
             reply
-            for reply in (*replies.values(), self._held(service))
+            for reply in (*replies.values(), self._own_placements(service))
             if isinstance(reply, messages.KeepPlaces)
         ]
-        first = self._owner.run(
-            lambda state, now: state.plans.surveyed(service, found, now)
+        is_first = self._owner.run(
+            lambda state, now: state.plans.surveyed(service, reports, now)
         )
-        if not first:
+        if not is_first:
             return
         logs.event(
             logging.INFO,
@@ -73,6 +75,6 @@
             service=service,
             asked=len(addresses),
             answered=len(replies),
-            places=sum(len(keep.places) for keep in found),
-            took_ms=int((self._clock() - began) * 1000),
+            places=sum(len(report.places) for report in reports),
+            took_ms=int((self._clock() - started_at) * 1000),
         )
