--- a/packages/daemon/foxtaildaled/beliefs.py
+++ b/packages/daemon/foxtaildaled/beliefs.py
@@ -134,12 +134,12 @@
                 known=before,
             )
             return
-        apply = topic_mirror.snapshot if whole else topic_mirror.apply
+        apply_entries = topic_mirror.snapshot if whole else topic_mirror.apply
         entries = tuple(
             self._seal_entry(topic, entry) for entry in keyed.entries
         )
         positions_before = self._changed_positions(topic, entries)
-        changes = apply(entries, keyed.end)
+        changes = apply_entries(entries, keyed.end)
         self._record_epoch(topic, before, now, 'store')
         if (
             topic != self._codec.config_topic
--- a/packages/daemon/foxtaildaled/spots.py
+++ b/packages/daemon/foxtaildaled/spots.py
@@ -399,12 +399,12 @@
         def read_state(
             state: beliefs.Beliefs, now: float
         ) -> list[forwarding.Backend]:
-            candidates = state.fleet.candidates(
+            server_states = state.fleet.candidates(
                 service.name, now, stage, () if attempts_used_up else sent
             )
             return [
                 server_state.backend
-                for server_state in candidates
+                for server_state in server_states
                 if not attempts_used_up or server_state.backend.id in sent
             ]
 
