--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -1,4 +1,4 @@
-"""Servers that asked for a time without requests."""
+"""Backoffs: times for which a backend server asked for no requests."""
 
 import random
 
@@ -21,8 +21,8 @@
     return [tally.backend.id for tally in found.candidates('s', now)]
 
 
-def test_the_longest_of_several_times_holds() -> None:
-    """Guards against a shorter time of a later answer that ends the first."""
+def test_longest_of_several_backoffs_applies() -> None:
+    """Guards against a later response that shortens an earlier backoff."""
     known = backoffs.Backoffs()
     assert known.asked(0.0, 's', 0, 3.0)
     assert not known.asked(1.0, 's', 0, 0.5)
@@ -30,8 +30,8 @@
     assert known.own_s(3.0, 's', 0) == 0.0
 
 
-def test_a_new_start_has_asked_for_nothing() -> None:
-    """Guards against a server left idle for what its last start asked."""
+def test_new_incarnation_has_no_backoff() -> None:
+    """Guards against a backoff that outlives the incarnation that asked for it."""
     known = backoffs.Backoffs()
     known.asked(0.0, 's', 1, 3.0)
     known.take(0.0, {'s': (1, 3.0)})
@@ -42,13 +42,13 @@
     assert known.own_s(1.0, 's', 2) == 1.0
 
 
-def test_word_that_goes_round_does_not_last_longer() -> None:
-    """Guards against VMs that tell each other of a rest for good."""
+def test_exchanged_updates_do_not_prolong_backoff() -> None:
+    """Guards against a backoff that VMs prolong forever by exchanging it."""
     one, other = backoffs.Backoffs(), backoffs.Backoffs()
     one.asked(0.0, 's', 0, 3.0)
     for step in range(40):
         now = step * 0.1
-        # On its way for as long as nobody looks.
+        # The network delay of the update.
         words = one.words(now)
         other.take(now + 0.09, words)
         one.take(now + 0.1, other.words(now + 0.09))
@@ -56,23 +56,23 @@
     assert not other.words(4.1)
 
 
-def test_a_garbled_time_is_bounded() -> None:
-    """Guards against a server that is never asked again."""
+def test_invalid_time_is_bounded() -> None:
+    """Guards against a server that never gets a request again."""
     known = backoffs.Backoffs()
     known.asked(0.0, 's', 0, 1e9)
     assert known.own_s(0.0, 's', 0) == backoffs.MOST_S
 
 
-def test_what_is_remembered_is_bounded() -> None:
-    """Guards against memory that grows with each server there ever was."""
+def test_memory_is_bounded() -> None:
+    """Guards against memory that grows with each server that was ever seen."""
     known = backoffs.Backoffs()
     for number in range(backoffs.MOST + 10):
         known.asked(0.0, f's{number}', 0, 10.0 + number)
     assert len(known.words(0.0)) == backoffs.MOST
 
 
-def test_a_server_in_backoff_elsewhere_goes_last_and_is_still_used() -> None:
-    """Guards against a healthy server idle for what one VM was told."""
+def test_server_in_backoff_at_another_vm_is_last_choice() -> None:
+    """Guards against a healthy server left idle by the backoff of one VM."""
     found = _fleet('a', 'b')
     found.backoffs.take(0.0, {'a': (0, 3.0)})
     assert _order(found, 1.0) == ['b', 'a']
@@ -84,8 +84,8 @@
     assert found.faulty('s', 1.0) == ()
 
 
-def test_only_if_all_rest_is_nobody_left() -> None:
-    """Guards against callers refused while a server takes requests."""
+def test_no_server_is_left_only_if_all_are_in_backoff() -> None:
+    """Guards against refusing callers while a server accepts requests."""
     found = _fleet('a', 'b')
     found.backoffs.asked(0.0, 'a', 0, 3.0)
     assert _order(found, 1.0) == ['b']
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""Word of servers that leave, whatever order it comes in."""
+"""Departure announcements of servers, in any order of arrival."""
 
 import itertools
 
@@ -13,8 +13,8 @@
     ]
 
 
-def test_word_holds_for_its_start_alone() -> None:
-    """Guards against a server that gets nothing for what its last start said."""
+def test_departure_applies_to_its_incarnation_only() -> None:
+    """Guards against applying a departure to the server's next incarnation."""
     known = departures.Departures()
     assert known.said(1.0, 's', 5)
     assert known.leaving('s', 5)
@@ -24,24 +24,24 @@
     assert known.leaving('s', 6)
 
 
-def test_entries_written_again_withdraw_nothing() -> None:
-    """Guards against old entries of a store that came back from a copy."""
+def test_rewritten_entries_withdraw_no_departure() -> None:
+    """Guards against old entries of a store that was restored from a copy."""
     known = departures.Departures()
     known.said(1.0, 's', 0)
     assert not any(_entries(known, 10, 0.01))
     assert known.leaving('s', 0)
 
 
-def test_heartbeats_of_a_ready_server_withdraw_its_leave() -> None:
-    """Guards against a healthy server that stays idle for old word."""
+def test_heartbeats_of_ready_server_withdraw_its_departure() -> None:
+    """Guards against an old announcement that keeps a healthy server idle."""
     known = departures.Departures()
     known.said(1.0, 's', 0)
     assert _entries(known, 3, 1.2) == [False, False, True]
     assert not known.leaving('s', 0)
 
 
-def test_a_leave_that_is_heard_again_is_counted_anew() -> None:
-    """Guards against entries that are older than the newest answer."""
+def test_repeated_departure_restarts_the_count() -> None:
+    """Guards against entries that are older than the newest announcement."""
     known = departures.Departures()
     known.said(1.0, 's', 0)
     _entries(known, 2, 1.2)
@@ -49,8 +49,8 @@
     assert not known.listed(14.0, 's', 0)
 
 
-def test_vms_end_alike_whatever_order_word_comes_in() -> None:
-    """Guards against old word that a VM brings back to the others."""
+def test_vms_converge_for_any_order_of_updates() -> None:
+    """Guards against old announcements that a VM sends to the others again."""
     teller = departures.Departures()
     said = []
     for step in range(4):
@@ -66,8 +66,8 @@
         assert hearer.words() == teller.words()
 
 
-def test_what_is_remembered_is_bounded() -> None:
-    """Guards against memory that grows with each server there ever was."""
+def test_memory_is_bounded() -> None:
+    """Guards against memory that grows with each server that was ever seen."""
     known = departures.Departures()
     for number in range(departures.MOST + 10):
         known.said(float(number), f's{number}', 0)
@@ -75,8 +75,8 @@
     assert known.leaving(f's{departures.MOST + 9}', 0)
 
 
-def test_news_is_told_for_a_while_only() -> None:
-    """Guards against questions that grow with each server that ever left."""
+def test_updates_are_sent_for_a_limited_time() -> None:
+    """Guards against messages that grow with each server that ever left."""
     known = departures.Departures()
     known.said(1.0, 's', 0)
     assert known.news(2.0) == {'s': (0, 1)}
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What tells that two sends are of one request."""
+"""Fingerprints, which identify the attempts of one request."""
 
 import msgspec
 
@@ -17,18 +17,18 @@
 )
 
 
-def _of(**changed: object) -> int:
+def _fingerprint(**changed: object) -> int:
     return fingerprint.of(msgspec.structs.replace(_CALL, **changed))
 
 
-def test_tries_of_one_request_have_one_fingerprint() -> None:
+def test_attempts_of_one_request_share_a_fingerprint() -> None:
     same = {'id': 'b2', 'headers': (('x', 'y'),), 'prompt_tokens': 7}
-    assert _of(**same) == _of()
-    assert len(fingerprint.text(_of())) == 16
+    assert _fingerprint(**same) == _fingerprint()
+    assert len(fingerprint.text(_fingerprint())) == 16
 
 
-def test_other_requests_have_others() -> None:
-    """Guards against holding a healthy request for another one."""
+def test_different_requests_have_different_fingerprints() -> None:
+    """Guards against quarantining a healthy request in place of another one."""
     changes: list[dict[str, object]] = [
         {},
         {'body': b'abd'},
@@ -40,4 +40,4 @@
         {'method': 'GET'},
         {'account': 'ac', 'host': 'meh.example'},
     ]
-    assert len({_of(**change) for change in changes}) == len(changes)
+    assert len({_fingerprint(**change) for change in changes}) == len(changes)
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -1,28 +1,29 @@
-"""How long a transfer may take, and what is kept of answers."""
+"""Timeouts of transfers, and the memory for retained responses."""
 
 import pytest
 
 from foxtaildale import kept
 from foxtaildale import pace
 
-# Tokens of the prompt, life of the result, bound: all seconds, after
+# Prompt tokens, lifetime of the result and timeout, both in seconds, after
 # transfers of 1,000 tokens in 0.1 s each.
 _BOUNDS = (
-    # A short prompt is given up while its result still lives.
+    # The transfer of a short prompt times out before its result expires.
     (100, 1.0, 0.4),
-    # A long one may take its usual time and more.
+    # A long one may take longer than the median time.
     (20_000, 1.0, 8.0),
     (100_000, 1.0, 10.0),
 )
 
 
 @pytest.mark.parametrize(('tokens', 'life_s', 'bound_s'), _BOUNDS)
-def test_a_transfer_is_given_up_in_time_and_not_too_early(
+def test_transfer_timeout_is_neither_too_long_nor_too_short(
     tokens: int, life_s: float, bound_s: float
 ) -> None:
-    """A link stalls, or is merely slow under a long patrol log.
+    """A link stalls, or is only slow because the prompt is long.
 
-    Given up too late, the prefill is evicted; too early, it is wasted too.
+    If the timeout is too long, the prefill is evicted; if it is too short, the
+    prefill is wasted too.
     """
     item = pace.Pace()
     for _ in range(3):
@@ -30,12 +31,12 @@
     assert item.bound_s(tokens, life_s) == pytest.approx(bound_s)
 
 
-def test_before_any_transfer_the_bound_is_generous() -> None:
+def test_timeout_before_any_transfer_is_long() -> None:
     assert pace.Pace().bound_s(100, 1.0) == 2.0
 
 
-def test_kept_answers_stay_below_their_limit() -> None:
-    """Summaries come for hours; a keeper has a few megabytes for them."""
+def test_retained_responses_stay_below_their_limit() -> None:
+    """Responses arrive for hours; the memory that retains them is a few MB."""
     answers = kept.Answers(limit=10)
     answers.put('reader', 'a', b'1234')
     answers.put('reader', 'a', b'12345')
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,9 +1,9 @@
-"""Requests that are held back, as VMs tell each other of them."""
+"""Quarantined requests and the updates that VMs exchange about them."""
 
 from foxtaildale import quarantine
 
 
-def test_a_held_request_lapses() -> None:
+def test_quarantine_expires() -> None:
     held = quarantine.Quarantine()
     assert held.hold(0.0, 1)
     assert held.left_s(1.0, 1) == quarantine.HELD_S - 1.0
@@ -12,8 +12,8 @@
     assert held.left_s(0.0, 2) == 0.0
 
 
-def test_what_vms_tell_each_other_lapses_all_the_same() -> None:
-    """Guards against two VMs that keep a request held for each other."""
+def test_exchanged_quarantine_expires_too() -> None:
+    """Guards against two VMs that prolong each other's quarantine of a request."""
     one, other = quarantine.Quarantine(), quarantine.Quarantine()
     one.hold(0.0, 1)
     now = 0.0
@@ -24,8 +24,8 @@
         assert now < quarantine.HELD_S + 10.0
 
 
-def test_a_cleared_request_is_not_held_again_by_who_has_not_heard() -> None:
-    """Guards against a healthy request that late word holds again."""
+def test_late_update_does_not_quarantine_cleared_request() -> None:
+    """Guards against a late update that quarantines a cleared request again."""
     one, other = quarantine.Quarantine(), quarantine.Quarantine()
     one.hold(0.0, 1)
     other.take(0.0, one.held(0.0), {})
@@ -36,7 +36,7 @@
     assert one.left_s(2.0, 1) == 0.0
 
 
-def test_memory_is_bounded_and_the_newest_stay() -> None:
+def test_memory_is_bounded_and_newest_records_stay() -> None:
     held = quarantine.Quarantine()
     for number in range(3 * quarantine.MOST):
         held.hold(float(number) / 1000, number)
@@ -44,8 +44,8 @@
     assert held.left_s(1.0, 3 * quarantine.MOST - 1) > 0
 
 
-def test_a_time_beyond_the_longest_is_not_taken() -> None:
-    """Guards against a record dated by a clock that is far off."""
+def test_time_beyond_maximum_is_ignored() -> None:
+    """Guards against a record whose time comes from a clock that is far off."""
     held = quarantine.Quarantine()
     assert held.take(0.0, {1: 1e12, 2: -5.0}, {3: 1e12}) == []
     assert held.held(0.0) == {}
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -1,4 +1,4 @@
-"""Whole events out of blocks."""
+"""Complete server-sent events from blocks of bytes."""
 
 import itertools
 
@@ -11,7 +11,7 @@
 
 
 @hypothesis.given(strategies.lists(strategies.integers(0, len(_STREAM))))
-def test_blocks_may_be_cut_anywhere(cuts: list[int]) -> None:
+def test_blocks_may_be_split_anywhere(cuts: list[int]) -> None:
     splitter = sse.Splitter()
     edges = [0, *sorted(cuts), len(_STREAM)]
     out = b''
@@ -24,11 +24,11 @@
     assert not splitter.partial
 
 
-def test_a_part_of_an_event_is_held_back_and_dropped_on_a_restart() -> None:
-    """A worker breaks off in the middle of an event; another goes on.
+def test_partial_event_is_buffered_and_discarded_on_restart() -> None:
+    """A worker stops in the middle of an event and another one continues.
 
-    A part that was passed on would be joined with the start of the next event,
-    and the caller would see a piece that nobody made.
+    A forwarded part would be joined with the start of the next event, and the
+    caller would receive a chunk that no worker produced.
     """
     splitter = sse.Splitter(3)
     assert splitter.feed(b'id: 4\ndata: a\n\nid: 5\nda') == (
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Pieces of an answer: checked, named and framed."""
+"""Chunks of a response: verification, event ids and framing."""
 
 import json
 import random
@@ -19,7 +19,7 @@
 
 
 def answer(request: str, texts: list[str], attempt: int = 1) -> list[Event]:
-    """Returns the events of one whole answer."""
+    """Returns the events of one complete response."""
     events: list[Event] = [
         backends.Piece(
             request=request,
@@ -44,7 +44,7 @@
 def read(
     checker: streams.Checker, events: list[Event]
 ) -> tuple[str, list[streams.Verdict]]:
-    """Returns the text that was let through, and every verdict."""
+    """Returns the accepted text and every verdict."""
     text = ''
     verdicts = []
     for event in events:
@@ -63,7 +63,7 @@
 
 @SETTINGS
 @hypothesis.given(texts)
-def test_an_undisturbed_answer_is_whole(own: list[str]) -> None:
+def test_undisturbed_response_is_complete(own: list[str]) -> None:
     text, verdicts = read(streams.Checker('r1', 1, 's1'), answer('r1', own))
     assert text == ''.join(own)
     assert verdicts[-1] is VERDICT.WHOLE
@@ -73,13 +73,13 @@
 @hypothesis.given(
     texts, texts, texts, strategies.integers(), strategies.integers(0, 9)
 )
-def test_disturbed_pieces_never_make_a_wrong_whole(
+def test_disturbed_chunks_never_complete_a_wrong_response(
     own: list[str], other: list[str], earlier: list[str], seed: int, cut: int
 ) -> None:
-    """Answers cross, repeat themselves, overtake each other and break off.
+    """Chunks are mixed up between responses, duplicated, reordered or cut off.
 
-    A dispatcher would read another aircraft's go, or half a sentence, and
-    take it for the answer to the question.
+    The caller would take the text of another request, or a part of its own,
+    for the complete response.
     """
     rng = random.Random(seed)
     events = (
@@ -97,10 +97,10 @@
         assert whole == ''.join(own)
 
 
-def test_a_changed_text_is_not_whole() -> None:
-    """A fault at the engine sends another text under the right position.
+def test_changed_text_is_not_complete() -> None:
+    """A faulty engine sends a different text under the right position.
 
-    The caller would see a summary that nobody wrote.
+    The caller would receive a response that was never generated.
     """
     events = answer('r1', ['go', ' now'])
     events[1] = answer('r1', ['go', ' not'])[1]
@@ -139,10 +139,10 @@
     assert streams.Checker('r1', 1, 's1').piece(piece) is VERDICT.GAP
 
 
-def test_a_resumed_answer_is_whole_by_its_count() -> None:
-    """An entry VM dies and the caller reads on at another one.
+def test_resumed_response_is_complete_by_its_count() -> None:
+    """An entry VM crashes and the caller resumes at another one.
 
-    That one never saw the first texts; the digest goes on to the caller.
+    That one never received the first texts; the caller gets the digest.
     """
     events = answer('r1', ['a', 'b', 'c'])
     text, verdicts = read(streams.Checker('r1', 1, 's1', 2), events[2:])
@@ -152,9 +152,9 @@
 @SETTINGS
 @hypothesis.given(strategies.text(max_size=40))
 def test_any_last_event_id_is_an_id_or_a_decode_error(text: str) -> None:
-    """A caller sends whatever it likes as Last-Event-ID.
+    """A caller sends an arbitrary Last-Event-ID.
 
-    An entry that died of it would drop every other caller's stream.
+    An entry VM that crashed on it would drop every other caller's stream.
     """
     try:
         found = streams.parse_id(text)
@@ -163,7 +163,7 @@
     assert streams.parse_id(found.text()) == found
 
 
-def test_an_event_id_comes_back_as_it_was_made() -> None:
+def test_event_id_round_trip() -> None:
     event_id = streams.EventId('hall-doi-d1', 'r1-1', 41)
     assert event_id.text() == 'hall-doi-d1/r1-1/41'
     assert streams.parse_id(event_id.text()) == event_id
@@ -173,7 +173,7 @@
     'text',
     ['', 'a/b', 'a/b/c', 'a/b/-1', 'a//1', 'a b/c/1', 'a/b/²', 'a/b/1/2'],
 )
-def test_a_wrong_event_id_is_refused(text: str) -> None:
+def test_invalid_event_id_is_rejected(text: str) -> None:
     with pytest.raises(errors.DecodeError):
         streams.parse_id(text)
 
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,12 +1,12 @@
-"""Homes that fail are passed over until they answer a probe."""
+"""Failing coordinators are skipped until they reply to a probe."""
 
 from foxtaildale import suspects
 
 
-def test_one_lost_answer_is_no_reason_to_leave_a_home() -> None:
-    """An answer is lost with a broken connection.
+def test_one_lost_reply_does_not_replace_coordinator() -> None:
+    """A reply is lost with a broken connection.
 
-    Were the home given up at once, two homes would give the same memory.
+    If the coordinator were replaced at once, two would grant the same memory.
     """
     known = suspects.Suspects()
     assert not known.failed(1.0, 'a', lost=True)
@@ -16,11 +16,11 @@
     assert known.passed() == {'a'}
 
 
-def test_a_home_that_is_fit_again_is_taken_back_at_once() -> None:
-    """A VM was replaced, and some VMs had asked it meanwhile.
+def test_recovered_coordinator_is_used_again_at_once() -> None:
+    """A VM was replaced, and some VMs sent it requests meanwhile.
 
-    Those that pass it over for longer than others would go on with another
-    home, and both would give the same memory away.
+    Those that skipped it for longer than others would use another coordinator,
+    and both coordinators would grant the same memory.
     """
     known = suspects.Suspects()
     for at in (0.0, 3.0, 9.0):
@@ -33,8 +33,8 @@
         assert known.passed() == frozenset()
 
 
-def test_a_home_that_is_overrun_is_left_for_longer_each_time() -> None:
-    """Its answers are lost again and again, although it answers probes."""
+def test_overloaded_coordinator_is_skipped_longer_each_time() -> None:
+    """Its replies are lost repeatedly although it replies to probes."""
     known = suspects.Suspects()
     now, spans = 0.0, []
     for _ in range(6):
