--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts and their keys, as they come from the platform."""
+"""Client accounts and their keys in the configuration of the platform."""
 
 from collections.abc import Iterator
 import json
@@ -44,7 +44,7 @@
     )
 
 
-def _take(state: beliefs.Beliefs, offset: int, value: bytes) -> None:
+def _apply(state: beliefs.Beliefs, offset: int, value: bytes) -> None:
     entry = mirror.Entry(names.CONFIG_KEY, offset, value)
     keyed = ports.Keyed(offset + 1, (entry,))
     state.take(names.CONFIG_TOPIC, keyed, 1.0, whole=False)
@@ -70,7 +70,7 @@
     assert known.holder(None) is None
 
 
-def test_an_account_without_figures_has_no_limit() -> None:
+def test_account_without_limit_fields_has_no_limit() -> None:
     table = records.table(_config(3, {'name': 'a', 'api_keys': ['k']}))
     assert table.client_accounts is not None
     account = table.client_accounts[0]
@@ -91,13 +91,13 @@
         ({'plain_tokens': -1}, 'huka270 has the tokens of a plain request -1'),
     ],
 )
-def test_a_fault_is_told_by_name(change: dict[str, Any], fault: str) -> None:
+def test_fault_is_reported_by_name(change: dict[str, Any], fault: str) -> None:
     with pytest.raises(errors.DecodeError) as caught:
         records.table(_config(3, _TENANT | change))
     assert fault in str(caught.value)
 
 
-def test_faults_of_several_accounts_are_told_together_and_no_key() -> None:
+def test_faults_of_several_accounts_are_reported_without_keys() -> None:
     other = _TENANT | {'name': 'b', 'unit': 'x'}
     twice = {'name': 'b'}
     with pytest.raises(errors.DecodeError) as caught:
@@ -109,28 +109,29 @@
     assert not any(key in text for key in _TENANT['api_keys'])
 
 
-def test_a_faulty_version_leaves_the_good_one_in_force() -> None:
+def test_faulty_version_leaves_valid_one_in_force() -> None:
     """An operator publishes a key under two accounts.
 
-    Taken half, it would refuse callers or serve them as somebody else.
+    A partly applied version would refuse callers or serve them under another
+    account.
     """
     state = _state()
-    _take(state, 0, _config(3, _TENANT))
-    _take(state, 1, _config(5, _TENANT, _TENANT | {'name': 'b'}))
+    _apply(state, 0, _config(3, _TENANT))
+    _apply(state, 1, _config(5, _TENANT, _TENANT | {'name': 'b'}))
     assert state.matcher is not None
     assert state.matcher.table.version == 3
-    _take(state, 2, _config(6))
+    _apply(state, 2, _config(6))
     assert state.matcher.table.version == 6
     assert not state.matcher.client_accounts
 
 
-def test_what_is_kept_and_passed_on_holds_no_key() -> None:
-    """An entry VM tells the others the configuration.
+def test_stored_and_forwarded_configuration_has_no_key() -> None:
+    """An entry VM sends the configuration to the others.
 
-    Whoever reads what goes between them, or a dump of one, must find no key.
+    Neither the messages between them nor a memory dump may contain a key.
     """
     state = _state()
-    _take(state, 0, _config(3, _TENANT))
+    _apply(state, 0, _config(3, _TENANT))
     ask = messages.AskRecords(ends={})
     told = messages.encode(state.reply(ask, 1.0))
     assert b'huka270' in told
@@ -156,7 +157,7 @@
         b'{"tenants": [{"api_keys": ["k", 7]}]}',
     ],
 )
-def test_a_record_that_can_not_be_sealed_is_not_kept(value: bytes) -> None:
+def test_record_that_can_not_be_sealed_is_not_stored(value: bytes) -> None:
     assert records.seal(names.CONFIG_TOPIC, value) == b''
 
 
@@ -175,27 +176,27 @@
         ('Bearer', None),
         ('Bearer ', None),
         (f'Bearer {_SECRET} x', None),
-        # The header came twice.
+        # The header was sent twice.
         (f'Bearer {_SECRET}, Bearer other', None),
         (f'Bearer {_SECRET}, Bearer {_SECRET}', None),
         ('Bearer ' + 300 * 'k', None),
         (f'Bearer {_SECRET}\x00', None),
     ],
 )
-def test_which_key_a_request_has(sent: str, key: str | None) -> None:
+def test_key_of_a_request(sent: str, key: str | None) -> None:
     call = _decode({names.AUTHORIZATION: sent})
     assert call.key == (None if key is None else accounts.digest(key))
     assert names.AUTHORIZATION not in dict(call.headers)
 
 
-def test_without_accounts_the_header_is_the_backend_servers() -> None:
+def test_header_is_forwarded_without_accounts() -> None:
     sent = {names.AUTHORIZATION: 'Basic x'}
     call = _decode(sent, keyed=False)
     assert call.key is None
     assert dict(call.headers)[names.AUTHORIZATION] == 'Basic x'
 
 
-def test_a_caller_can_not_name_its_account() -> None:
+def test_caller_can_not_choose_its_account() -> None:
     call = _decode({names.ACCOUNT: 'other'}, keyed=False)
     assert names.ACCOUNT not in dict(call.headers)
 
@@ -205,7 +206,7 @@
         strategies.characters(min_codepoint=0, max_codepoint=255), max_size=60
     )
 )
-def test_any_header_is_a_key_or_none_and_goes_nowhere(value: str) -> None:
+def test_any_header_is_a_key_or_none_and_is_not_forwarded(value: str) -> None:
     for sent in (value, f'Bearer {value}', f'Bearer {_SECRET}{value}'):
         call = _decode({names.AUTHORIZATION: sent, 'x': 'y'})
         assert names.AUTHORIZATION not in dict(call.headers)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Which backend server a request is sent to."""
+"""Selection of the backend server of a request."""
 
 import random
 
@@ -33,23 +33,23 @@
     return [tally.backend.id for tally in found.candidates('s', now)]
 
 
-def test_the_least_loaded_goes_first() -> None:
+def test_least_loaded_server_is_first() -> None:
     found = _fleet('a', 'b', 'c')
     for name in ('a', 'a', 'b'):
         found.sent(name)
     assert _order(found) == ['c', 'b', 'a']
 
 
-def test_a_fresh_report_tells_of_the_requests_of_others() -> None:
+def test_fresh_report_counts_requests_of_other_vms() -> None:
     found = _fleet('a', 'b')
     found.loaded('a', 0.0, forwarding.Load(running=5, waiting=0, slots=6))
     assert _order(found, 0.1) == ['b', 'a']
 
 
-def test_an_old_report_tells_nothing() -> None:
+def test_old_report_is_ignored() -> None:
     """A server was busy for a moment, half a second ago.
 
-    Passing it over for longer would load the others for nothing.
+    Skipping it for longer would put needless load on the others.
     """
     found = _fleet('a', 'b')
     found.loaded('a', 0.0, forwarding.Load(running=5, waiting=0, slots=6))
@@ -57,10 +57,10 @@
     assert _order(found, fleet.LOAD_FRESH_S + 0.1) == ['a', 'b']
 
 
-def test_a_failing_server_is_passed_over_and_tried_again() -> None:
-    """A server fails a part of its requests while its health check is good.
+def test_failing_server_is_skipped_and_tried_again() -> None:
+    """A server fails some of its requests while its health check succeeds.
 
-    Callers see errors for as long as it gets its full share.
+    Callers receive errors for as long as it gets its full share.
     """
     found = _fleet('a', 'b')
     found.failed('a', 0.0)
@@ -70,7 +70,7 @@
     assert _order(found, 4 * fleet.FAULT_HALF_S) == ['a', 'b']
 
 
-def test_a_slow_server_gets_less() -> None:
+def test_slow_server_gets_fewer_requests() -> None:
     found = _fleet('a', 'b', 'c')
     for name, took_s in (('a', 0.5), ('b', 0.06), ('c', 0.06)):
         for _ in range(20):
@@ -81,7 +81,7 @@
     assert _order(found)[-1] == 'a'
 
 
-def test_a_leaving_server_gets_nothing() -> None:
+def test_leaving_server_gets_no_requests() -> None:
     found = _fleet('a', 'b')
     found.put(_backend('a', leaving=True))
     assert _order(found) == ['b']
@@ -89,14 +89,14 @@
 
 
 @pytest.mark.parametrize(('well', 'left'), [(True, []), (False, ['a'])])
-def test_an_entry_that_lapsed_while_the_store_was_away(
+def test_entry_that_expired_during_store_outage(
     well: bool, left: list[str]
 ) -> None:
-    """The store was down for longer than entries live, and lost them all.
+    """The store was down for longer than the lifetime of entries and lost all.
 
-    The servers live on and register again within two seconds; taken for gone,
-    they would leave every caller refused meanwhile. With a store that was
-    well, a lapsed entry means a dead server.
+    The servers still run and register again within 2 s; if they counted as
+    removed, every caller would be refused meanwhile. If the store was
+    available, an expired entry means that the server crashed.
     """
     found = _fleet('a')
     found.remove('a', 10.0, store_well=well)
@@ -104,24 +104,24 @@
     assert _order(found, 10.0 + fleet.VANISHED_S + 0.1) == []
 
 
-def test_an_entry_that_came_back_stays() -> None:
+def test_entry_that_was_registered_again_stays() -> None:
     found = _fleet('a')
     found.remove('a', 10.0, store_well=False)
     found.put(_backend('a'))
     assert _order(found, 20.0) == ['a']
 
 
-def test_a_server_that_announced_to_leave_is_gone_at_once() -> None:
+def test_announced_departure_removes_server_at_once() -> None:
     found = _fleet('a')
     found.put(_backend('a', leaving=True))
     found.remove('a', 10.0, store_well=False)
     assert found.tally('a') is None
 
 
-def test_no_stage_is_taken_out_whole() -> None:
+def test_stage_never_loses_all_workers() -> None:
     """A fault that all workers of a stage share makes each of them fail.
 
-    Without any left the service would refuse everybody.
+    If all were removed, the service would refuse every request.
     """
     found = fleet.Fleet('here', random.Random(1))
     for name in ('d1', 'd2'):
@@ -145,10 +145,10 @@
 
 
 @pytest.mark.parametrize(('status', 'left'), [(421, ['b']), (503, ['b', 'a'])])
-def test_a_server_that_promised_not_to_have_run(
+def test_server_that_reported_request_as_not_run(
     status: int, left: list[str]
 ) -> None:
-    """Another server has its address, or it had no room for a moment."""
+    """Another server has its address, or it had no capacity for a moment."""
     found = _fleet('a', 'b')
     head = forwarding.Head(status=status, headers=(), ran='no')
     found.not_run('a', 0.0, misdirected=head.misdirected)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route and service a request gets."""
+"""Selection of the route and the service of a request."""
 
 import collections
 
@@ -38,14 +38,14 @@
         ('', '/a/x', None),
     ],
 )
-def test_the_longest_prefix_of_the_host_decides(
+def test_longest_prefix_of_the_host_is_selected(
     host: str, path: str, found: str | None
 ) -> None:
     route = routes.Matcher(_TABLE).find(host, path)
     assert (route.name if route else None) == found
 
 
-def test_a_split_follows_its_weights_and_stays_with_a_request() -> None:
+def test_split_follows_weights_and_is_stable_per_request() -> None:
     route = routes.Route(
         name='r',
         host='h',
@@ -61,7 +61,7 @@
     assert routes.pick_service(route, 'x') == routes.pick_service(route, 'x')
 
 
-def test_a_split_without_weight_goes_to_its_first_service() -> None:
+def test_split_without_weight_selects_first_service() -> None:
     route = routes.Route(
         name='r',
         host='h',
