--- a/packages/core/foxtaildale/admission.py
+++ b/packages/core/foxtaildale/admission.py
@@ -1,4 +1,4 @@
-"""Whether a planned request is granted now, waits, or is refused at once."""
+"""Decides whether a planned request is granted, queued or refusal."""
 
 from typing import Final
 
@@ -8,66 +8,68 @@
 from foxtaildale import values
 from foxtaildale import waiting
 
-# Prefills are booked at most this far ahead, seconds. Farther, the estimate of
-# the slot is worth less than asking again; nearer, a prefill worker stands
-# idle until a waiting request asks.
+# Prefills are booked at most this far ahead, seconds. With a longer horizon the
+# estimated slot time is less accurate than that of a later request; with a
+# shorter one a prefill worker is idle until a queued request polls again.
 HORIZON_S: Final = 0.6
-# Shortest and longest time until a queued request asks again, seconds.
-_AGAIN_S: Final = 0.02
-_AGAIN_MOST_S: Final = 1.0
-# Share of the target's spare time (what the request's own prefill and transfer
-# leave of it) that a new request may wait. With all of it every answer of an
-# overloaded pool would come at the edge of the target, and half of them behind
-# it; a shorter queue keeps the workers as busy.
+# Shortest and longest time until a queued request polls again, seconds.
+_MIN_POLL_S: Final = 0.02
+_MAX_POLL_S: Final = 1.0
+# Share of the target's slack (the target minus the request's own prefill and
+# transfer) that a new request may wait. With a share of 1, all responses of an
+# overloaded pool would come close to the target and half of them after it; a
+# shorter queue keeps the workers equally busy.
 _ADMIT_SHARE: Final = 0.45
-# Longest time that a refusal tells a caller to stay away, seconds.
-_RETRY_MOST_S: Final = 30.0
+# Longest time after which a refusal caller is asked to retry, seconds.
+_MAX_RETRY_S: Final = 30.0
 
 
 class Admission:
-    """Decides over plans; keeps the queue and the order of coming back."""
+    """Decides on plans; holds the queue and spreads out the retries."""
 
-    __slots__ = ('_planner', '_retry_at', 'waiting')
+    __slots__ = ('_last_retry_at', '_planner', 'waiting')
 
     _planner: planning.Planner
     waiting: waiting.Waiting
-    # When the next refused caller is told to come back.
-    _retry_at: float
+    # Retry time of the last refusal caller, seconds.
+    _last_retry_at: float
 
     def __init__(self, planner: planning.Planner) -> None:
         self._planner = planner
         self.waiting = waiting.Waiting()
-        self._retry_at = 0.0
+        self._last_retry_at = 0.0
 
     def decide(
         self, now: float, msg: messages.AskSlot, plan: planning.Plan
     ) -> messages.Queued | messages.Refused | None:
-        """Returns the answer to an ask, or None where it is to be granted."""
+        """Returns the reply to a request, or None if it is to be granted."""
         token_s = self._planner.rates.token.at(self._planner.limit(plan.decode))
         estimate_ms = msg.waited_ms + 1000 * (plan.decode_at - now + token_s)
-        own_ms = 1000 * (plan.own_s + token_s)
-        refused = self._hopeless(now, msg, estimate_ms, own_ms)
-        if refused is not None:
-            return refused
+        work_ms = 1000 * (plan.own_s + token_s)
+        refusal = self._refuse_late(now, msg, estimate_ms, work_ms)
+        if refusal is not None:
+            return refusal
         wait_s = plan.start_at - now
         if wait_s <= HORIZON_S:
             self.waiting.drop(msg.request)
             return None
-        return self._full(now, msg, wait_s) or self._queue(now, msg, wait_s)
+        return self._refuse_wait(now, msg, wait_s) or self._queue(
+            now, msg, wait_s
+        )
 
-    def _hopeless(
+    def _refuse_late(
         self,
         now: float,
         msg: messages.AskSlot,
         estimate_ms: float,
-        own_ms: float,
+        work_ms: float,
     ) -> messages.Refused | None:
-        """Refuses what the estimate says would come too late."""
+        """Refuses a request whose response is estimated to come too late."""
         service = self._planner.service
-        waits = msg.request in self.waiting
+        is_waiting = msg.request in self.waiting
         target_ms = service.first_answer_ms
-        share = 1.0 if waits else _ADMIT_SHARE
-        bound_ms = own_ms + share * max(0, target_ms - own_ms)
+        share = 1.0 if is_waiting else _ADMIT_SHARE
+        bound_ms = work_ms + share * max(0, target_ms - work_ms)
         if target_ms and estimate_ms > min(bound_ms, target_ms):
             return self._refuse(
                 now,
@@ -78,7 +80,7 @@
                 target_ms=target_ms,
             )
         patience_ms = service.patience_ms
-        bounded = patience_ms and not target_ms and not waits
+        bounded = patience_ms and not target_ms and not is_waiting
         if bounded and estimate_ms > patience_ms:
             return self._refuse(
                 now,
@@ -90,10 +92,10 @@
             )
         return None
 
-    def _full(
+    def _refuse_wait(
         self, now: float, msg: messages.AskSlot, wait_s: float
     ) -> messages.Refused | None:
-        """Refuses what may not wait, or not any longer."""
+        """Refuses a request that may not wait, or may not wait any longer."""
         patience_ms = self._planner.service.patience_ms
         if patience_ms and msg.waited_ms >= patience_ms:
             return self._refuse(
@@ -114,16 +116,17 @@
     def _queue(
         self, now: float, msg: messages.AskSlot, wait_s: float
     ) -> messages.Queued:
-        # A third of a long wait: those ahead may leave, and the rank is kept.
-        again_s = max(_AGAIN_S, wait_s - HORIZON_S / 2)
-        again_s = min(again_s, max(_AGAIN_MOST_S, wait_s / 3))
+        # A third of a long wait, since requests ahead may leave the queue. The
+        # request keeps its position.
+        poll_s = max(_MIN_POLL_S, wait_s - HORIZON_S / 2)
+        poll_s = min(poll_s, max(_MAX_POLL_S, wait_s / 3))
         arrived_at = now - msg.waited_ms / 1000
         self.waiting.put(
-            msg.request, arrived_at, now + again_s, msg.prompt_tokens
+            msg.request, arrived_at, now + poll_s, msg.prompt_tokens
         )
         position, _ = self.waiting.ahead(msg.request, arrived_at)
         return messages.Queued(
-            again_in_ms=max(1, round(again_s * 1000)), position=position
+            again_in_ms=max(1, round(poll_s * 1000)), position=position
         )
 
     def _refuse(
@@ -131,25 +134,28 @@
         now: float,
         msg: messages.AskSlot,
         code: codes.Code,
-        over_s: float,
+        excess_s: float,
         **figures: float,
     ) -> messages.Refused:
-        """Refuses at once.
+        """Refuses a request.
 
-        Callers told the same time would all come back together and be refused
-        together. Each is told a later one, as slots come free.
+        Callers with the same retry time would all retry together and be
+        refusal together. Each gets a later time, at the rate at which slots
+        become free.
         """
         self.waiting.drop(msg.request)
         usable = self._planner.slot_workers(now)
         slots = sum(self._planner.limit(w) for w in usable)
-        every_s = self._planner.rates.decode.value / max(1, slots)
-        earliest = now + max(over_s, every_s)
-        self._retry_at = max(self._retry_at + every_s, earliest)
-        self._retry_at = min(self._retry_at, now + _RETRY_MOST_S)
+        slot_interval_s = self._planner.rates.decode.value / max(1, slots)
+        earliest = now + max(excess_s, slot_interval_s)
+        self._last_retry_at = max(
+            self._last_retry_at + slot_interval_s, earliest
+        )
+        self._last_retry_at = min(self._last_retry_at, now + _MAX_RETRY_S)
         return messages.Refused(
             code=code.name,
             figures=tuple(
                 values.Figure(name, value) for name, value in figures.items()
             ),
-            retry_after_ms=max(1, round((self._retry_at - now) * 1000)),
+            retry_after_ms=max(1, round((self._last_retry_at - now) * 1000)),
         )
--- a/packages/core/foxtaildale/budget.py
+++ b/packages/core/foxtaildale/budget.py
@@ -1,9 +1,9 @@
-"""How many retries an entry may start.
+"""Limits the retries that an entry may start.
 
-A retry costs what a first try costs. Unbounded, retries multiply the load just
-when there is too much of it, and the system stays down after the cause is gone
-(one would see more attempts than requests at falling goodput). The budget
-grows with first tries by a ratio and holds a small burst for quiet times.
+A retry costs as much as a first attempt. Without a limit, retries multiply the
+load of an overloaded system and keep it overloaded after the cause is gone; the
+symptom is more attempts than requests while goodput falls. The budget allows a
+ratio of the first attempts, plus a small burst for times of low load.
 """
 
 import collections
@@ -14,52 +14,52 @@
 
 
 class Budget:
-    """Counts first tries and retries of one service at one entry."""
+    """Counts first attempts and retries of one service at one entry."""
 
-    __slots__ = ('_burst', '_firsts', '_ratio', '_retries')
+    __slots__ = ('_burst', '_first_attempts', '_ratio', '_retries')
 
-    # Retries allowed for each first try in the window.
+    # Retries allowed per first attempt in the window.
     _ratio: float
-    # Retries allowed beyond the ratio.
+    # Retries allowed in the window in addition to the ratio.
     _burst: float
-    # Times of the first tries and of the retries in the window.
-    _firsts: collections.deque[float]
+    # Times of the first attempts and of the retries in the window, seconds.
+    _first_attempts: collections.deque[float]
     _retries: collections.deque[float]
 
     def __init__(self, ratio: float, burst: float) -> None:
         self._ratio = ratio
         self._burst = burst
-        self._firsts = collections.deque()
+        self._first_attempts = collections.deque()
         self._retries = collections.deque()
 
     def on_preset(self, ratio: float, burst: float) -> None:
-        """Takes the figures of a new preset; what was counted stays."""
+        """Applies the figures of a new preset; the counts are kept."""
         self._ratio = ratio
         self._burst = burst
 
     def first(self, now: float) -> None:
-        """Counts a first try."""
-        self._forget(now)
-        self._firsts.append(now)
+        """Counts a first attempt."""
+        self._prune(now)
+        self._first_attempts.append(now)
 
     def allow(self, now: float, deadline: float | None) -> bool:
         """Takes one retry from the budget, if there is one.
 
         Args:
             now: Seconds, monotonic.
-            deadline: When the answer is worth nothing any more; None for
-                never. No retry starts at or after it.
+            deadline: Time from which the response is useless; None for never.
+                No retry starts at or after it.
         """
-        self._forget(now)
+        self._prune(now)
         if deadline is not None and now >= deadline:
             return False
-        allowed = self._burst + self._ratio * len(self._firsts)
+        allowed = self._burst + self._ratio * len(self._first_attempts)
         if len(self._retries) + 1 > allowed:
             return False
         self._retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
-        for times in (self._firsts, self._retries):
+    def _prune(self, now: float) -> None:
+        for times in (self._first_attempts, self._retries):
             while times and times[0] <= now - WINDOW_S:
                 times.popleft()
--- a/packages/core/foxtaildale/ledger.py
+++ b/packages/core/foxtaildale/ledger.py
@@ -1,17 +1,18 @@
-"""What a home has granted and not yet got back.
+"""The grants of a coordinator that are not yet released.
 
-The ledger is soft state. A holder repeats what it holds once a beat, so a new
-home's ledger fills within a beat or two, and a grant whose holder has gone
-silent lapses. A wrong count makes a request wait or an engine say `full`; it
-never runs a request twice, since no grant is proof of anything.
+The ledger is soft state. A holder reports its grants with every heartbeat, so
+the ledger of a new coordinator is complete after one or two heartbeats, and a
+grant whose holder is silent expires. A wrong count makes a request wait or an
+engine reply `full`. It never makes a request run twice, since a grant is not
+proof that a request may run.
 """
 
 from typing import Final
 
-# A grant that its holder does not repeat for this long lapses, seconds.
+# A grant expires if its holder does not renew it for this long, seconds.
 LAPSE_S: Final = 3.0
-# A repeat that lacks a grant older than this gives the grant up, seconds.
-# Younger ones may have crossed the repeat on the way.
+# A grant older than this that is missing from its holder's report is released,
+# seconds. A younger grant may have been issued while the report was in transit.
 CROSSING_S: Final = 1.0
 
 
@@ -35,28 +36,28 @@
         'transfer_at',
     )
 
-    # Name on the wire; made of request and attempt, so a repeated ask gets it
-    # again even from another home.
+    # Name on the wire. It consists of request and attempt, so a repeated
+    # request gets the same name, also from another coordinator.
     grant: str
     request: str
     attempt: int
     holder: str
-    # Workers by name; `prefill` is empty where the prefill is done or the
-    # grant was rebuilt.
+    # Names of the workers. `prefill` is empty if the prefill was done before
+    # and its worker is not reported, or if the grant was rebuilt from a report.
     prefill: str
     decode: str
     prompt_tokens: int
-    # Digests of the prompt's prefixes, to check cache hints by.
+    # Digests of the prompt's prefixes, used to check the cache hints.
     prefixes: tuple[str, ...]
-    # Times on the home's monotonic clock, seconds: when it was given, when
-    # prefill starts, the transfer starts and decode starts, by the plan.
+    # Times on the coordinator's monotonic clock, seconds: of the grant, and of
+    # the planned starts of prefill, transfer and decode.
     given_at: float
     start_at: float
     transfer_at: float
     decode_at: float
-    # When it lapses unless its holder repeats it.
+    # When the grant expires unless its holder renews it, seconds.
     lapses_at: float
-    # Whether its prefill is done and its decode worker was full.
+    # Whether the prefill is done and no decode worker had a free slot.
     parked: bool
 
     def __init__(
@@ -97,43 +98,43 @@
 class Ledger:
     """Grants by name, by decode worker and by holder."""
 
-    __slots__ = ('_grants', '_held')
+    __slots__ = ('_by_decode', '_grants')
 
     _grants: dict[str, Grant]
-    # Decode worker to its grants.
-    _held: dict[str, dict[str, Grant]]
+    # Grants by decode worker and grant name.
+    _by_decode: dict[str, dict[str, Grant]]
 
     def __init__(self) -> None:
         self._grants = {}
-        self._held = {}
+        self._by_decode = {}
 
     def __len__(self) -> int:
         return len(self._grants)
 
     def get(self, grant: str) -> Grant | None:
-        """Returns a grant that is held."""
+        """Returns a grant, or None if there is none of this name."""
         return self._grants.get(grant)
 
     def held(self, decode: str) -> int:
-        """Returns how many slots of a worker are granted."""
-        return len(self._held.get(decode, ()))
+        """Returns the number of granted slots of a worker."""
+        return len(self._by_decode.get(decode, ()))
 
     def occupied(self, decode: str, now: float) -> int:
-        """Returns how many slots of a worker are in use by now.
+        """Returns the number of granted slots of a worker that are in use.
 
-        Grants whose prefill still runs, or that found the worker full, are
-        held and not in use.
+        A grant does not use its slot while its prefill runs, or after its
+        prefill while it waits for a free slot.
         """
         return sum(
             grant.transfer_at <= now and not grant.parked
-            for grant in self._held.get(decode, {}).values()
+            for grant in self._by_decode.get(decode, {}).values()
         )
 
     def add(self, grant: Grant) -> None:
-        """Takes a new grant, in place of one of the same name."""
+        """Adds a grant; replaces one of the same name."""
         self.remove(grant.grant)
         self._grants[grant.grant] = grant
-        self._held.setdefault(grant.decode, {})[grant.grant] = grant
+        self._by_decode.setdefault(grant.decode, {})[grant.grant] = grant
 
     def move(self, now: float, grant: Grant, decode: str) -> None:
         """Moves a grant to another decode worker."""
@@ -141,54 +142,56 @@
         grant.decode = decode
         grant.transfer_at = now
         self._grants[grant.grant] = grant
-        self._held.setdefault(decode, {})[grant.grant] = grant
+        self._by_decode.setdefault(decode, {})[grant.grant] = grant
 
     def remove(self, grant: str) -> Grant | None:
-        """Ends a grant; returns it, or None if it is not held."""
-        found = self._grants.pop(grant, None)
-        if found is None:
+        """Removes a grant; returns it, or None if there is none."""
+        removed = self._grants.pop(grant, None)
+        if removed is None:
             return None
-        del self._held[found.decode][grant]
-        return found
+        del self._by_decode[removed.decode][grant]
+        return removed
 
     def keep(
         self, now: float, holder: str, grants: tuple[tuple[str, str], ...]
     ) -> tuple[str, ...]:
-        """Takes a holder's repeat; returns the grants that it gave up."""
-        named = dict(grants)
+        """Renews the grants that a holder reports; returns those it released."""
+        reported = dict(grants)
         for grant, decode in grants:
-            self._renew(now, holder, grant, decode)
-        gone = tuple(
+            self._renew_grant(now, holder, grant, decode)
+        released = tuple(
             grant.grant
             for grant in self._grants.values()
             if grant.holder == holder
-            and grant.grant not in named
+            and grant.grant not in reported
             and grant.given_at <= now - CROSSING_S
         )
-        for grant in gone:
+        for grant in released:
             self.remove(grant)
-        return gone
+        return released
 
     def expire(self, now: float) -> tuple[str, ...]:
-        """Ends the grants that lapsed; returns their names."""
-        gone = tuple(
+        """Removes the expired grants; returns their names."""
+        expired = tuple(
             grant.grant
             for grant in self._grants.values()
             if grant.lapses_at <= now
         )
-        for grant in gone:
+        for grant in expired:
             self.remove(grant)
-        return gone
+        return expired
 
     def grants(self) -> tuple[Grant, ...]:
-        """Returns every grant that is held."""
+        """Returns all grants."""
         return tuple(self._grants.values())
 
-    def _renew(self, now: float, holder: str, grant: str, decode: str) -> None:
-        found = self._grants.get(grant)
-        if found is None or found.decode != decode:
+    def _renew_grant(
+        self, now: float, holder: str, grant: str, decode: str
+    ) -> None:
+        renewed = self._grants.get(grant)
+        if renewed is None or renewed.decode != decode:
             request, _, attempt = grant.rpartition('/')
-            found = Grant(
+            renewed = Grant(
                 request=request,
                 attempt=int(attempt) if attempt.isdecimal() else 0,
                 holder=holder,
@@ -200,7 +203,7 @@
                 transfer_at=now,
                 decode_at=now,
             )
-            # The holder's own word: names that are not ours keep their form.
-            found.grant = grant
-            self.add(found)
-        found.lapses_at = max(found.lapses_at, now + LAPSE_S)
+            # A reported name of another form is kept as the holder wrote it.
+            renewed.grant = grant
+            self.add(renewed)
+        renewed.lapses_at = max(renewed.lapses_at, now + LAPSE_S)
--- a/packages/core/foxtaildale/orders.py
+++ b/packages/core/foxtaildale/orders.py
@@ -1,15 +1,15 @@
-"""Decides which orders go to backend servers.
-
-What a backend server shall be set to follows from the platform's log; the
-offset of the record that says so is the fencing number. The home keeper of a
-backend server looks at what it is in fact set to, again and again, and orders
-what differs. It never counts an order as done because it was answered: some
-backend servers take an old order as readily as a new one, so what was set may
-be undone by a former holder that was paused and goes on, or by an order that
-was long on its way. Only the next look shows that.
-
-A holder that sees a fencing number which it has not folded yet is itself the
-former one. It orders nothing more of that kind until it has caught up.
+"""Decides which orders are sent to backend servers.
+
+The wanted settings of a backend server follow from the platform's log; the
+offset of the record that defines a setting is its fencing number. The keeper
+that coordinates a backend server polls its actual settings and orders those
+that differ. A reply to an order does not prove that the setting lasts: some
+backend servers also accept orders with an older fencing number, so a former
+coordinator that resumes after a pause, or an order that was delayed on the
+network, may undo it. Only the next poll shows that.
+
+A coordinator that observes a fencing number beyond the log that it has applied
+is itself outdated. It orders nothing of that kind until it has caught up.
 """
 
 from typing import Final
@@ -18,39 +18,40 @@
 
 from foxtaildale import backends
 
-# Time between looks at a backend server that is set as wanted, seconds.
+# Time between polls of a backend server that is set as wanted, seconds.
 LOOK_S: Final = 2.0
-# Time before an order is given again, seconds; doubles from the first to the
-# last, since a load may take its time and the weight store limits its rate.
+# Time before an order is repeated, seconds. It doubles from the first to the
+# last value, since loading a model may be slow and the weight store limits the
+# rate.
 FIRST_REPEAT_S: Final = 0.5
 LAST_REPEAT_S: Final = 16.0
 
 
 class Status(msgspec.Struct, frozen=True, kw_only=True):
-    """How one setting of one backend server stands, for the state dump."""
+    """State of one setting of one backend server, for the state dump."""
 
     server: str
     kind: str
     wanted: str
     fence: int
-    # Empty and -1 until the first look.
+    # Empty and -1 until the first successful poll.
     observed: str
     observed_fence: int
-    # Orders given since it was last set as wanted.
+    # Number of orders sent since it was last observed as wanted.
     given: int
-    # Whether this process waits to catch up with the log.
+    # Whether this process must first catch up with the log.
     behind: bool
 
 
 class _Setting:
-    """What one kind of setting shall be, and what came of it."""
+    """Wanted and observed value of one kind of setting."""
 
     __slots__ = (
         'behind',
         'fence',
-        'given',
-        'next_at',
+        'next_order_at',
         'observed',
+        'orders_sent',
         'repeat_s',
         'value',
     )
@@ -59,35 +60,35 @@
         self.value = value
         self.fence = fence
         self.observed: backends.OrderReply | None = None
-        self.given = 0
-        # No order is given before; seconds.
-        self.next_at = 0.0
+        self.orders_sent = 0
+        # No order is sent before this time, seconds.
+        self.next_order_at = 0.0
         self.repeat_s = FIRST_REPEAT_S
         self.behind = False
 
-    def settle(self) -> None:
-        """Notes that the backend server is set as wanted."""
-        self.given = 0
-        self.next_at = 0.0
+    def on_applied(self) -> None:
+        """Records that the backend server is set as wanted."""
+        self.orders_sent = 0
+        self.next_order_at = 0.0
         self.repeat_s = FIRST_REPEAT_S
 
 
 class _Server:
     """The settings of one backend server."""
 
-    __slots__ = ('look_at', 'settings')
+    __slots__ = ('next_poll_at', 'settings')
 
     def __init__(self) -> None:
-        # When to look next, seconds.
-        self.look_at = 0.0
+        # Time of the next poll, seconds.
+        self.next_poll_at = 0.0
         self.settings: dict[str, _Setting] = {}
 
 
 class Orders:
-    """Wanted and observed settings of the servers that this keeper is home of.
+    """Wanted and observed settings of the servers that this keeper coordinates.
 
-    The caller looks at each server that is `due`, passes on what it saw and
-    sends the orders that it gets back.
+    The calling code polls each server that is `due`, passes the observed
+    settings to `seen` and sends the orders that it returns.
     """
 
     __slots__ = ('_look_s', '_servers')
@@ -99,90 +100,93 @@
     def want(
         self, server: str, kind: backends.OrderKind, value: str, fence: int
     ) -> None:
-        """Wants a setting; one with an older fencing number is ignored."""
-        found = self._servers.setdefault(server, _Server())
-        setting = found.settings.get(kind)
+        """Sets a wanted setting; ignores one with an older fencing number."""
+        server_state = self._servers.setdefault(server, _Server())
+        setting = server_state.settings.get(kind)
         if setting is None or fence > setting.fence:
-            found.settings[kind] = _Setting(value, fence)
-            found.look_at = 0.0
+            server_state.settings[kind] = _Setting(value, fence)
+            server_state.next_poll_at = 0.0
 
     def forget(self, server: str) -> None:
-        """Leaves a backend server to its new home, or to nobody."""
+        """Removes a backend server that this keeper no longer coordinates."""
         self._servers.pop(server, None)
 
     def servers(self) -> frozenset[str]:
-        """Returns the backend servers that something is wanted of."""
+        """Returns the backend servers with wanted settings."""
         return frozenset(self._servers)
 
     def due(self, now: float) -> tuple[str, ...]:
-        """Returns the backend servers to look at now."""
+        """Returns the backend servers to poll now."""
         return tuple(
             name
-            for name, found in self._servers.items()
-            if found.look_at <= now
+            for name, server_state in self._servers.items()
+            if server_state.next_poll_at <= now
         )
 
     def unseen(self, server: str, now: float) -> None:
-        """Notes that a look failed; the next one is not at once."""
-        found = self._servers.get(server)
-        if found is not None:
-            found.look_at = now + self._look_s
+        """Records that a poll failed; the next one follows after the poll time."""
+        server_state = self._servers.get(server)
+        if server_state is not None:
+            server_state.next_poll_at = now + self._look_s
 
     def seen(
         self, server: str, observed: backends.Observed, folded: int, now: float
     ) -> tuple[backends.Order, ...]:
-        """Takes what a look showed and returns the orders to give.
+        """Applies the result of a poll and returns the orders to send.
 
         Args:
             server: Name of the backend server.
-            observed: What it is set to.
-            folded: Offset up to which this process has folded the log.
+            observed: Its actual settings.
+            folded: Offset up to which this process has applied the log.
             now: Seconds.
         """
-        found = self._servers.get(server)
-        if found is None:
+        server_state = self._servers.get(server)
+        if server_state is None:
             return ()
         replies = {reply.kind: reply for reply in observed.orders}
-        given = []
-        found.look_at = now + self._look_s
-        for kind, setting in found.settings.items():
+        orders = []
+        server_state.next_poll_at = now + self._look_s
+        for kind, setting in server_state.settings.items():
             setting.observed = replies.get(kind)
             if not self._differs(setting, folded):
                 continue
-            if setting.next_at <= now:
-                given.append(_order(kind, setting))
-                setting.given += 1
-                setting.next_at = now + setting.repeat_s
+            if setting.next_order_at <= now:
+                orders.append(_order(kind, setting))
+                setting.orders_sent += 1
+                setting.next_order_at = now + setting.repeat_s
                 setting.repeat_s = min(2 * setting.repeat_s, LAST_REPEAT_S)
-            found.look_at = min(found.look_at, setting.next_at)
-        return tuple(given)
+            server_state.next_poll_at = min(
+                server_state.next_poll_at, setting.next_order_at
+            )
+        return tuple(orders)
 
     def status(self) -> tuple[Status, ...]:
-        """Returns how every setting stands."""
+        """Returns the state of every setting."""
         return tuple(
             _status(name, kind, setting)
-            for name, found in sorted(self._servers.items())
-            for kind, setting in sorted(found.settings.items())
+            for name, server_state in sorted(self._servers.items())
+            for kind, setting in sorted(server_state.settings.items())
         )
 
     def _differs(self, setting: _Setting, folded: int) -> bool:
         seen = setting.observed
-        # Somebody ordered by a record that this process has not read. Were it
-        # to order on, it would undo the newer order on a server that checks
-        # no fencing number, and the newer holder would order again, for ever.
+        # Another coordinator applied a record that this process has not read.
+        # A further order of this process would undo the newer one on a server
+        # that does not check fencing numbers. The newer coordinator would then
+        # repeat its order, without end.
         setting.behind = seen is not None and seen.fence >= max(
             folded, setting.fence + 1
         )
         if setting.behind:
             return False
-        # The number must be raised also where the value is right already:
-        # until then the server would take an older order.
+        # The fencing number must be raised even if the value is right already:
+        # until then the server accepts an older order.
         if (
             seen is not None
             and seen.value == setting.value
             and seen.fence == setting.fence
         ):
-            setting.settle()
+            setting.on_applied()
             return False
         return True
 
@@ -204,6 +208,6 @@
         fence=setting.fence,
         observed=seen.value if seen else '',
         observed_fence=seen.fence if seen else -1,
-        given=setting.given,
+        given=setting.orders_sent,
         behind=setting.behind,
     )
--- a/packages/core/foxtaildale/planning.py
+++ b/packages/core/foxtaildale/planning.py
@@ -1,6 +1,6 @@
-"""The earliest joint time of prefill, link and decode slot for one request.
+"""Finds the earliest joint time of prefill, link and decode slot.
 
-A plan reserves nothing; `pool` books it if admission agrees.
+A plan reserves nothing; `pool` books it if `admission` grants the request.
 """
 
 from typing import Final
@@ -12,15 +12,15 @@
 from foxtaildale import values
 from foxtaildale import workers
 
-# A new home trusts load reports beside its ledger for so long, seconds: by
-# then every holder has repeated its grants.
+# Time for which a new coordinator uses load reports in addition to its ledger,
+# seconds. After it, every holder has renewed its grants.
 _REBUILD_S: Final = 2.5
 
-# How expected waits for a slot are stretched: where only goodput counts, and
-# where only wasted prefill counts.
-_CAUTION_LEAST: Final = 0.9
-_CAUTION_MOST: Final = 1.5
-# Plans whose decode starts within this time count as equal, seconds.
+# Factors on the expected wait for a slot: if only goodput has weight, and if
+# only wasted prefill has weight.
+_MIN_WAIT_FACTOR: Final = 0.9
+_MAX_WAIT_FACTOR: Final = 1.5
+# Plans are compared by the start of decode in steps of this time, seconds.
 _TIE_S: Final = 0.05
 
 
@@ -36,14 +36,14 @@
         'transfer_at',
     )
 
-    # None where the prefill is done, or for a plain service.
+    # None if the prefill is done already or the service is plain.
     prefill: workers.Worker | None
     decode: workers.Worker
-    # Seconds on the home's clock.
+    # Seconds on the coordinator's clock.
     start_at: float
     transfer_at: float
     decode_at: float
-    # Part of the time that is the request's own work and not waiting, seconds.
+    # Time for the request's own prefill and transfer, without waiting, seconds.
     own_s: float
 
     def __init__(
@@ -71,7 +71,7 @@
 
 
 class Planner:
-    """Knows the workers of one pool and plans over them."""
+    """Plans requests over the workers of one pool."""
 
     __slots__ = (
         'born_at',
@@ -89,7 +89,8 @@
     grants: ledger.Ledger
     rates: estimates.Estimates
     hints: hints.Hints
-    # When this home learned of its first worker; None before.
+    # When this coordinator was notified of its first worker, seconds; None
+    # before.
     born_at: float | None
 
     def __init__(self, service: values.Service) -> None:
@@ -109,13 +110,13 @@
         Args:
             now: Seconds, monotonic.
             msg: The request.
-            count: Requests that wait and stand before it.
-            tokens: Prompt tokens of those.
+            count: Number of requests ahead of it in the queue.
+            tokens: Sum of their prompt tokens.
         """
-        found = self._slot(now, count, msg.avoid)
-        if found is None:
+        earliest = self._earliest_slot(now, count, msg.avoid)
+        if earliest is None:
             return None
-        decode, slot_at = found
+        decode, slot_at = earliest
         if self.service.kind == 'plain':
             return Plan(
                 None,
@@ -125,10 +126,10 @@
                 decode_at=slot_at,
             )
         if msg.ready_at:
-            return self._plan_link(now, msg, decode, slot_at)
+            return self._plan_transfer(now, msg, decode, slot_at)
         usable = self.usable(now, 'prefill')
         plans = [
-            self._plan_at(
+            self._plan_with_prefill(
                 now,
                 msg,
                 prefill,
@@ -138,11 +139,11 @@
             )
             for prefill in usable
         ]
-        # Where all wait for the slot alone, the one with the least work left
-        # by its cache is taken, then the least booked one.
+        # If the slot alone limits all plans, the plan with the least prefill
+        # work after cache hits is preferred, then the least booked worker.
         return min(plans, key=_rank, default=None)
 
-    def _plan_at(
+    def _plan_with_prefill(
         self,
         now: float,
         msg: messages.AskSlot,
@@ -152,11 +153,15 @@
         slot_at: float,
         tokens: float,
     ) -> Plan:
-        """Plans with one prefill worker and its part of the tokens ahead."""
+        """Plans with one prefill worker and its part of the queued tokens."""
         name = prefill.server.name
         ahead_s = self.rates.prefill_s(name, tokens)
-        saved = min(self.hints.expect(name, msg.prefixes), msg.prompt_tokens)
-        prefill_s = self.rates.prefill_s(name, msg.prompt_tokens - saved)
+        cached_tokens = min(
+            self.hints.expect(name, msg.prefixes), msg.prompt_tokens
+        )
+        prefill_s = self.rates.prefill_s(
+            name, msg.prompt_tokens - cached_tokens
+        )
         transfer_s = self.rates.transfer_s(name, msg.prompt_tokens)
         ready_at = max(now, prefill.free_at) + ahead_s + prefill_s
         transfer_at = max(ready_at, slot_at, prefill.link_at)
@@ -170,11 +175,11 @@
         )
 
     def usable(self, now: float, role: values.Role) -> list[workers.Worker]:
-        """Returns the workers of a role that new work may go to.
+        """Returns the workers of a role that may get new work.
 
-        Where all are suspended they count as usable again: what looks like
-        all of them failing is rather something that they share, and a refusal
-        that no backend server is listed would not be true.
+        If all live workers are suspended, all count as usable: a failure of
+        all of them more likely has a common cause, and a refusal because no
+        backend server is listed would be wrong.
         """
         live = [
             worker
@@ -189,12 +194,12 @@
         return self.usable(now, 'plain' if plain else 'decode')
 
     def limit(self, worker: workers.Worker) -> int:
-        """Returns the slots that keep the target between tokens."""
+        """Returns the largest slot count that meets the target between tokens."""
         target_s = self.service.between_tokens_ms / 1000
         return self.rates.token.largest_batch(worker.server.slots, target_s)
 
     def free_now(self, now: float) -> workers.Worker | None:
-        """Returns a worker with a slot that is not in use, if there is one."""
+        """Returns a worker with a free slot, or None."""
         worker = min(
             self.slot_workers(now),
             key=lambda w: (
@@ -207,62 +212,66 @@
         occupied = self.grants.occupied(worker.server.name, now)
         return worker if occupied < self.limit(worker) else None
 
-    def _plan_link(
+    def _plan_transfer(
         self,
         now: float,
         msg: messages.AskSlot,
         decode: workers.Worker,
         slot_at: float,
     ) -> Plan:
-        """Plans for a prefill that is done: link time and a slot only."""
+        """Plans link time and a slot for a prefill that is done."""
         source = self.listed.get(msg.ready_at)
         link_at = source.link_at if source else now
         transfer_at = max(now, slot_at, link_at)
-        took_s = self.rates.transfer_s(msg.ready_at, msg.prompt_tokens)
+        transfer_s = self.rates.transfer_s(msg.ready_at, msg.prompt_tokens)
         return Plan(
             None,
             decode,
             start_at=transfer_at,
             transfer_at=transfer_at,
-            decode_at=transfer_at + took_s,
-            own_s=took_s,
+            decode_at=transfer_at + transfer_s,
+            own_s=transfer_s,
         )
 
-    def _slot(
+    def _earliest_slot(
         self, now: float, ahead: int, avoid: str
     ) -> tuple[workers.Worker, float] | None:
-        """Returns the decode worker with the earliest slot, and its time."""
+        """Returns the worker with the earliest slot, and the time of the slot."""
         usable = self.slot_workers(now)
         usable = [w for w in usable if w.server.name != avoid] or usable
         if not usable:
             return None
-        worker = min(usable, key=lambda w: self._used(now, w) / self.limit(w))
+        worker = min(
+            usable, key=lambda w: self._slots_used(now, w) / self.limit(w)
+        )
         limit = self.limit(worker)
-        short = self._used(now, worker) + ahead / len(usable) + 1 - limit
-        if short <= 0:
+        missing_slots = (
+            self._slots_used(now, worker) + ahead / len(usable) + 1 - limit
+        )
+        if missing_slots <= 0:
             return worker, now
-        # A full worker frees its slots one decode time after the other.
-        wait_s = short * self.rates.decode.value / limit
-        return worker, now + self._caution() * wait_s
+        # A full worker frees one slot per decode time / limit on average.
+        wait_s = missing_slots * self.rates.decode.value / limit
+        return worker, now + self._wait_factor() * wait_s
 
-    def _caution(self) -> float:
-        """Returns by how much expected waits for slots are stretched.
+    def _wait_factor(self) -> float:
+        """Returns the factor by which expected waits for slots are multiplied.
 
-        Short waits keep every slot busy and let some prefills be evicted;
-        long ones let some slots stand empty and waste nothing.
+        Low factors keep every slot busy, but some prefill results are evicted.
+        High factors leave some slots idle, but waste no prefill.
         """
         total = self.weights.goodput + self.weights.wasted_prefill
         if total <= 0:
-            return _CAUTION_LEAST
+            return _MIN_WAIT_FACTOR
         share = self.weights.wasted_prefill / total
-        return _CAUTION_LEAST + (_CAUTION_MOST - _CAUTION_LEAST) * share
+        return _MIN_WAIT_FACTOR + (_MAX_WAIT_FACTOR - _MIN_WAIT_FACTOR) * share
 
-    def _used(self, now: float, worker: workers.Worker) -> int:
-        """Returns the slots taken, known or only reported."""
-        held = self.grants.held(worker.server.name)
+    def _slots_used(self, now: float, worker: workers.Worker) -> int:
+        """Returns the slots in use, by the ledger or by the load report."""
+        granted_slots = self.grants.held(worker.server.name)
         rebuilding = (
             self.born_at is not None and now < self.born_at + _REBUILD_S
         )
         if rebuilding and worker.load is not None:
-            return max(held, worker.load.running)
-        return held
+            return max(granted_slots, worker.load.running)
+        return granted_slots
--- a/packages/core/foxtaildale/pool.py
+++ b/packages/core/foxtaildale/pool.py
@@ -1,15 +1,16 @@
-"""The home of a service: one place that plans all its workers jointly.
+"""Joint scheduling of all workers of one service at its coordinator.
 
-The keeper that is home (see `homes`) runs one pool for the service. An entry
-asks once and learns at once: granted (workers, and when to start the prefill),
-queued (when to ask again) or refused (why, and when to come back). A grant
-covers prefill time, link time and a decode slot together, and prefill starts
-so that its end meets the slot: an engine evicts a result within a second, and
-a result that nobody fetched was work for nobody.
+The keeper that coordinates a service (see `homes`) runs one pool for it. An
+entry sends one request and is answered at once: granted (workers, and when to
+start the prefill), queued (when to request again) or refused (why, and when to
+retry). A grant covers prefill time, link time and a decode slot together. The
+prefill is started so that it ends when the slot becomes free: an engine evicts
+a prefill result within a second, and a result that is not fetched by then is
+wasted.
 
 Flow: `ask` -> `planning` finds the earliest joint time -> `admission` grants,
-queues or refuses -> `_book`. `end` gives back and feeds the estimates. `keep`
-and `expire` keep the ledger true to the holders.
+queues or refuses -> `_book`. `end` releases a grant and updates the estimates.
+`keep` and `expire` make the ledger match what the holders report.
 """
 
 from collections.abc import Sequence
@@ -25,7 +26,7 @@
 from foxtaildale import values
 from foxtaildale import workers
 
-# Time between looks for lapsed grants and waiters, seconds.
+# Time between checks for expired grants and waiting requests, seconds.
 _EXPIRE_S: Final = 0.1
 
 
@@ -37,7 +38,7 @@
     _name: str
     _planner: planning.Planner
     _admission: admission.Admission
-    # When lapsed grants and waiters are next looked for, seconds.
+    # Time of the next check for expired grants and waiting requests, seconds.
     _expire_at: float
 
     def __init__(self, service_name: str) -> None:
@@ -49,7 +50,7 @@
     def on_service(
         self, service: values.Service, weights: values.Weights
     ) -> None:
-        """Takes what the preset in force says."""
+        """Applies the service settings of the preset in force."""
         planner = self._planner
         if service.expected_tokens != planner.service.expected_tokens:
             planner.rates = estimates.Estimates(service.expected_tokens)
@@ -59,7 +60,7 @@
     def on_servers(
         self, now: float, servers: Sequence[values.BackendServer]
     ) -> None:
-        """Takes the service's backend servers from the newest list."""
+        """Updates the workers of the service from the newest list."""
         listed = {}
         for server in servers:
             if server.service != self._name:
@@ -74,36 +75,36 @@
             self._planner.born_at = now
 
     def on_load(self, now: float, server: str, load: backends.Load) -> None:
-        """Takes a lagging report of one backend server."""
+        """Applies a delayed load report of one backend server."""
         worker = self._planner.listed.get(server)
         if worker is None:
             return
         worker.load = load
         reported_at = now - load.age_ms / 1000
         busy_s = self._planner.rates.prefill_s(server, load.backlog_tokens)
-        # Prefills that run slower than planned show up here only.
+        # Only the load report shows that prefills run slower than planned.
         worker.free_at = max(worker.free_at, reported_at + busy_s)
 
     def on_cache(
         self, server: str, events: Sequence[backends.CacheEvent]
     ) -> None:
-        """Takes cache events of one prefill worker, late and with gaps."""
+        """Applies cache events of a prefill worker; they are late and have gaps."""
         for event in events:
             self._planner.hints.on_event(server, event)
 
     def ask(
         self, now: float, msg: messages.AskSlot
     ) -> messages.Granted | messages.Queued | messages.Refused:
-        """Grants, queues or refuses; asking again is harmless."""
+        """Grants, queues or refuses a request for a slot; idempotent."""
         planner = self._planner
         grant = planner.grants.get(ledger.name(msg.request, msg.attempt))
         if grant is not None and grant.decode in planner.listed:
             if msg.ready_at:
-                self._move(now, grant)
-            return self._granted(now, grant)
+                self._move_to_free_worker(now, grant)
+            return self._granted_reply(now, grant)
         if now >= self._expire_at:
-            # Lapsing matters at the scale of a beat; done at every ask it
-            # would cost more than all the rest in a large pool.
+            # Grants expire on the time scale of a heartbeat. In a large pool,
+            # a check at every request would cost more than everything else.
             self._expire_at = now + _EXPIRE_S
             self.expire(now)
         waiting = self._admission.waiting
@@ -115,11 +116,11 @@
             return messages.Refused(
                 code=codes.NO_BACKEND.name, figures=(), retry_after_ms=1000
             )
-        answer = self._admission.decide(now, msg, plan)
-        return answer or self._granted(now, self._book(now, msg, plan))
+        reply = self._admission.decide(now, msg, plan)
+        return reply or self._granted_reply(now, self._book(now, msg, plan))
 
     def end(self, now: float, msg: messages.EndSlot) -> None:
-        """Takes a grant back, with what its holder measured."""
+        """Releases a grant and applies the times that its holder measured."""
         grant = self._planner.grants.get(msg.grant)
         if grant is None:
             request, _, _ = msg.grant.rpartition('/')
@@ -127,21 +128,21 @@
             return
         batch = self._planner.grants.held(grant.decode)
         self._planner.grants.remove(msg.grant)
-        self._give_back(now, grant)
-        self._learn(grant, msg, batch)
-        self._judge(now, grant, msg.result)
+        self._release_booked_time(now, grant)
+        self._update_estimates(grant, msg, batch)
+        self._update_suspensions(now, grant, msg.result)
 
     def keep(self, now: float, msg: messages.KeepSlots) -> None:
-        """Takes a holder's repeat of what it holds."""
+        """Renews the grants that a holder reports."""
         self._planner.grants.keep(now, msg.holder, msg.grants)
 
     def expire(self, now: float) -> tuple[str, ...]:
-        """Ends lapsed grants, forgets late waiters; returns the grants."""
+        """Removes expired grants and waiting requests; returns the grants."""
         self._admission.waiting.expire(now)
         return self._planner.grants.expire(now)
 
     def dump(self) -> dict[str, object]:
-        """Returns the state for a person to read."""
+        """Returns the state for the state dump."""
         planner = self._planner
         return {
             'service': self._name,
@@ -185,7 +186,9 @@
             source.link_at = plan.decode_at
         return grant
 
-    def _granted(self, now: float, grant: ledger.Grant) -> messages.Granted:
+    def _granted_reply(
+        self, now: float, grant: ledger.Grant
+    ) -> messages.Granted:
         prefill = self._planner.listed.get(grant.prefill)
         decode = self._planner.listed[grant.decode]
         return messages.Granted(
@@ -198,22 +201,23 @@
             lapses_ms=round(ledger.LAPSE_S * 1000),
         )
 
-    def _move(self, now: float, grant: ledger.Grant) -> None:
+    def _move_to_free_worker(self, now: float, grant: ledger.Grant) -> None:
         """Moves a grant whose prefill is done to a worker with a free slot.
 
-        Which of the full workers frees a slot first is not known when a
-        prefill starts. Left at the granted one, the result would be evicted
-        while a slot stands empty elsewhere.
+        Which of the full workers frees a slot first is not known when the
+        prefill starts. If the grant stayed at its first worker, the result
+        could be evicted while another worker has a free slot.
         """
         grant.parked = True
         worker = self._planner.free_now(now)
         if worker is not None:
-            # What is booked there and not yet done moves in its turn.
+            # Grants booked there whose prefill still runs are moved when
+            # their own prefill is done.
             grant.parked = False
             self._planner.grants.move(now, grant, worker.server.name)
 
-    def _give_back(self, now: float, grant: ledger.Grant) -> None:
-        """Frees booked time that was not used."""
+    def _release_booked_time(self, now: float, grant: ledger.Grant) -> None:
+        """Frees the unused booked time of a grant's prefill worker."""
         worker = self._planner.listed.get(grant.prefill)
         if worker is None or grant.transfer_at <= now:
             return
@@ -225,7 +229,7 @@
         worker.free_at = max((g.transfer_at for g in booked), default=now)
         worker.link_at = max((g.decode_at for g in booked), default=now)
 
-    def _learn(
+    def _update_estimates(
         self, grant: ledger.Grant, msg: messages.EndSlot, batch: int
     ) -> None:
         rates = self._planner.rates
@@ -248,20 +252,22 @@
                 batch, msg.output_tokens, msg.decode_ms / 1000
             )
 
-    def _judge(self, now: float, grant: ledger.Grant, result: str) -> None:
-        """Suspends workers that fail and trusts those that work."""
+    def _update_suspensions(
+        self, now: float, grant: ledger.Grant, result: str
+    ) -> None:
+        """Suspends workers that failed and reinstates those that succeeded."""
         prefill = self._planner.listed.get(grant.prefill)
         decode = self._planner.listed.get(grant.decode)
-        blamed: tuple[workers.Worker | None, ...] = {
+        suspects: tuple[workers.Worker | None, ...] = {
             'prefill-failed': (prefill,),
-            # Whose side failed can't be told from one transfer. The worker
-            # that is well clears its name with the next success.
+            # One failed transfer does not show which side failed. The next
+            # success of the working side ends its suspension.
             'transfer-failed': (prefill, decode),
             'decode-failed': (decode,),
         }.get(result, ())
         for worker in (prefill, decode) if result == 'done' else ():
             if worker is not None:
                 worker.worked()
-        for worker in blamed:
+        for worker in suspects:
             if worker is not None:
                 worker.failed(now)
--- a/packages/core/foxtaildale/share.py
+++ b/packages/core/foxtaildale/share.py
@@ -1,8 +1,9 @@
-"""What an entry grants itself while it can't reach the home.
+"""Grants that an entry issues itself while the coordinator is unreachable.
 
-Each entry VM takes its share of each worker's slots and no more, so that all
-of them, cut off at once and knowing nothing of each other, can't overfill the
-workers. Lagging reports lower the share where a worker is busier than that.
+Each entry VM uses at most its share of each worker's slots. The workers are
+thus not overcommitted even if all entry VMs are cut off from the coordinator
+and from each other. A load report lowers the share of a worker that is busier
+than the shares account for.
 """
 
 from typing import Final
@@ -15,15 +16,16 @@
 from foxtaildale import values
 from foxtaildale import workers
 
-# A report older than this says nothing, milliseconds.
-_STALE_MS: Final = 5_000
-# When a caller comes back after a refusal, and a waiter asks, milliseconds.
+# Load reports older than this are ignored, milliseconds.
+_MAX_REPORT_AGE_MS: Final = 5_000
+# Time until a refused caller retries, and until a queued request polls again,
+# milliseconds.
 _RETRY_MS: Final = 1_000
-_AGAIN_MS: Final = 100
+_POLL_MS: Final = 100
 
 
 class Share:
-    """One entry VM's fallback for one service."""
+    """The part of one service's slots that one entry VM may grant itself."""
 
     __slots__ = (
         '_entry_vm',
@@ -31,20 +33,20 @@
         '_ledger',
         '_name',
         '_service',
-        '_turn',
+        '_prefill_turn',
         '_workers',
     )
 
     _name: str
     _entry_vm: str
-    # Every entry VM that may use the workers, this one included.
+    # Sorted names of all entry VMs that may use the workers, this one included.
     _entry_vms: tuple[str, ...]
     _service: values.Service
     _workers: dict[str, workers.Worker]
-    # Grants of this entry VM only, its own and the home's.
+    # Grants to this entry VM, issued by itself and by the coordinator.
     _ledger: ledger.Ledger
-    # Prefill workers take turns.
-    _turn: int
+    # Number of prefills granted here; selects the next prefill worker in turn.
+    _prefill_turn: int
 
     def __init__(self, service_name: str, entry_vm: str) -> None:
         self._name = service_name
@@ -53,27 +55,27 @@
         self._service = values.Service(kind='model')
         self._workers = {}
         self._ledger = ledger.Ledger()
-        self._turn = 0
+        self._prefill_turn = 0
 
     def on_service(self, service: values.Service) -> None:
-        """Takes what the preset in force says."""
+        """Applies the service settings of the preset in force."""
         self._service = service
 
     def on_listing(self, listing: values.Listing) -> None:
-        """Takes the newest list."""
+        """Updates the entry VMs and the workers from the newest list."""
         names = {vm.name for vm in listing.entry_vms} | {self._entry_vm}
         self._entry_vms = tuple(sorted(names))
-        known = self._workers
+        old_workers = self._workers
         self._workers = {}
         for server in listing.backend_servers:
             if server.service != self._name:
                 continue
-            worker = known.get(server.name) or workers.Worker(server)
+            worker = old_workers.get(server.name) or workers.Worker(server)
             worker.server = server
             self._workers[server.name] = worker
 
     def on_load(self, server: str, load: backends.Load) -> None:
-        """Takes a lagging report of one backend server."""
+        """Applies a delayed load report of one backend server."""
         worker = self._workers.get(server)
         if worker is not None:
             worker.load = load
@@ -81,27 +83,27 @@
     def granted(
         self, now: float, msg: messages.AskSlot, granted: messages.Granted
     ) -> None:
-        """Counts a grant of the home against the share."""
+        """Counts a grant of the coordinator against the share."""
         self._add(now, msg, granted.prefill, granted.decode)
 
     def ask(
         self, now: float, msg: messages.AskSlot
     ) -> messages.Granted | messages.Queued | messages.Refused:
-        """Grants from the share, queues or refuses."""
-        wanted = 'plain' if self._service.kind == 'plain' else 'decode'
-        decodes = self._usable(now, wanted, msg.avoid)
-        prefills = self._usable(now, 'prefill', '')
-        if not decodes or (wanted == 'decode' and not prefills):
+        """Grants from the share, queues or refuses a request for a slot."""
+        slot_role = 'plain' if self._service.kind == 'plain' else 'decode'
+        decodes = self._usable_workers(now, slot_role, msg.avoid)
+        prefills = self._usable_workers(now, 'prefill', '')
+        if not decodes or (slot_role == 'decode' and not prefills):
             return messages.Refused(
                 code=codes.NO_BACKEND.name, figures=(), retry_after_ms=_RETRY_MS
             )
-        decode = max(decodes, key=self._left)
-        if self._left(decode) <= 0:
-            return self._wait(msg)
+        decode = max(decodes, key=self._free_slots)
+        if self._free_slots(decode) <= 0:
+            return self._queue_or_refuse(msg)
         prefill = None
-        if wanted == 'decode' and not msg.ready_at:
-            self._turn += 1
-            prefill = prefills[self._turn % len(prefills)]
+        if slot_role == 'decode' and not msg.ready_at:
+            self._prefill_turn += 1
+            prefill = prefills[self._prefill_turn % len(prefills)]
         self._add(
             now,
             msg,
@@ -119,40 +121,40 @@
         )
 
     def end(self, now: float, msg: messages.EndSlot) -> None:
-        """Gives a grant back."""
+        """Releases a grant."""
         grant = self._ledger.remove(msg.grant)
         if grant is None:
             return
-        failed = {
-            'prefill-failed': grant.prefill,
-            'transfer-failed': grant.decode,
-            'decode-failed': grant.decode,
+        failed_worker = {
+            'prefill-failed_worker': grant.prefill,
+            'transfer-failed_worker': grant.decode,
+            'decode-failed_worker': grant.decode,
         }.get(msg.result, '')
-        worker = self._workers.get(failed)
+        worker = self._workers.get(failed_worker)
         if worker is not None:
             worker.failed(now)
 
     def part(self, worker: values.BackendServer) -> int:
-        """Returns this entry VM's part of a worker's slots.
+        """Returns this entry VM's share of a worker's slots.
 
-        What does not divide goes to the entry VMs that a hash picks for this
-        worker, so that the parts add up to the slots exactly.
+        A hash over the worker ranks the entry VMs, and the first ones get one
+        slot of the remainder each, so that the shares add up to the slots.
         """
-        whole, rest = divmod(worker.slots, len(self._entry_vms))
+        quotient, remainder = divmod(worker.slots, len(self._entry_vms))
         ranked = sorted(
             self._entry_vms, key=lambda vm: homes.score(worker.name, vm)
         )
-        return whole + (ranked.index(self._entry_vm) < rest)
+        return quotient + (ranked.index(self._entry_vm) < remainder)
 
-    def _left(self, worker: workers.Worker) -> int:
+    def _free_slots(self, worker: workers.Worker) -> int:
         server = worker.server
-        left = self.part(server) - self._ledger.held(server.name)
+        free_slots = self.part(server) - self._ledger.held(server.name)
         load = worker.load
-        if load is None or load.age_ms > _STALE_MS:
-            return left
-        return min(left, server.slots - load.running)
+        if load is None or load.age_ms > _MAX_REPORT_AGE_MS:
+            return free_slots
+        return min(free_slots, server.slots - load.running)
 
-    def _usable(
+    def _usable_workers(
         self, now: float, role: str, avoid: str
     ) -> list[workers.Worker]:
         usable = [
@@ -162,18 +164,18 @@
         ]
         return [w for w in usable if w.server.name != avoid] or usable
 
-    def _wait(
+    def _queue_or_refuse(
         self, msg: messages.AskSlot
     ) -> messages.Queued | messages.Refused:
         target_ms = self._service.first_answer_ms
         limit_ms = target_ms or self._service.patience_ms
-        if msg.waited_ms + _AGAIN_MS < limit_ms:
-            return messages.Queued(again_in_ms=_AGAIN_MS, position=0)
+        if msg.waited_ms + _POLL_MS < limit_ms:
+            return messages.Queued(again_in_ms=_POLL_MS, position=0)
         if target_ms:
             return messages.Refused(
                 code=codes.NO_CAPACITY.name,
                 figures=(
-                    values.Figure('estimate_ms', msg.waited_ms + _AGAIN_MS),
+                    values.Figure('estimate_ms', msg.waited_ms + _POLL_MS),
                     values.Figure('target_ms', target_ms),
                 ),
                 retry_after_ms=_RETRY_MS,
--- a/packages/core/foxtaildale/streams.py
+++ b/packages/core/foxtaildale/streams.py
@@ -1,13 +1,13 @@
-"""The pieces of one answer: checked, named and framed for the caller.
+"""Checks the chunks of one response and frames them for the caller.
 
-`Checker` takes what a backend server sends and lets through only what belongs
-to this attempt and comes next. `Framer` turns accepted pieces into server-sent
+`Checker` accepts a chunk from a backend server only if it belongs to this
+attempt and is the next one. `Framer` turns accepted chunks into server-sent
 events in the form of chat completion chunks. Each event's id names worker,
-stream and position, so that a caller which lost its connection asks any entry
-VM for the rest of the same stream.
+stream and position, so that a caller which lost its connection can request the
+rest of the same stream from any entry VM.
 
-This code runs once a token, so it formats bytes around the text instead of
-building objects, and encodes nothing but the text itself.
+This code runs once per token. It therefore formats bytes around the text
+instead of building objects, and encodes only the text itself.
 """
 
 import enum
@@ -20,50 +20,52 @@
 from foxtaildale import errors
 
 DONE: Final = b'data: [DONE]\n\n'
-_PART_LIMIT: Final = 200
-_POSITION_DIGITS: Final = 18
+_MAX_PART_CHARS: Final = 200
+_MAX_POSITION_DIGITS: Final = 18
 
 _encoder: Final = msgspec.json.Encoder()
 
 
 class Verdict(enum.Enum):
-    """What a checker says of an event."""
+    """Result of checking an event."""
 
-    # The next piece of this answer; it goes to the caller.
+    # The next chunk of this response; it is sent to the caller.
     ACCEPTED = 'accepted'
-    # A piece that was accepted before; it is dropped.
+    # A chunk that was accepted before; it is discarded.
     DUPLICATE = 'duplicate'
-    # It belongs to another request, attempt or stream: the attempt failed.
+    # The event belongs to another request, attempt or stream; the attempt
+    # failed.
     FOREIGN = 'foreign'
-    # A piece before this one is missing: the attempt is read on from
-    # `Checker.position`, or failed.
+    # A chunk before this one is missing; the stream is resumed from
+    # `Checker.position`, or the attempt failed.
     GAP = 'gap'
-    # The answer ended, and every piece of it was accepted.
+    # The response ended, and all its chunks were accepted.
     WHOLE = 'whole'
-    # The answer ended, but what was accepted is not what was sent.
+    # The response ended, but the accepted chunks differ from those sent.
     BROKEN = 'broken'
 
 
 class Checker:
-    """Lets through the pieces of one attempt, each once and in order.
+    """Accepts the chunks of one attempt, each once and in order.
 
-    Crossed answers would otherwise reach the wrong caller, and a resumed
-    stream would repeat or lose text: a screen shows the same aircraft twice.
+    Without this check, mixed-up responses would reach the wrong caller, and a
+    resumed stream would repeat or lose text: a display would, for example, show
+    the same aircraft twice.
 
     Args:
         request: Identity of the request.
         attempt: Number of the attempt.
         stream: Name of the engine's stream.
-        position: First position that this checker sees. Above 0, for a
-            resume, the digest can't be checked here; the caller can, since
-            it has all texts and the last event carries the digest.
+        position: First position that this checker gets. If it is above 0, for
+            a resumed stream, the digest can't be checked here. The caller can
+            check it, since it has all texts and the last event has the digest.
     """
 
     __slots__ = (
         '_attempt',
         '_digest',
-        '_first',
         '_request',
+        '_start_position',
         '_stream',
         'position',
     )
@@ -74,29 +76,29 @@
         self._request = request
         self._attempt = attempt
         self._stream = stream
-        self._first = position
+        self._start_position = position
         self._digest = xxhash.xxh64()
-        # Position of the piece that comes next.
+        # Position of the next expected chunk.
         self.position = position
 
-    def piece(self, piece: backends.Piece) -> Verdict:
-        """Judges a piece; an accepted one counts as handed on."""
+    def piece(self, chunk: backends.Piece) -> Verdict:
+        """Checks a chunk; advances the position if it is accepted."""
         if (
-            piece.request != self._request
-            or piece.attempt != self._attempt
-            or piece.stream != self._stream
+            chunk.request != self._request
+            or chunk.attempt != self._attempt
+            or chunk.stream != self._stream
         ):
             return Verdict.FOREIGN
-        if piece.position != self.position:
-            if 0 <= piece.position < self.position:
+        if chunk.position != self.position:
+            if 0 <= chunk.position < self.position:
                 return Verdict.DUPLICATE
             return Verdict.GAP
         self.position += 1
-        self._digest.update(piece.text.encode())
+        self._digest.update(chunk.text.encode())
         return Verdict.ACCEPTED
 
     def last(self, last: backends.Last) -> Verdict:
-        """Judges the end of the answer."""
+        """Checks the end of the response."""
         if (
             last.request != self._request
             or last.attempt != self._attempt
@@ -107,43 +109,46 @@
             return Verdict.GAP
         if last.count < self.position:
             return Verdict.BROKEN
-        if self._first == 0 and last.digest != self._digest.hexdigest():
+        if (
+            self._start_position == 0
+            and last.digest != self._digest.hexdigest()
+        ):
             return Verdict.BROKEN
         return Verdict.WHOLE
 
 
 class EventId(msgspec.Struct, frozen=True):
-    """Where an event comes from; what a caller sends as Last-Event-ID."""
+    """Origin of an event; a caller sends it as Last-Event-ID."""
 
     worker: str
     stream: str
-    # Counts from 0; the last event's is the number of pieces.
+    # Counts from 0; that of the last event is the number of chunks.
     position: int
 
     def text(self) -> str:
-        """Returns the form that `parse_id` reads."""
+        """Returns the text form that `parse_id` parses."""
         return f'{self.worker}/{self.stream}/{self.position}'
 
 
 def parse_id(text: str) -> EventId:
-    """Returns the event id that `EventId.text` wrote.
+    """Parses an event id in the form of `EventId.text`.
 
     Raises:
-        errors.DecodeError: It is not one.
+        errors.DecodeError: The text is not an event id.
     """
     parts = text.split('/')
-    if len(parts) != 3 or not all(_is_part(part) for part in parts):
+    if len(parts) != 3 or not all(_is_valid_part(part) for part in parts):
         raise errors.DecodeError('an event id is WORKER/STREAM/POSITION')
     worker, stream, position = parts
-    if not position.isdigit() or len(position) > _POSITION_DIGITS:
+    if not position.isdigit() or len(position) > _MAX_POSITION_DIGITS:
         raise errors.DecodeError('the position of an event id is a number')
     return EventId(worker, stream, int(position))
 
 
-def _is_part(text: str) -> bool:
-    # Visible ASCII alone: an id ends up in headers, paths and logs.
+def _is_valid_part(text: str) -> bool:
+    # Only visible ASCII, since ids are used in headers, paths and logs.
     return (
-        0 < len(text) <= _PART_LIMIT
+        0 < len(text) <= _MAX_PART_CHARS
         and text.isascii()
         and text.isprintable()
         and ' ' not in text
@@ -151,22 +156,22 @@
 
 
 class Framer:
-    """Frames one answer as events for its caller.
+    """Frames one response as events for its caller.
 
     Args:
         request: Identity of the request; part of the completion's id.
         worker: Name of the decode worker.
         stream: Name of the engine's stream.
-        model: What the caller asked for.
+        model: Name of the model that the caller requested.
         created: Seconds since the epoch.
     """
 
-    __slots__ = ('_first', '_head', '_id', '_next')
+    __slots__ = ('_first_head', '_head', '_id_prefix', '_next_head')
 
     def __init__(
         self, request: str, worker: str, stream: str, model: str, created: int
     ) -> None:
-        self._id = f'id: {worker}/{stream}/'.encode()
+        self._id_prefix = f'id: {worker}/{stream}/'.encode()
         head = msgspec.json.encode(
             {
                 'id': f'chatcmpl-{request}',
@@ -175,31 +180,33 @@
                 'model': model,
             }
         )
-        # Without the closing brace: `choices` follows.
+        # The closing brace is left out, since `choices` follows.
         self._head = b'\ndata: ' + head[:-1] + b',"choices":[{"index":0,'
-        self._first = self._head + b'"delta":{"role":"assistant","content":'
-        self._next = self._head + b'"delta":{"content":'
+        self._first_head = (
+            self._head + b'"delta":{"role":"assistant","content":'
+        )
+        self._next_head = self._head + b'"delta":{"content":'
 
     def piece(self, position: int, text: str) -> bytes:
-        """Returns the event of one accepted piece."""
+        """Returns the event of one accepted chunk."""
         return b'%b%d%b%b},"finish_reason":null}]}\n\n' % (
-            self._id,
+            self._id_prefix,
             position,
-            self._next if position else self._first,
+            self._next_head if position else self._first_head,
             _encoder.encode(text),
         )
 
     def last(self, last: backends.Last, finish_reason: str = 'stop') -> bytes:
-        """Returns the events that end a whole answer."""
-        whole = {'count': last.count, 'digest': last.digest}
+        """Returns the events that end a complete response."""
+        summary = {'count': last.count, 'digest': last.digest}
         return (
             b'%b%d%b"delta":{},"finish_reason":%b}],"foxtaildale":%b}\n\n%b'
             % (
-                self._id,
+                self._id_prefix,
                 last.count,
                 self._head,
                 _encoder.encode(finish_reason),
-                _encoder.encode(whole),
+                _encoder.encode(summary),
                 DONE,
             )
         )
