--- a/packages/core/foxtaildale/budget.py
+++ b/packages/core/foxtaildale/budget.py
@@ -43,7 +43,7 @@
         self._first_attempts.append(now)
 
     def allow(self, now: float, deadline: float | None) -> bool:
-        """Takes one retry from the budget, if there is one.
+        """Returns whether a retry may start, and counts it if so.
 
         Args:
             now: Seconds, monotonic.
--- a/packages/core/foxtaildale/chat.py
+++ b/packages/core/foxtaildale/chat.py
@@ -1,7 +1,7 @@
-"""The body of a chat completion request, as clients of model servers send it.
+"""Decodes the body of a chat completion request.
 
-Only what the router needs is read; other fields are let through unread, since
-clients send many that only an engine knows.
+Only the fields that the router needs are decoded. Other fields are ignored
+here, since clients send many that only an engine interprets.
 """
 
 from typing import Annotated
@@ -12,7 +12,7 @@
 from foxtaildale import backends
 from foxtaildale import errors
 
-# Longest answer a caller may ask for, tokens.
+# Longest response that a caller may request, tokens.
 MAX_TOKENS: Final = 32_768
 
 
@@ -24,19 +24,19 @@
 
 
 class ChatReq(msgspec.Struct, frozen=True, kw_only=True):
-    """A request for an answer of a model."""
+    """A request for a chat completion."""
 
     model: Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
     messages: Annotated[
         tuple[Message, ...], msgspec.Meta(min_length=1, max_length=1000)
     ]
     stream: bool = False
-    # None means that the preset's expectation is used.
+    # None means that the expected length of the preset is used.
     max_tokens: Annotated[int, msgspec.Meta(ge=1, le=MAX_TOKENS)] | None = None
 
     @property
     def prompt(self) -> str:
-        """The text that the engine is given."""
+        """The text that is sent to the engine."""
         return '\n'.join(
             f'{message.role}: {message.content}' for message in self.messages
         )
@@ -46,10 +46,11 @@
 
 
 def decode(body: bytes) -> ChatReq:
-    """Returns the request in a body.
+    """Decodes a request body.
 
     Raises:
-        errors.DecodeError: The body is not such a request; the text says why.
+        errors.DecodeError: The body is not a valid request; the message has the
+            reason.
     """
     try:
         return _decoder.decode(body)
@@ -60,8 +61,8 @@
 def count_tokens(prompt: str) -> int:
     """Returns an estimate of the prompt's length in tokens.
 
-    The engines own the tokenizer; the policy only needs a figure that grows
-    with the work.
+    Only the engines have the tokenizer. Scheduling only needs a number that
+    grows with the work.
     """
     return max(1, len(prompt.split()))
 
@@ -69,6 +70,7 @@
 def prefixes(prompt: str) -> tuple[str, ...]:
     """Returns the digests of the prompt's prefixes, shortest first.
 
-    They are the engines' own, so that their cache events can be matched.
+    The engines compute the same digests, so that their cache events can be
+    matched.
     """
     return backends.prefixes(prompt.split())
--- a/packages/core/foxtaildale/codes.py
+++ b/packages/core/foxtaildale/codes.py
@@ -1,8 +1,8 @@
 """Registry of outcome codes and their sentences.
 
-Every final answer that is not a plain success names one of these codes. The
-sentence is a template over the outcome's figures, so that a caller, the log
-and `foxtaildale explain` all read the same words.
+Every final response that is not a plain success has one of these codes. The
+sentence is a template over the outcome's figures, so that the caller, the log
+and `foxtaildale explain` show the same text.
 """
 
 from typing import Final
@@ -18,21 +18,21 @@
 
     # Stable name, part of the callers' interface.
     name: str
-    # HTTP status of the answer.
+    # HTTP status of the response.
     status: int
-    # Whether the request ran at a backend server; `no` is a promise.
+    # Whether the request ran at a backend server; `no` is guaranteed.
     ran: Ran
     # Template over the figures of the outcome.
     sentence: str
 
 
-OK: Final = Code('ok', 200, 'yes', 'The whole answer was given.')
+OK: Final = Code('ok', 200, 'yes', 'The complete response was sent.')
 NO_CAPACITY: Final = Code(
     'no-capacity',
     503,
     'no',
-    'Not run: the first answer would take {estimate_ms} ms, the target is'
-    ' {target_ms} ms.',
+    'Not run: the start of the response would take {estimate_ms} ms, the target'
+    ' is {target_ms} ms.',
 )
 QUEUE_FULL: Final = Code(
     'queue-full',
@@ -50,15 +50,15 @@
     'long-wait',
     503,
     'no',
-    'Not run: the first answer would take {estimate_ms} ms, a request of this'
-    ' service waits at most {patience_ms} ms.',
+    'Not run: the start of the response would take {estimate_ms} ms, a request'
+    ' of this service waits at most {patience_ms} ms.',
 )
 NO_TIME: Final = Code(
     'no-time',
     503,
     'no',
-    'Not run: the answer is thought to take {needs_ms} ms, and its caller waits'
-    ' for {left_ms} ms more.',
+    'Not run: the response is estimated to take {needs_ms} ms, and its caller'
+    ' waits for {left_ms} ms more.',
 )
 NO_BACKEND: Final = Code(
     'no-backend',
@@ -73,7 +73,7 @@
     'Not run: this entry VM does not know which preset is in force.',
 )
 STOPPING: Final = Code(
-    'stopping', 503, 'no', 'Not run: this entry VM is being stopped.'
+    'stopping', 503, 'no', 'Not run: this entry VM is stopping.'
 )
 LOG_DOWN: Final = Code(
     'log-down',
@@ -88,13 +88,13 @@
     'Not run: this service takes a ticket; tickets are enclosed.',
 )
 TICKET_BAD: Final = Code(
-    'ticket-bad', 400, 'no', 'Not run: the ticket is not one of ours.'
+    'ticket-bad', 400, 'no', 'Not run: the ticket was not issued here.'
 )
 TICKET_OLD: Final = Code(
-    'ticket-old', 409, 'no', 'Not run: the ticket is older than its life.'
+    'ticket-old', 409, 'no', 'Not run: the ticket has expired.'
 )
 TICKET_VOID: Final = Code(
-    'ticket-void', 409, 'no', 'Not run: the ticket was given up.'
+    'ticket-void', 409, 'no', 'Not run: the ticket was voided.'
 )
 KEY_NEEDED: Final = Code(
     'key-needed',
@@ -109,15 +109,15 @@
     'key-old',
     409,
     'unknown',
-    'Refused: the Idempotency-Key is older than what is remembered; whether'
-    ' it ran before is not known, it will not run again.',
+    'Refused: the Idempotency-Key is older than the stored history; it is not'
+    ' known whether the request ran before, and it will not run again.',
 )
 CLAIM_UNSURE: Final = Code(
     'claim-unsure',
     503,
     'unknown',
-    'This try was refused and did not run; whether an earlier try under the'
-    ' same key ran is not known.',
+    'This attempt was refused and did not run; it is not known whether an'
+    ' earlier attempt with the same key ran.',
 )
 OTHER_BODY: Final = Code(
     'other-body',
@@ -128,9 +128,9 @@
 IN_PROGRESS: Final = Code(
     'in-progress',
     409,
-    # Its start may still be given up.
+    # The start of the run may still be voided.
     'unknown',
-    'This identity is being run already; its outcome is not known yet.',
+    'This identity is already running; its outcome is not known yet.',
 )
 DONE_BEFORE: Final = Code(
     'done-before', 200, 'yes', 'This identity ran before; this is its outcome.'
@@ -145,19 +145,19 @@
     'failed',
     502,
     'unknown',
-    'The request was started and did not end; it may have run in part.',
+    'The request was started and did not complete; it may have run in part.',
 )
 BROKEN: Final = Code(
     'broken',
     502,
     'yes',
-    'The answer broke off and could not be resumed; what came is not whole.',
+    'The response broke off and could not be resumed; it is incomplete.',
 )
 CANCELLED: Final = Code(
-    'cancelled', 499, 'unknown', 'The caller went away; work was cancelled.'
+    'cancelled', 499, 'unknown', 'The caller disconnected; work was cancelled.'
 )
 GONE: Final = Code(
-    'gone', 499, 'no', 'Not run: the caller went away while it waited.'
+    'gone', 499, 'no', 'Not run: the caller disconnected while it waited.'
 )
 NO_WITNESS: Final = Code(
     'no-witness',
@@ -169,20 +169,20 @@
     'no-outcome',
     404,
     'unknown',
-    'No outcome of this request is kept here: {reason}.',
+    'No outcome of this request is stored here: {reason}.',
 )
 BACKEND_REFUSED: Final = Code(
     'backend-refused',
     503,
     'no',
-    'Not run: the backend servers did not take it ({reason}).',
+    'Not run: the backend servers refused it ({reason}).',
 )
 QUARANTINED: Final = Code(
     'quarantined',
     503,
     'no',
-    'Not run: backend servers ended each time they began to run this request; it'
-    ' is sent to none for {left_s} s more.',
+    'Not run: backend servers crashed each time they began to run this request;'
+    ' it is sent to none for {left_s} s more.',
 )
 BAD_REQUEST: Final = Code('bad-request', 400, 'no', 'Not run: {reason}.')
 TOO_LARGE: Final = Code(
@@ -195,13 +195,13 @@
     'slow-request',
     408,
     'no',
-    'Not run: the request did not arrive whole within {limit_s} s.',
+    'Not run: the request did not arrive completely within {limit_s} s.',
 )
 ENTRY_BUSY: Final = Code(
     'entry-busy',
     503,
     'no',
-    'Not run: this entry VM serves {limit} requests already.',
+    'Not run: this entry VM already serves {limit} requests.',
 )
 NO_ROUTE: Final = Code(
     'no-route', 404, 'no', 'Not run: version {version} has no such route.'
@@ -215,10 +215,10 @@
 ACCOUNT_UNKNOWN: Final = Code(
     'account-unknown',
     401,
-    # Of this try alone it is sure; an earlier one may have had a key that was
-    # taken away since.
+    # Only this attempt certainly did not run. An earlier attempt may have used
+    # a key that has been removed since.
     'unknown',
-    'Refused: {reason}; this try did not run.',
+    'Refused: {reason}; this attempt did not run.',
 )
 OVER_LIMIT: Final = Code(
     'over-limit',
@@ -231,7 +231,7 @@
     'timed-out',
     504,
     'unknown',
-    'No answer within {limit_ms} ms; the request may have run.',
+    'No response within {limit_ms} ms; the request may have run.',
 )
 NO_SERVICE: Final = Code(
     'no-service',
@@ -243,7 +243,7 @@
     'no-stream',
     404,
     'unknown',
-    'No backend server holds the stream any more.',
+    'No backend server has the stream any more.',
 )
 
 ALL: Final[dict[str, Code]] = {
--- a/packages/core/foxtaildale/errors.py
+++ b/packages/core/foxtaildale/errors.py
@@ -1,24 +1,24 @@
-"""The exception tree.
+"""The exception hierarchy.
 
 Outcomes of requests are values (`values.Outcome`), not exceptions. Exceptions
-are for ports that could not do what was asked, for bad settings, and for
-broken invariants; only the last kind may stop a process.
+are raised for ports that could not do what was requested, for invalid settings
+and for violated invariants; only the last kind may stop a process.
 """
 
 
 class FoxtaildaleError(Exception):
-    """Root of every exception that this project raises."""
+    """Base class of all exceptions of this project."""
 
 
 class InvariantError(FoxtaildaleError):
-    """Something that must always hold did not; the process stops."""
+    """An invariant is violated; the process stops."""
 
 
 class SettingsError(FoxtaildaleError):
-    """Settings or a preset are wrong; carries every fault found at once.
+    """Settings or a preset are invalid; contains all faults found.
 
     Attributes:
-        faults: One line a fault: file, field, what was found, what is allowed.
+        faults: One line per fault: file, field, actual value, allowed values.
     """
 
     def __init__(self, faults: tuple[str, ...]) -> None:
@@ -27,19 +27,19 @@
 
 
 class DecodeError(FoxtaildaleError):
-    """Bytes from outside are not a message of the expected form."""
+    """Received bytes are not a message of the expected form."""
 
 
 class PortError(FoxtaildaleError):
-    """A system outside this process did not do what was asked."""
+    """A system outside this process did not do what was requested."""
 
 
 class UnreachableError(PortError):
-    """Nothing was sent: the other side can't have acted on it."""
+    """Nothing was sent, so the other side can't have acted on it."""
 
 
 class AnswerLostError(PortError):
-    """Something was sent and no answer came: the effect is unknown."""
+    """Something was sent and no reply came, so the effect is unknown."""
 
 
 class BrokenOffError(AnswerLostError):
@@ -47,10 +47,10 @@
 
 
 class RejectedError(PortError):
-    """The other side answered that it did not do what was asked.
+    """The other side replied that it did not do what was requested.
 
     Attributes:
-        code: The other side's own word for the reason.
+        code: Reason code of the other side.
     """
 
     def __init__(self, code: str, message: str = '') -> None:
@@ -59,7 +59,7 @@
 
 
 class LapsedError(PortError):
-    """Records were asked for that the platform's log no longer keeps.
+    """The requested records are no longer in the platform's log.
 
     Attributes:
         first: The oldest offset that can still be read.
--- a/packages/core/foxtaildale/incarnations.py
+++ b/packages/core/foxtaildale/incarnations.py
@@ -1,19 +1,19 @@
-"""Names of process starts.
+"""Names of the incarnations of processes.
 
-An incarnation names one start of one process: `ROLE@ENTRY_VM#RANDOM`. A process
-that is started again is another incarnation, so nothing that was promised by
-the first is ever taken to bind the second.
+An incarnation is one start of one process, named `ROLE@ENTRY_VM#RANDOM`. A
+restarted process is another incarnation, so it is never bound by what the
+earlier one promised.
 """
 
 import uuid
 
 
 def make(role: str, entry_vm: str) -> str:
-    """Returns a new incarnation."""
+    """Returns the name of a new incarnation."""
     return f'{role}@{entry_vm}#{uuid.uuid4().hex[:12]}'
 
 
 def entry_vm(incarnation: str) -> str:
-    """Returns the VM that an incarnation runs on; empty if it names none."""
-    _role, _at, rest = incarnation.partition('@')
-    return rest.partition('#')[0]
+    """Returns the VM of an incarnation; empty if the name contains none."""
+    _role, _at, vm_and_random = incarnation.partition('@')
+    return vm_and_random.partition('#')[0]
--- a/packages/core/foxtaildale/ledger.py
+++ b/packages/core/foxtaildale/ledger.py
@@ -42,8 +42,8 @@
     request: str
     attempt: int
     holder: str
-    # Names of the workers. `prefill` is empty if the prefill was done before
-    # and its worker is not reported, or if the grant was rebuilt from a report.
+    # Names of the workers. `prefill` runs the prefill or has its result; it is
+    # empty for a plain service and for a grant rebuilt from a report.
     prefill: str
     decode: str
     prompt_tokens: int
--- a/packages/core/foxtaildale/options.py
+++ b/packages/core/foxtaildale/options.py
@@ -1,7 +1,6 @@
 """Settings of one daemon, as read from its file.
 
-One class holds them all, a comment a field. `settings.py` reads the file,
-checks it as a whole and names every fault at once.
+`settings.py` reads the file, validates it and reports all faults at once.
 """
 
 from typing import Annotated
@@ -18,96 +17,96 @@
 class Options(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Everything a daemon is told at its start."""
+    """Settings of a daemon, read at its start."""
 
-    # What this process does.
+    # Role of this process.
     role: Literal['entry', 'keeper']
-    # Name of the VM that it runs on.
+    # Name of the VM that this process runs on.
     entry_vm: Annotated[str, msgspec.Meta(pattern=r'^[a-z0-9-]{1,40}$')]
     # Data centre of the VM.
     data_centre: Annotated[str, msgspec.Meta(pattern=r'^[a-z0-9-]{1,40}$')]
-    # Where callers connect; only an entry has it. Port 0 lets the kernel choose.
+    # Address for callers; only an entry has one. With port 0 the kernel chooses.
     caller_address: _Address = '127.0.0.1:0'
-    # Where the other processes of the system connect.
+    # Address for the other processes of the system.
     peer_address: _Address = '127.0.0.1:0'
-    # Where operators read state, metrics and readiness.
+    # Address on which operators read state, metrics and readiness.
     admin_address: _Address = '127.0.0.1:0'
-    # The keeper of this VM; only an entry needs it.
+    # Address of the keeper of this VM; only an entry needs it.
     keeper: _Address = '127.0.0.1:1'
-    # Other keepers, asked while the platform's VM list can't be read; a VM that
-    # is started in an outage would otherwise know nobody.
+    # Addresses of other keepers, used while the platform's VM list can't be
+    # read. Without them, a VM started during an outage could reach no peer.
     seeds: tuple[_Address, ...] = ()
-    # The platform's log and VM list.
+    # Address of the platform's log and VM list.
     platform: _Address
-    # Secret that tickets are signed with; the same on every entry VM.
+    # Secret for signing tickets; the same on every entry VM.
     secret: Annotated[str, msgspec.Meta(min_length=16, max_length=256)]
-    # File that receives the addresses in use, for port 0; empty for none.
+    # File to which the addresses in use are written, for port 0; empty for none.
     address_file: str = ''
     # Time between heartbeats to other processes, seconds.
     heartbeat_s: _Seconds = 1.0
-    # Silence after which a process counts as gone, seconds.
+    # Time without a heartbeat after which a process counts as removed, seconds.
     silence_s: _Seconds = 3.0
     # Time between reads of the platform's log and list, seconds.
     poll_s: _Seconds = 0.5
-    # Longest wait for one answer of the platform, seconds.
+    # Timeout of one request to the platform, seconds.
     platform_timeout_s: _Seconds = 1.0
     # Age of the last contact with log or peer above which a keeper no longer
-    # vouches for its preset, seconds.
+    # confirms that its preset is in force, seconds.
     freshness_s: _Seconds = 30.0
-    # How long a dead holder's work is kept for a resume, seconds.
+    # Time for which the work of a crashed holder is kept for a resume, seconds.
     grace_s: _Seconds = 5.0
-    # Life of a ticket, seconds.
+    # Lifetime of a ticket, seconds.
     ticket_life_s: _Seconds = 600.0
-    # Longest a graceful shutdown may take, seconds.
+    # Longest duration of a graceful shutdown, seconds.
     drain_s: _Seconds = 600.0
-    # Requests that one entry serves at once.
+    # Largest number of requests that one entry serves at once.
     threads: Annotated[int, msgspec.Meta(ge=4, le=2000)] = 64
-    # Time a caller may take to send its request, seconds.
+    # Longest time for a caller to send its request, seconds.
     caller_timeout_s: _Seconds = 10.0
     # Lowest severity that is logged.
     log_level: Literal['debug', 'info', 'warning', 'error'] = 'info'
 
 
 class RouterOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """What a router is told at its start; its adapter reads the file."""
+    """Settings of a router, read at its start by its adapter."""
 
-    # Name of the VM that it runs on.
+    # Name of the VM that this process runs on.
     entry_vm: str
     # Data centre of the VM.
     data_centre: str
-    # Where callers connect.
+    # Address for callers.
     caller_address: str
-    # Where the balancer asks whether this VM takes callers.
+    # Address on which the load balancer checks whether this VM accepts callers.
     ready_address: str
-    # Where the other entry VMs connect.
+    # Address for the other entry VMs.
     peer_address: str
-    # Processor time that this process may use, cores.
+    # CPU time that this process may use, cores.
     cores: float = 1.0
-    # IP number on which operators read state and metrics.
+    # IP address on which operators read state and metrics.
     admin_host: str
-    # The platform's store.
+    # Address of the platform's store.
     store: str
-    # Peer addresses of some entry VMs, which may be down.
+    # Peer addresses of some entry VMs; some of them may be down.
     seeds: tuple[str, ...] = ()
-    # Time after which a leaving backend server must get nothing new, seconds.
+    # Time after which a leaving backend server gets no new requests, seconds.
     leaving_s: float = 2.0
     # Time between SIGTERM and SIGKILL, seconds.
     grace_s: float = 8.0
-    # Least time between the orders of two entry VMs to one engine, seconds.
+    # Shortest time between orders of two entry VMs to one engine, seconds.
     lease_s: float = 3.0
-    # Further sends that all entry VMs together may make: for each request, and
-    # beyond that, in any window of this length (seconds).
+    # Sends after the first that all entry VMs together may make in any window
+    # of this length (seconds): per request, and in addition to that.
     retry_ratio: float = 0.2
     retry_burst: float = 0.0
     retry_window_s: float = 10.0
-    # How far the use of a client account may be above its limit in any window of
-    # this length (seconds): part of the limit, and units.
+    # Allowed use of a client account above its limit in any window of this
+    # length (seconds): as a part of the limit, and in units.
     limit_window_s: float = 8.0
     limit_overage: float = 0.0
     limit_slack: float = 0.0
     # Whether all entry VMs start for the first time, so that no earlier process
-    # has made further sends.
+    # has made sends after a first one.
     first_start: bool = False
-    # Requests of callers at once. A small VM has 128 MB; a thread that waits
-    # takes some 0.1 MB.
+    # Largest number of caller requests served at once. A small VM has 128 MB of
+    # memory; a waiting thread uses about 0.1 MB.
     threads: int = 96
--- a/packages/core/foxtaildale/orders.py
+++ b/packages/core/foxtaildale/orders.py
@@ -91,10 +91,10 @@
     settings to `seen` and sends the orders that it returns.
     """
 
-    __slots__ = ('_look_s', '_servers')
+    __slots__ = ('_poll_s', '_servers')
 
     def __init__(self, look_s: float = LOOK_S) -> None:
-        self._look_s = look_s
+        self._poll_s = look_s
         self._servers: dict[str, _Server] = {}
 
     def want(
@@ -127,7 +127,7 @@
         """Records that a poll failed; the next one follows after the poll time."""
         server_state = self._servers.get(server)
         if server_state is not None:
-            server_state.next_poll_at = now + self._look_s
+            server_state.next_poll_at = now + self._poll_s
 
     def seen(
         self, server: str, observed: backends.Observed, folded: int, now: float
@@ -145,7 +145,7 @@
             return ()
         replies = {reply.kind: reply for reply in observed.orders}
         orders = []
-        server_state.next_poll_at = now + self._look_s
+        server_state.next_poll_at = now + self._poll_s
         for kind, setting in server_state.settings.items():
             setting.observed = replies.get(kind)
             if not self._differs(setting, folded):
--- a/packages/core/foxtaildale/outcomes.py
+++ b/packages/core/foxtaildale/outcomes.py
@@ -1,7 +1,7 @@
-"""Makes outcomes: a code, its sentence over the figures, and when to come back.
+"""Creates outcomes: a code, its sentence with figures, and the retry time.
 
-Every final answer goes through here, so the caller, the JSON log, the metrics
-and `foxtaildale explain` all read the same words and figures.
+Every final response is created here, so that the caller, the JSON log, the
+metrics and `foxtaildale explain` show the same text and figures.
 """
 
 import math
@@ -28,11 +28,11 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller reads of an outcome that is not a plain success."""
+    """The outcome that a caller gets if it is not a plain success."""
 
     code: str
     message: str
-    # no, yes or unknown; `no` is a promise.
+    # Whether the request ran: no, yes or unknown. `no` is guaranteed.
     ran: str
     figures: dict[str, float | str]
     revision: int
@@ -40,12 +40,12 @@
     entry_vm: str
     retry_after_s: float
     service: str
-    # Fresh tickets, where the service takes them.
+    # New tickets, if the service requires them.
     tickets: tuple[str, ...] = ()
 
 
 class ErrorReply(msgspec.Struct, frozen=True):
-    """The JSON document around it."""
+    """The JSON document that contains the error body."""
 
     error: ErrorBody
 
@@ -58,14 +58,16 @@
 ) -> values.Outcome:
     """Returns the outcome for a code.
 
-    A figure that the sentence names and nobody gave is shown as `?`: a refusal
-    must not be lost because its explanation is short of a number.
+    A figure that is missing from `figures` is sentence_figures as `?` in the sentence: a
+    refusal must not be lost because its sentence lacks a number.
     """
-    shown = _Shown({figure.name: figure.value for figure in figures})
+    sentence_figures = _SentenceFigures(
+        {figure.name: figure.value for figure in figures}
+    )
     return values.Outcome(
         request=source.request,
         code=code.name,
-        sentence=code.sentence.format_map(shown),
+        sentence=code.sentence.format_map(sentence_figures),
         figures=figures,
         revision=source.revision,
         entry_vm=source.entry_vm,
@@ -102,14 +104,14 @@
         'Foxtaildale-Request': outcome.request,
     }
     if outcome.retry_after_s > 0:
-        # The header takes whole seconds; rounding down would call the caller
-        # back too early.
+        # The header has whole seconds; if it were rounded down, the caller
+        # would retry too early.
         result['Retry-After'] = str(math.ceil(outcome.retry_after_s))
     return result
 
 
-class _Shown(dict[str, float | str]):
-    """Figures for a sentence; a missing one is shown as `?`."""
+class _SentenceFigures(dict[str, float | str]):
+    """Figures for a sentence; a missing one is sentence_figures as `?`."""
 
     def __missing__(self, _key: str) -> str:
         return '?'
--- a/packages/core/foxtaildale/pace.py
+++ b/packages/core/foxtaildale/pace.py
@@ -1,53 +1,55 @@
-"""How long a transfer may take before it counts as stalled.
-
-A link that stalls must be noticed while the prefill's result still lives, so
-that another decode worker can fetch it; one would otherwise see a prefill
-wasted for each stall. But a long prompt over a slow link takes its time, and
-giving that up would waste the prefill just the same. So the bound is a part of
-the result's life, or several times what a transfer of this length has taken
-lately, whichever is longer.
+"""Computes the timeout after which a transfer counts as stalled.
+
+A stalled link must be detected before the prefill result is evicted, so that
+another decode worker can fetch it; otherwise each stall wastes a prefill. The
+transfer of a long prompt over a slow link must not be aborted either, since
+that wastes the prefill, too. The timeout is therefore a part of the lifetime of
+the result, or several times the recent average for a prompt of this length,
+whichever is longer.
 """
 
 from typing import Final
 
-# Part of the result's life after which a transfer is given up.
-_LIFE_PART: Final = 0.4
-# Times as long as lately that a transfer may take.
-_SLACK: Final = 4.0
+# Part of the result's lifetime after which a transfer is aborted.
+_LIFETIME_SHARE: Final = 0.4
+# Multiple of the recent average time that a transfer may take.
+_AVERAGE_FACTOR: Final = 4.0
 # Weight of the newest transfer in the average.
 _WEIGHT: Final = 0.2
-# Bounds before anything is known and at the most, seconds.
-_UNKNOWN_S: Final = 2.0
-_MAX_S: Final = 10.0
+# Timeout before the first transfer, and the largest timeout, seconds.
+_INITIAL_TIMEOUT_S: Final = 2.0
+_MAX_TIMEOUT_S: Final = 10.0
 
 
 class Pace:
-    """Average time of a transferred token, over one entry's transfers."""
+    """Average transfer time per token over the transfers of one entry."""
 
-    __slots__ = ('_token_s',)
+    __slots__ = ('_s_per_token',)
 
-    # Seconds; None before the first transfer.
-    _token_s: float | None
+    # Seconds per token; None before the first transfer.
+    _s_per_token: float | None
 
     def __init__(self) -> None:
-        self._token_s = None
+        self._s_per_token = None
 
     def learn(self, tokens: int, seconds: float) -> None:
-        """Takes a transfer that came to its end."""
-        found = seconds / max(1, tokens)
-        if self._token_s is None:
-            self._token_s = found
+        """Adds a completed transfer to the average."""
+        measured_s = seconds / max(1, tokens)
+        if self._s_per_token is None:
+            self._s_per_token = measured_s
         else:
-            self._token_s += _WEIGHT * (found - self._token_s)
+            self._s_per_token += _WEIGHT * (measured_s - self._s_per_token)
 
     def bound_s(self, tokens: int, life_s: float) -> float:
-        """Returns how long a transfer may take, seconds.
+        """Returns the timeout of a transfer, seconds.
 
         Args:
-            tokens: Length of the prompt.
-            life_s: How long the prefill's result lives unless fetched.
+            tokens: Length of the prompt in tokens.
+            life_s: Lifetime of the prefill result if it is not fetched, seconds.
         """
-        if self._token_s is None:
-            return _UNKNOWN_S
-        usual = _SLACK * self._token_s * tokens
-        return min(_MAX_S, max(_LIFE_PART * life_s, usual))
+        if self._s_per_token is None:
+            return _INITIAL_TIMEOUT_S
+        scaled_average_s = _AVERAGE_FACTOR * self._s_per_token * tokens
+        return min(
+            _MAX_TIMEOUT_S, max(_LIFETIME_SHARE * life_s, scaled_average_s)
+        )
--- a/packages/core/foxtaildale/reaper.py
+++ b/packages/core/foxtaildale/reaper.py
@@ -1,17 +1,17 @@
-"""Decides which holdings of a worker nobody works for any more.
+"""Decides which holdings of a worker are abandoned.
 
-An entry that dies can't cancel what it held: prompt queues, KV caches, decode
-slots and streams would stay in the worker's memory for good. The home keeper
-of each worker looks at its holdings and cancels the abandoned ones.
+An entry that crashes can't cancel its holdings: queued prompts, KV caches,
+decode slots and streams would stay in the worker's memory forever. The keeper
+that coordinates a worker polls its holdings and cancels the abandoned ones.
 
-Silence alone is no evidence: a keeper that is cut off hears nothing of entries
-which are at work, and cancelling their streams would cut requests in progress.
-So a holding is abandoned only
+Missing heartbeats alone are not sufficient evidence: a keeper that is cut off
+gets none from entries that are working, and cancelling their streams would
+abort requests in progress. A holding is therefore abandoned only
 
-- when its VM's keeper is heard and doesn't count the holder among its entries,
-  for longer than the grace time, or
-- when that VM is silent, and no connection has been at work on the holding for
-  longer than the grace time, which the worker itself reports.
+- if the keeper of the holder's VM sends heartbeats that do not list the holder
+  among its entries, for longer than the grace time, or
+- if that VM is silent and the worker reports that no connection has used the
+  holding for longer than the grace time.
 """
 
 from typing import Final
@@ -21,29 +21,29 @@
 from foxtaildale import backends
 from foxtaildale import incarnations
 
-# Grace times after which a missed holder is forgotten.
-_FORGET_GRACES: Final = 100
+# Number of grace times after which a missing holder is removed from memory.
+_RETENTION_GRACES: Final = 100
 
 
 class Census(msgspec.Struct, frozen=True, kw_only=True):
-    """What a keeper knows of the living at one moment."""
+    """The live entries and reachable VMs that a keeper knows at one time."""
 
-    # Incarnations of entries that are alive.
+    # Incarnations of the live entries.
     alive: frozenset[str]
-    # Entry VMs whose keeper was heard lately.
+    # Entry VMs whose keeper sent a heartbeat recently.
     heard: frozenset[str]
     # Seconds, monotonic.
     at: float
 
 
 class Reaper:
-    """Remembers since when a holder was missing."""
+    """Detects abandoned holdings by how long their holder has been missing."""
 
     __slots__ = ('_grace_s', '_missing')
 
-    # How long work is kept for a resume, seconds.
+    # Time for which the work of a missing holder is kept for a resume, seconds.
     _grace_s: float
-    # When a holder was first missed, by incarnation.
+    # Time at which a holder was first missing, by incarnation, seconds.
     _missing: dict[str, float]
 
     def __init__(self, grace_s: float) -> None:
@@ -56,22 +56,23 @@
         if holder in census.alive:
             self._missing.pop(holder, None)
             return False
-        since = self._missing.setdefault(holder, census.at)
-        if census.at - since <= self._grace_s:
+        missing_since = self._missing.setdefault(holder, census.at)
+        if census.at - missing_since <= self._grace_s:
             return False
         if incarnations.entry_vm(holder) in census.heard:
             return True
         return not holding.attached and holding.age_ms > self._grace_s * 1000
 
     def forget(self, now: float) -> None:
-        """Drops holders missed for long, which no worker names any more.
+        """Removes holders that have been missing for very long.
 
-        Entries are replaced by the hundred a day; without this their names
-        would be kept for ever. One that is still named is missed anew.
+        Entries are replaced by the hundred a day, and without this their names
+        would be kept forever. For a holder that a worker still names, the grace
+        time starts again.
         """
-        bound_s = _FORGET_GRACES * self._grace_s
+        bound_s = _RETENTION_GRACES * self._grace_s
         self._missing = {
-            holder: since
-            for holder, since in self._missing.items()
-            if now - since <= bound_s
+            holder: missing_since
+            for holder, missing_since in self._missing.items()
+            if now - missing_since <= bound_s
         }
--- a/packages/core/foxtaildale/share.py
+++ b/packages/core/foxtaildale/share.py
@@ -32,8 +32,8 @@
         '_entry_vms',
         '_ledger',
         '_name',
-        '_service',
         '_prefill_turn',
+        '_service',
         '_workers',
     )
 
--- a/packages/core/foxtaildale/sse.py
+++ b/packages/core/foxtaildale/sse.py
@@ -1,54 +1,58 @@
-"""Whole events of an event stream, out of the blocks that a socket gives.
+"""Splits the blocks read from a socket into complete server-sent events.
 
-A backend server may break off in the middle of an event. Only whole events are
-passed on, so that a stream which goes on elsewhere joins without a seam.
+A backend server may break off in the middle of an event. Only complete events
+are forwarded, so that the stream can be resumed from another backend server
+without lost or repeated bytes.
 """
 
 from typing import Final
 
-_END: Final = b'\n\n'
-_ID: Final = b'id:'
+_EVENT_END: Final = b'\n\n'
+_ID_FIELD: Final = b'id:'
 
 
 class Splitter:
-    """Collects blocks; gives out whole events.
+    """Collects blocks and returns complete events.
 
     Args:
-        position: Number of the last event that the caller has; None at the
-            start of a stream.
+        position: Number of the last event that the caller received; None at
+            the start of a stream.
     """
 
-    __slots__ = ('_rest', 'position')
+    __slots__ = ('_incomplete', 'position')
 
-    # Number of the last whole event.
+    # Number of the last complete event.
     position: int | None
 
     def __init__(self, position: int | None = None) -> None:
-        self._rest = b''
+        self._incomplete = b''
         self.position = position
 
     def feed(self, block: bytes) -> bytes:
-        """Takes a block; returns the whole events that it completes."""
-        data = self._rest + block
-        end = data.rfind(_END)
+        """Adds a block; returns the events that are now complete."""
+        data = self._incomplete + block
+        end = data.rfind(_EVENT_END)
         if end < 0:
-            self._rest = data
+            self._incomplete = data
             return b''
-        whole, self._rest = data[: end + len(_END)], data[end + len(_END) :]
-        for line in whole.splitlines():
-            if line.startswith(_ID):
-                self._note(line[len(_ID) :].strip())
-        return whole
+        events, self._incomplete = (
+            data[: end + len(_EVENT_END)],
+            data[end + len(_EVENT_END) :],
+        )
+        for line in events.splitlines():
+            if line.startswith(_ID_FIELD):
+                self._update_position(line[len(_ID_FIELD) :].strip())
+        return events
 
     @property
     def partial(self) -> bool:
-        """Whether a part of an event is held back."""
-        return bool(self._rest)
+        """Whether the start of an incomplete event is buffered."""
+        return bool(self._incomplete)
 
     def restart(self) -> None:
-        """Drops a part of an event, before the stream goes on elsewhere."""
-        self._rest = b''
+        """Discards an incomplete event before the stream is resumed."""
+        self._incomplete = b''
 
-    def _note(self, text: bytes) -> None:
+    def _update_position(self, text: bytes) -> None:
         if text.isdigit():
             self.position = int(text)
