--- a/packages/core/foxtaildale/admission.py
+++ b/packages/core/foxtaildale/admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a planned request is granted, queued or refusal."""
+"""Decides whether a planned request is granted, queued or refused."""
 
 from typing import Final
 
@@ -20,7 +20,7 @@
 # overloaded pool would come close to the target and half of them after it; a
 # shorter queue keeps the workers equally busy.
 _ADMIT_SHARE: Final = 0.45
-# Longest time after which a refusal caller is asked to retry, seconds.
+# Longest time after which a refused caller is asked to retry, seconds.
 _MAX_RETRY_S: Final = 30.0
 
 
@@ -31,7 +31,7 @@
 
     _planner: planning.Planner
     waiting: waiting.Waiting
-    # Retry time of the last refusal caller, seconds.
+    # Retry time of the last refused caller, seconds.
     _last_retry_at: float
 
     def __init__(self, planner: planning.Planner) -> None:
@@ -140,7 +140,7 @@
         """Refuses a request.
 
         Callers with the same retry time would all retry together and be
-        refusal together. Each gets a later time, at the rate at which slots
+        refused together. Each gets a later time, at the rate at which slots
         become free.
         """
         self.waiting.drop(msg.request)
--- a/packages/core/foxtaildale/codes.py
+++ b/packages/core/foxtaildale/codes.py
@@ -175,7 +175,7 @@
     'backend-refused',
     503,
     'no',
-    'Not run: the backend servers refused it ({reason}).',
+    'Not run: the backend servers did not take it ({reason}).',
 )
 QUARANTINED: Final = Code(
     'quarantined',
--- a/packages/core/foxtaildale/orders.py
+++ b/packages/core/foxtaildale/orders.py
@@ -144,21 +144,21 @@
         if server_state is None:
             return ()
         replies = {reply.kind: reply for reply in observed.orders}
-        orders = []
+        due_orders = []
         server_state.next_poll_at = now + self._poll_s
         for kind, setting in server_state.settings.items():
             setting.observed = replies.get(kind)
             if not self._differs(setting, folded):
                 continue
             if setting.next_order_at <= now:
-                orders.append(_order(kind, setting))
+                due_orders.append(_order(kind, setting))
                 setting.orders_sent += 1
                 setting.next_order_at = now + setting.repeat_s
                 setting.repeat_s = min(2 * setting.repeat_s, LAST_REPEAT_S)
             server_state.next_poll_at = min(
                 server_state.next_poll_at, setting.next_order_at
             )
-        return tuple(orders)
+        return tuple(due_orders)
 
     def status(self) -> tuple[Status, ...]:
         """Returns the state of every setting."""
--- a/packages/core/foxtaildale/outcomes.py
+++ b/packages/core/foxtaildale/outcomes.py
@@ -58,7 +58,7 @@
 ) -> values.Outcome:
     """Returns the outcome for a code.
 
-    A figure that is missing from `figures` is sentence_figures as `?` in the sentence: a
+    A figure that is missing from `figures` is shown as `?` in the sentence: a
     refusal must not be lost because its sentence lacks a number.
     """
     sentence_figures = _SentenceFigures(
--- a/packages/core/foxtaildale/pace.py
+++ b/packages/core/foxtaildale/pace.py
@@ -34,11 +34,11 @@
 
     def learn(self, tokens: int, seconds: float) -> None:
         """Adds a completed transfer to the average."""
-        measured_s = seconds / max(1, tokens)
+        new_s_per_token = seconds / max(1, tokens)
         if self._s_per_token is None:
-            self._s_per_token = measured_s
+            self._s_per_token = new_s_per_token
         else:
-            self._s_per_token += _WEIGHT * (measured_s - self._s_per_token)
+            self._s_per_token += _WEIGHT * (new_s_per_token - self._s_per_token)
 
     def bound_s(self, tokens: int, life_s: float) -> float:
         """Returns the timeout of a transfer, seconds.
--- a/packages/core/foxtaildale/planning.py
+++ b/packages/core/foxtaildale/planning.py
@@ -223,14 +223,14 @@
         source = self.listed.get(msg.ready_at)
         link_at = source.link_at if source else now
         transfer_at = max(now, slot_at, link_at)
-        transfer_s = self.rates.transfer_s(msg.ready_at, msg.prompt_tokens)
+        duration_s = self.rates.transfer_s(msg.ready_at, msg.prompt_tokens)
         return Plan(
             None,
             decode,
             start_at=transfer_at,
             transfer_at=transfer_at,
-            decode_at=transfer_at + transfer_s,
-            own_s=transfer_s,
+            decode_at=transfer_at + duration_s,
+            own_s=duration_s,
         )
 
     def _earliest_slot(
--- a/packages/core/foxtaildale/pool.py
+++ b/packages/core/foxtaildale/pool.py
@@ -1,7 +1,7 @@
 """Joint scheduling of all workers of one service at its coordinator.
 
 The keeper that coordinates a service (see `homes`) runs one pool for it. An
-entry sends one request and is answered at once: granted (workers, and when to
+entry sends one request and gets the reply at once: granted (workers, and when to
 start the prefill), queued (when to request again) or refused (why, and when to
 retry). A grant covers prefill time, link time and a decode slot together. The
 prefill is started so that it ends when the slot becomes free: an engine evicts
--- a/packages/core/foxtaildale/share.py
+++ b/packages/core/foxtaildale/share.py
@@ -126,9 +126,9 @@
         if grant is None:
             return
         failed_worker = {
-            'prefill-failed_worker': grant.prefill,
-            'transfer-failed_worker': grant.decode,
-            'decode-failed_worker': grant.decode,
+            'prefill-failed': grant.prefill,
+            'transfer-failed': grant.decode,
+            'decode-failed': grant.decode,
         }.get(msg.result, '')
         worker = self._workers.get(failed_worker)
         if worker is not None:
