--- a/packages/core/foxtaildale/codes.py
+++ b/packages/core/foxtaildale/codes.py
@@ -151,7 +151,7 @@
     'broken',
     502,
     'yes',
-    'The response broke off and could not be resumed; it is incomplete.',
+    'The answer broke off and could not be resumed; what came is not whole.',
 )
 CANCELLED: Final = Code(
     'cancelled', 499, 'unknown', 'The caller disconnected; work was cancelled.'
--- a/packages/core/foxtaildale/outcomes.py
+++ b/packages/core/foxtaildale/outcomes.py
@@ -111,7 +111,7 @@
 
 
 class _SentenceFigures(dict[str, float | str]):
-    """Figures for a sentence; a missing one is sentence_figures as `?`."""
+    """Figures for a sentence; a missing one is shown as `?`."""
 
     def __missing__(self, _key: str) -> str:
         return '?'
--- a/packages/core/foxtaildale/planning.py
+++ b/packages/core/foxtaildale/planning.py
@@ -103,17 +103,21 @@
         self.born_at = None
 
     def plan(
-        self, now: float, msg: messages.AskSlot, count: int, tokens: int
+        self,
+        now: float,
+        msg: messages.AskSlot,
+        ahead_count: int,
+        ahead_tokens: int,
     ) -> Plan | None:
         """Returns the plan for a request; None if no worker is listed.
 
         Args:
             now: Seconds, monotonic.
             msg: The request.
-            count: Number of requests ahead of it in the queue.
-            tokens: Sum of their prompt tokens.
+            ahead_count: Number of requests ahead of it in the queue.
+            ahead_tokens: Sum of their prompt tokens.
         """
-        earliest = self._earliest_slot(now, count, msg.avoid)
+        earliest = self._earliest_slot(now, ahead_count, msg.avoid)
         if earliest is None:
             return None
         decode, slot_at = earliest
@@ -135,7 +139,7 @@
                 prefill,
                 decode=decode,
                 slot_at=slot_at,
-                tokens=tokens / len(usable),
+                ahead_tokens=ahead_tokens / len(usable),
             )
             for prefill in usable
         ]
@@ -151,11 +155,11 @@
         *,
         decode: workers.Worker,
         slot_at: float,
-        tokens: float,
+        ahead_tokens: float,
     ) -> Plan:
         """Plans with one prefill worker and its part of the queued tokens."""
         name = prefill.server.name
-        ahead_s = self.rates.prefill_s(name, tokens)
+        ahead_s = self.rates.prefill_s(name, ahead_tokens)
         cached_tokens = min(
             self.hints.expect(name, msg.prefixes), msg.prompt_tokens
         )
@@ -234,7 +238,7 @@
         )
 
     def _earliest_slot(
-        self, now: float, ahead: int, avoid: str
+        self, now: float, ahead_count: int, avoid: str
     ) -> tuple[workers.Worker, float] | None:
         """Returns the worker with the earliest slot, and the time of the slot."""
         usable = self.slot_workers(now)
@@ -246,7 +250,10 @@
         )
         limit = self.limit(worker)
         missing_slots = (
-            self._slots_used(now, worker) + ahead / len(usable) + 1 - limit
+            self._slots_used(now, worker)
+            + ahead_count / len(usable)
+            + 1
+            - limit
         )
         if missing_slots <= 0:
             return worker, now
--- a/packages/core/foxtaildale/pool.py
+++ b/packages/core/foxtaildale/pool.py
@@ -109,8 +109,8 @@
             self.expire(now)
         waiting = self._admission.waiting
         arrived_at = now - msg.waited_ms / 1000
-        count, tokens = waiting.ahead(msg.request, arrived_at)
-        plan = planner.plan(now, msg, count, tokens)
+        ahead_count, ahead_tokens = waiting.ahead(msg.request, arrived_at)
+        plan = planner.plan(now, msg, ahead_count, ahead_tokens)
         if plan is None:
             waiting.drop(msg.request)
             return messages.Refused(
