--- a/packages/core/foxtaildale/lease.py
+++ b/packages/core/foxtaildale/lease.py
@@ -7,7 +7,7 @@
 earlier ones, including those of a history that the store lost. The VM sends
 orders only for a short time after its claim, and no other VM claims until that
 time and the lease are certainly over. A holder that was paused finds on resume
-that its time is over; a holder that is cut off from the store can't claim again.
+that its time is over; a holder cut off from the store can't claim again.
 
 This module does no I/O; the time is an argument.
 """
@@ -15,8 +15,8 @@
 import math
 from typing import Final
 
-# Time in which orders may follow a claim, seconds, from just before the claim is
-# sent. It is enough for ten orders that each wait for their full timeout.
+# Time in which orders may follow a claim, seconds, from just before the claim
+# is sent. It is enough for ten orders that each wait for their full timeout.
 ORDERS_S: Final = 1.5
 # Time after the orders and the lease before another holder claims, seconds. An
 # order that was sent at the last moment may still be in transit.
@@ -48,7 +48,7 @@
         self._newest_offset: int | None = None
         self._newest_at = 0.0
         self._claimed_at: float | None = None
-        # The store's epoch, and when a loss of claims was last observed, seconds.
+        # The store's epoch, and when claims were last seen lost, seconds.
         self._epoch: int | None = None
         self._claims_lost_at = -math.inf
 
--- a/packages/core/foxtaildale/ledger.py
+++ b/packages/core/foxtaildale/ledger.py
@@ -155,7 +155,7 @@
     def keep(
         self, now: float, holder: str, grants: tuple[tuple[str, str], ...]
     ) -> tuple[str, ...]:
-        """Renews the grants that a holder reports; returns those it released."""
+        """Renews the grants that a holder reports; returns released ones."""
         reported = dict(grants)
         for grant, decode in grants:
             self._renew_grant(now, holder, grant, decode)
--- a/packages/core/foxtaildale/options.py
+++ b/packages/core/foxtaildale/options.py
@@ -25,7 +25,7 @@
     entry_vm: Annotated[str, msgspec.Meta(pattern=r'^[a-z0-9-]{1,40}$')]
     # Data centre of the VM.
     data_centre: Annotated[str, msgspec.Meta(pattern=r'^[a-z0-9-]{1,40}$')]
-    # Address for callers; only an entry has one. With port 0 the kernel chooses.
+    # Address for callers; only an entry has one. The kernel chooses for port 0.
     caller_address: _Address = '127.0.0.1:0'
     # Address for the other processes of the system.
     peer_address: _Address = '127.0.0.1:0'
@@ -40,7 +40,7 @@
     platform: _Address
     # Secret for signing tickets; the same on every entry VM.
     secret: Annotated[str, msgspec.Meta(min_length=16, max_length=256)]
-    # File to which the addresses in use are written, for port 0; empty for none.
+    # File for the addresses in use, needed with port 0; empty for none.
     address_file: str = ''
     # Time between heartbeats to other processes, seconds.
     heartbeat_s: _Seconds = 1.0
--- a/packages/core/foxtaildale/orders.py
+++ b/packages/core/foxtaildale/orders.py
@@ -124,7 +124,7 @@
         )
 
     def unseen(self, server: str, now: float) -> None:
-        """Records that a poll failed; the next one follows after the poll time."""
+        """Records that a poll failed; the next one is not immediate."""
         server_state = self._servers.get(server)
         if server_state is not None:
             server_state.next_poll_at = now + self._poll_s
--- a/packages/core/foxtaildale/pace.py
+++ b/packages/core/foxtaildale/pace.py
@@ -45,7 +45,7 @@
 
         Args:
             tokens: Length of the prompt in tokens.
-            life_s: Lifetime of the prefill result if it is not fetched, seconds.
+            life_s: Lifetime of a prefill result that is not fetched, seconds.
         """
         if self._s_per_token is None:
             return _INITIAL_TIMEOUT_S
--- a/packages/core/foxtaildale/planning.py
+++ b/packages/core/foxtaildale/planning.py
@@ -198,7 +198,7 @@
         return self.usable(now, 'plain' if plain else 'decode')
 
     def limit(self, worker: workers.Worker) -> int:
-        """Returns the largest slot count that meets the target between tokens."""
+        """Returns the most slots that meet the target between tokens."""
         target_s = self.service.between_tokens_ms / 1000
         return self.rates.token.largest_batch(worker.server.slots, target_s)
 
@@ -240,7 +240,7 @@
     def _earliest_slot(
         self, now: float, ahead_count: int, avoid: str
     ) -> tuple[workers.Worker, float] | None:
-        """Returns the worker with the earliest slot, and the time of the slot."""
+        """Returns the worker with the earliest slot, and the slot's time."""
         usable = self.slot_workers(now)
         usable = [w for w in usable if w.server.name != avoid] or usable
         if not usable:
--- a/packages/core/foxtaildale/pool.py
+++ b/packages/core/foxtaildale/pool.py
@@ -1,9 +1,9 @@
 """Joint scheduling of all workers of one service at its coordinator.
 
 The keeper that coordinates a service (see `homes`) runs one pool for it. An
-entry sends one request and gets the reply at once: granted (workers, and when to
-start the prefill), queued (when to request again) or refused (why, and when to
-retry). A grant covers prefill time, link time and a decode slot together. The
+entry sends one request and gets the reply at once: granted (workers, and when
+to start the prefill), queued (when to request again) or refused (why, and when
+to retry). A grant covers prefill time, link time and a decode slot together. The
 prefill is started so that it ends when the slot becomes free: an engine evicts
 a prefill result within a second, and a result that is not fetched by then is
 wasted.
@@ -88,7 +88,7 @@
     def on_cache(
         self, server: str, events: Sequence[backends.CacheEvent]
     ) -> None:
-        """Applies cache events of a prefill worker; they are late and have gaps."""
+        """Applies cache events of one worker; they are late and have gaps."""
         for event in events:
             self._planner.hints.on_event(server, event)
 
