--- a/packages/daemon/foxtaildaled/announcements.py
+++ b/packages/daemon/foxtaildaled/announcements.py
@@ -1,7 +1,8 @@
-"""What backend servers announce of themselves, as one router believes it.
+"""Announcements of backend servers, as one router knows them.
 
-Part of its beliefs, and owned by their actor: which servers leave (`departures`) and which
-asked for backoff (`backoffs`), from their answers, the list and other VMs.
+Part of the router's state and owned by its actor. It records which servers are
+leaving (`departures`) and which requested a backoff (`backoffs`). The sources
+are the servers' responses, the list of servers and other entry VMs.
 """
 
 import logging
@@ -13,27 +14,30 @@
 
 
 class Announcements:
-    """Changes the fleet by them; the time is an argument."""
+    """Applies announcements to the fleet.
+
+    The methods get the current time as an argument.
+    """
 
     __slots__ = ('_fleet',)
 
-    def __init__(self, found: fleet.Fleet) -> None:
-        self._fleet = found
+    def __init__(self, servers: fleet.Fleet) -> None:
+        self._fleet = servers
 
     def departs(self, server: forwarding.Backend, now: float) -> None:
-        """Takes an answer that says that its server leaves."""
+        """Records a response which reports that its server is leaving."""
         if self._fleet.departures.said(now, server.id, server.born):
             self._leave_changed(server.id, 'answer')
 
     def stays(self, server: forwarding.Backend, now: float) -> None:
-        """Takes an answer that says so no more."""
+        """Records a response which no longer reports that its server leaves."""
         if self._fleet.departures.withdrawn(now, server.id, server.born):
             self._leave_changed(server.id, 'answer')
 
     def backs_off(
         self, server: forwarding.Backend, backoff_s: float, now: float
     ) -> None:
-        """Takes that a server wants nothing from this entry VM for a time."""
+        """Records that a server requested a backoff of this entry VM."""
         if self._fleet.backoffs.asked(now, server.id, server.born, backoff_s):
             logs.event(
                 logging.INFO,
@@ -47,11 +51,12 @@
     def listed(
         self, server: forwarding.Backend, now: float, source: str
     ) -> None:
-        """Takes an entry of the list."""
+        """Applies an entry of the list of servers."""
         departures = self._fleet.departures
         if server.leaving:
             departures.said(now, server.id, server.born)
-        # Others pass on the first of several alike only.
+        # Other VMs forward only the first of several equal entries, so only
+        # entries read from the store are counted.
         elif source == 'store' and departures.listed(
             now, server.id, server.born
         ):
@@ -60,7 +65,7 @@
     def take(
         self, msg: messages.AskRecords | messages.RecordsReply, now: float
     ) -> None:
-        """Takes what another entry VM knows."""
+        """Merges the departures and backoffs that another entry VM knows."""
         for server in self._fleet.departures.take(now, msg.departures):
             self._leave_changed(server, 'peer')
         self._fleet.backoffs.take(now, msg.backoffs)
--- a/packages/daemon/foxtaildaled/breaks.py
+++ b/packages/daemon/foxtaildaled/breaks.py
@@ -1,7 +1,7 @@
-"""Finds out what became of a backend server whose connection broke.
+"""Detects whether a backend server crashed when its connection broke.
 
-A reset says nothing about the server: it may have ended, or only this connection
-may have. A server that has ended refuses the next connection.
+A reset alone does not show whether the server crashed or only the connection
+was closed. A crashed server refuses the next connection.
 """
 
 from typing import Protocol
@@ -14,7 +14,7 @@
 
 
 class OnEnd(Protocol):
-    """Takes a request that ran on a server as that ended."""
+    """Callback for a request that ran on a server when it crashed."""
 
     def __call__(
         self,
@@ -23,20 +23,20 @@
         *,
         ran_s: float,
     ) -> None:
-        """Takes the fingerprint of a request; see `Quarantining.crashed`."""
+        """Reports a request by fingerprint; see `Quarantining.crashed`."""
 
 
 class Breaks:
-    """Probes servers under which a request broke off."""
+    """Probes servers whose connection broke during a request."""
 
-    __slots__ = ('_clock', '_on_end', '_probe')
+    __slots__ = ('_clock', '_on_crash', '_probe')
 
     def __init__(
-        self, probe: ports.Probe, clock: ports.Clock, on_end: OnEnd
+        self, probe: ports.Probe, clock: ports.Clock, on_crash: OnEnd
     ) -> None:
         self._probe = probe
         self._clock = clock
-        self._on_end = on_end
+        self._on_crash = on_crash
 
     def note(
         self,
@@ -47,15 +47,15 @@
         began_at: float,
         began: bool = True,
     ) -> None:
-        """Takes an error of a send.
+        """Handles the error of a send and probes the server if it was a break.
 
         Args:
             req: The request.
-            server: Where it was sent.
-            exc: What came of it.
-            began_at: When the server began to run it, seconds; when it was
-                sent, if that is not known.
-            began: Whether the server may have begun.
+            server: The server it was sent to.
+            exc: The error of the send.
+            began_at: When the server began to run the request, seconds; when
+                it was sent, if that is not known.
+            began: Whether the server may have begun to run the request.
         """
         if not isinstance(exc, errors.BrokenOffError) or req.gone.is_set():
             return
@@ -72,4 +72,4 @@
         )
         if reach == 'refused':
             req.ended_stages.add(server.stage)
-            self._on_end(server, req.fingerprint, ran_s=ran_s)
+            self._on_crash(server, req.fingerprint, ran_s=ran_s)
--- a/packages/daemon/foxtaildaled/quarantining.py
+++ b/packages/daemon/foxtaildaled/quarantining.py
@@ -1,11 +1,13 @@
-"""Finds requests that end servers, and has all entry VMs hold them back.
-
-Each VM tells the home of all such reports (`asking`) what ran under servers that
-ended, and those that would be home next. A home that is new or started again hears
-of all that is known from each VM that knows any, since the VM that reported it may
-have ended too. The home judges (`crashes`), tells all VMs at once, and keeps what is
-held in the store, since no VM is left to ask after all have lost power. What a VM
-missed comes with its next question to the reader (`beliefs`).
+"""Finds requests that crash servers and quarantines them on all entry VMs.
+
+Each entry VM reports the requests that ran on a crashed server to the
+coordinator of crash reports (`asking`) and to its successors. A coordinator
+that is new or has restarted gets all reports that any VM has, since the VM that
+first sent a report may have stopped too. The coordinator decides which requests
+are to blame (`crashes`), sends the result to all VMs at once, and saves the
+quarantine in the store, since a loss of power on all VMs would lose it
+otherwise. A VM that missed an update gets it with its next request to the store
+reader (`beliefs`).
 """
 
 from collections.abc import Callable
@@ -28,50 +30,53 @@
 from foxtaildaled import asking
 from foxtaildaled import beliefs
 
-# What it is the home of.
+# Subject by which the coordinator of crash reports is chosen.
 HOME: Final = 'crashes'
-# Time between looks while an end is judged, and else, seconds; a report
-# wakes the loop.
+# Interval of the loop while a crash is being examined, and otherwise, seconds.
+# A report wakes the loop earlier.
 LOOK_S: Final = 0.25
 REST_S: Final = 1.0
-# Other VMs that are told of reports: those that would be home next.
+# Number of successors of the coordinator that get a copy of each report.
 HEIRS: Final = 2
-# How long a VM that was told of reports judges them, seconds.
+# How long a VM acts as coordinator after it has received reports, seconds.
 JUDGES_S: Final = 5.0
-# Longest wait for the home's answer, and for those of all VMs, seconds.
+# Longest wait for the coordinator's reply, and for those of all VMs, seconds.
 ANSWER_S: Final = 0.25
-# Own reports that wait until a home hears of them.
+# Maximum number of own reports that wait for delivery to a coordinator.
 MOST_REPORTS: Final = 256
-# Requests that ran to their end here and are remembered, and for how long,
-# seconds.
+# Maximum number of remembered requests that completed here, and how long they
+# are remembered, seconds.
 MOST_COMPLETED: Final = 2048
 COMPLETED_S: Final = 300.0
-# Time between looks at what the store keeps, seconds.
+# Interval at which the quarantine is saved in the store, seconds.
 SAVE_S: Final = 1.0
 
-# When a server ended, seconds, and what ran there.
+# When a server crashed, seconds, and the request that ran on it.
 _Report = tuple[float, messages.Crash]
 
 
 class Quarantining:
-    """Reports, judges and tells; safe for concurrent use."""
+    """Reports crashes and, as coordinator, decides on the quarantine.
+
+    Safe for concurrent use.
+    """
 
     __slots__ = (
+        '_acting_until',
         '_clock',
         '_codec',
         '_completed',
-        '_home',
-        '_homes',
-        '_judge',
-        '_judges_until',
+        '_coordinator_id',
+        '_coordinators',
+        '_informed_coordinator',
+        '_is_changed',
         '_lock',
         '_owner',
         '_peers',
         '_pending',
+        '_pending_cleared',
         '_save_at',
         '_store',
-        '_tell',
-        '_untold',
         'on_report',
     )
 
@@ -86,29 +91,29 @@
         clock: ports.Clock,
     ) -> None:
         self._owner = owner
-        self._homes = homes
+        self._coordinators = homes
         self._peers = peers
         self._codec = codec
         self._store = store
         self._clock = clock
         self._lock = threading.Lock()
-        # Own reports that the home has not heard of, with the time of each,
-        # oldest first.
+        # Own reports that the coordinator has not received, oldest first.
         self._pending: list[_Report] = []
-        # Cleared here, and not told to the home yet.
-        self._untold: list[int] = []
-        # When requests ran to their end here, seconds, by fingerprint.
+        # Requests cleared here that the coordinator does not know of yet.
+        self._pending_cleared: list[int] = []
+        # When requests completed here, seconds, by fingerprint.
         self._completed: dict[int, float] = {}
-        # Tells this process from others that are or were the home.
-        self._judge = random.getrandbits(48)
-        # The home that has heard of all reports known here.
-        self._home = 0
+        # Distinguishes this process from other present or past coordinators.
+        self._coordinator_id = random.getrandbits(48)
+        # Id of the coordinator that has received all reports known here.
+        self._informed_coordinator = 0
         self._save_at = 0.0
-        # Until when it judges, tells and saves for those that asked it, home or
-        # not, seconds: they have passed over one that it has not.
-        self._judges_until = 0.0
-        # Whether others must hear of a change, if this is the home.
-        self._tell = False
+        # Until when this VM acts as coordinator for the VMs that sent it
+        # reports, seconds. It does so even if it is not the coordinator by its
+        # own view: the senders may have excluded one that it has not.
+        self._acting_until = 0.0
+        # Whether the coordinator must announce a change to the other VMs.
+        self._is_changed = False
         # Wakes the loop.
         self.on_report: Callable[[], None] = lambda: None
 
@@ -119,13 +124,13 @@
         *,
         ran_s: float,
     ) -> None:
-        """Takes a request that ran on a server as that ended.
+        """Records a request that ran on a server when it crashed.
 
         Args:
             server: The server.
             request: The request's fingerprint.
-            ran_s: For how long it had run, or been there if that is not
-                known, seconds.
+            ran_s: How long the request had run, seconds; the time since it
+                was sent, if the start is not known.
         """
         crash = messages.Crash(
             server=server.id,
@@ -142,7 +147,7 @@
         self.on_report()
 
     def completed(self, request: int) -> None:
-        """Takes a request that ran to its good end."""
+        """Records a request that completed without an error."""
         with self._lock:
             self._completed.pop(request, None)
             self._completed[request] = self._clock()
@@ -150,26 +155,26 @@
                 del self._completed[next(iter(self._completed))]
 
     def report(self, msg: messages.CrashReports) -> messages.Quarantined:
-        """Takes reports as the home."""
+        """Handles reports of another VM as coordinator."""
 
-        def turn(state: beliefs.Beliefs, now: float) -> messages.Quarantined:
+        def run(state: beliefs.Beliefs, now: float) -> messages.Quarantined:
             for crash in msg.crashes:
                 state.verdicts.crashes.note(now, crash)
             for request in msg.cleared:
                 state.verdicts.acquit(now, request)
-            return self._told(state, now)
+            return self._update(state, now)
 
-        reply = self._owner.run(turn)
+        reply = self._owner.run(run)
         if msg.cleared:
-            self._tell = True
+            self._is_changed = True
         if not msg.copy:
-            self._judges_until = self._clock() + JUDGES_S
+            self._acting_until = self._clock() + JUDGES_S
         if msg.crashes or msg.cleared:
             self.on_report()
         return reply
 
     def take(self, msg: messages.Quarantined) -> messages.Pong:
-        """Takes what another VM says is held."""
+        """Applies the quarantine that another VM sent."""
         self._owner.run(
             lambda state, now: state.verdicts.take(
                 now, msg.held, msg.cleared, 'home'
@@ -178,126 +183,144 @@
         return messages.Pong()
 
     def pace_s(self) -> float:
-        """Returns when to look again, seconds."""
+        """Returns the time until the next round of the loop, seconds."""
         busy = self._owner.run(
             lambda state, now: state.verdicts.crashes.is_settling(now)
         )
         return LOOK_S if busy else REST_S
 
     def step(self) -> None:
-        """Reports, judges and tells what is due, as a loop."""
-        self._object()
-        heard = self._tell_home()
-        is_home = self._homes.is_home(HOME)
+        """Runs one round: sends reports, decides, announces and saves."""
+        self._clear_completed()
+        all_delivered = self._send_reports()
+        is_coordinator = self._coordinators.is_home(HOME)
         now = self._clock()
-        # Only the home has the reports of all VMs; judged by one VM's alone, a
-        # request may be blamed for an end that others' reports explain.
-        is_asked = is_home or now < self._judges_until
-        if (is_asked or not heard) and self._owner.run(
+        # Only the coordinator has the reports of all VMs. From the reports of
+        # one VM alone, a request may be blamed for a crash that the reports of
+        # other VMs explain.
+        is_acting = is_coordinator or now < self._acting_until
+        if (is_acting or not all_delivered) and self._owner.run(
             lambda state, now: state.verdicts.judge(now)
         ):
-            self._tell = True
-        if self._tell and is_asked:
-            self._tell = False
-            self._tell_all()
-        if is_asked and now >= self._save_at:
+            self._is_changed = True
+        if self._is_changed and is_acting:
+            self._is_changed = False
+            self._announce()
+        if is_acting and now >= self._save_at:
             self._save_at = now + SAVE_S
             self._save()
 
-    def _object(self) -> None:
-        """Clears what is held although it ran to its end here."""
-        held = self._owner.run(
+    def _clear_completed(self) -> None:
+        """Clears quarantined requests that completed on this VM."""
+        quarantined = self._owner.run(
             lambda state, now: state.verdicts.quarantine.held(now)
         )
         now = self._clock()
         with self._lock:
-            wrong = [
+            was_completed = [
                 request
-                for request in held
+                for request in quarantined
                 if now - self._completed.get(request, -math.inf) < COMPLETED_S
             ]
-            self._untold.extend(wrong)
-        for request in wrong:
-            self._acquit(request)
+            self._pending_cleared.extend(was_completed)
+        for request in was_completed:
+            self._clear(request)
             logs.event(
                 logging.INFO,
                 'request cleared',
                 fingerprint=fingerprint.text(request),
             )
 
-    def _acquit(self, request: int) -> None:
-        def turn(state: beliefs.Beliefs, now: float) -> None:
+    def _clear(self, request: int) -> None:
+        def run(state: beliefs.Beliefs, now: float) -> None:
             state.verdicts.acquit(now, request)
 
-        self._owner.run(turn)
+        self._owner.run(run)
+
+    def _send_reports(self) -> bool:
+        """Sends pending reports.
 
-    def _tell_home(self) -> bool:
-        """Tells what is due; returns whether the home has heard it all."""
+        Returns:
+            Whether the coordinator has received everything.
+        """
         with self._lock:
             sent, self._pending = self._pending, []
-            cleared, self._untold = self._untold, []
-        if not self._note(sent) and not cleared:
+            cleared, self._pending_cleared = self._pending_cleared, []
+        if not self._record(sent) and not cleared:
             return True
-        reply = self._ask_home(_aged(sent, self._clock()), cleared)
+        reply = self._request_coordinator(
+            _with_ages(sent, self._clock()), cleared
+        )
         if reply is None:
             with self._lock:
                 self._pending = sent + self._pending
-                self._untold = cleared + self._untold
+                self._pending_cleared = cleared + self._pending_cleared
             return False
-        if reply.judge not in (self._home, self._judge):
-            known = self._owner.run(
+        if reply.judge not in (
+            self._informed_coordinator,
+            self._coordinator_id,
+        ):
+            known_reports = self._owner.run(
                 lambda state, now: state.verdicts.crashes.reports(now)
             )
-            if len(known) > len(sent):
-                if self._ask_home(known, []) is None:
+            if len(known_reports) > len(sent):
+                if self._request_coordinator(known_reports, []) is None:
                     return False
-                logs.event(logging.INFO, 'ends told', reports=len(known))
-        self._home = reply.judge
+                logs.event(
+                    logging.INFO, 'ends told', reports=len(known_reports)
+                )
+        self._informed_coordinator = reply.judge
         return True
 
-    def _note(self, sent: list[_Report]) -> bool:
-        """Notes own reports; returns whether any are known here."""
+    def _record(self, sent: list[_Report]) -> bool:
+        """Records own reports; returns whether any crashes are known here."""
 
-        def turn(state: beliefs.Beliefs, now: float) -> bool:
-            for crash in _aged(sent, now):
+        def run(state: beliefs.Beliefs, now: float) -> bool:
+            for crash in _with_ages(sent, now):
                 state.verdicts.crashes.note(now, crash)
             return state.verdicts.crashes.pending(now)
 
-        return self._owner.run(turn)
+        return self._owner.run(run)
 
-    def _ask_home(
-        self, found: Sequence[messages.Crash], cleared: list[int]
+    def _request_coordinator(
+        self, reported: Sequence[messages.Crash], cleared: list[int]
     ) -> messages.Quarantined | None:
         msg = messages.CrashReports(
-            crashes=tuple(found), cleared=tuple(cleared)
+            crashes=tuple(reported), cleared=tuple(cleared)
         )
-        if found:
-            # Else they would end with a home that reports to itself.
-            heirs = self._homes.heirs(HOME, HEIRS)
+        if reported:
+            # Reports of a coordinator to itself would be lost with it otherwise.
+            successors = self._coordinators.heirs(HOME, HEIRS)
             copy = msgspec.structs.replace(msg, copy=True)
-            self._peers.ask_all(heirs, copy, ANSWER_S)
-        reply = self._homes.ask(HOME, msg, (messages.Quarantined,), ANSWER_S)
+            self._peers.ask_all(successors, copy, ANSWER_S)
+        reply = self._coordinators.ask(
+            HOME, msg, (messages.Quarantined,), ANSWER_S
+        )
         if reply is not None:
             self.take(reply)
         return reply
 
-    def _tell_all(self) -> None:
+    def _announce(self) -> None:
         msg, addresses = self._owner.run(
-            lambda state, now: (self._told(state, now), state.peers())
+            lambda state, now: (self._update(state, now), state.peers())
         )
         self._peers.ask_all(addresses, msg, ANSWER_S)
 
-    def _told(self, state: beliefs.Beliefs, now: float) -> messages.Quarantined:
+    def _update(
+        self, state: beliefs.Beliefs, now: float
+    ) -> messages.Quarantined:
         return messages.Quarantined(
-            judge=self._judge,
+            judge=self._coordinator_id,
             held=state.verdicts.quarantine.held(now),
             cleared=state.verdicts.quarantine.cleared(now),
         )
 
     def _save(self) -> None:
-        """Writes to the store what it does not keep yet, removes what lapsed."""
-        due = self._owner.run(lambda state, now: state.verdicts.unsaved(now))
-        for key, value in due:
+        """Saves new quarantined requests in the store and removes expired."""
+        records = self._owner.run(
+            lambda state, now: state.verdicts.unsaved(now)
+        )
+        for key, value in records:
             try:
                 self._store.put(self._codec.members_topic, key, value)
             except errors.PortError as exc:
@@ -307,9 +330,11 @@
                 return
 
 
-def _aged(reports: list[_Report], now: float) -> tuple[messages.Crash, ...]:
-    """Returns reports as they are told, with how long ago each was."""
+def _with_ages(
+    reports: list[_Report], now: float
+) -> tuple[messages.Crash, ...]:
+    """Returns reports as they are sent, with the age of each."""
     return tuple(
-        msgspec.structs.replace(crash, age_ms=int((now - at) * 1000))
-        for at, crash in reports
+        msgspec.structs.replace(crash, age_ms=int((now - crashed_at) * 1000))
+        for crashed_at, crash in reports
     )
--- a/packages/daemon/foxtaildaled/records.py
+++ b/packages/daemon/foxtaildaled/records.py
@@ -1,9 +1,9 @@
-"""Outcomes of an entry: kept for a while, logged, counted, and made to last.
+"""Outcomes of an entry: cached, logged, counted and written to the log.
 
-`Records` keeps the last outcomes in memory for `GET /v1/outcomes/REQUEST` and
-hands them in batches to the `outcomes` stream of the platform's log, where
-`foxtaildale explain` finds them. While the log is down they wait in a bounded
-queue; the oldest are dropped first, and the number of dropped ones is kept.
+`Records` caches the last outcomes in memory for `GET /v1/outcomes/REQUEST` and
+appends them in batches to the `outcomes` stream of the platform's log, where
+`foxtaildale explain` reads them. While the log is down, outcomes wait in a
+bounded queue. The oldest are dropped first, and the dropped ones are counted.
 """
 
 import collections
@@ -20,19 +20,19 @@
 from foxtaildale_adapters import metrics
 
 OUTCOMES_STREAM: Final = 'outcomes'
-# Outcomes that wait for the log, at most.
-_WAITING_MAX: Final = 10_000
-# Outcomes kept for callers that ask again.
-_KEPT_MAX: Final = 10_000
-# Outcomes in one record of the log.
-_BATCH: Final = 500
+# Maximum number of outcomes that wait to be written to the log.
+_MAX_WAITING: Final = 10_000
+# Maximum number of outcomes cached for callers that request them again.
+_MAX_CACHED: Final = 10_000
+# Maximum number of outcomes in one record of the log.
+_MAX_BATCH: Final = 500
 
 
 class Records:
-    """Keeps and flushes outcomes."""
+    """Caches outcomes and writes them to the log."""
 
     __slots__ = (
-        '_kept',
+        '_cached',
         '_lock',
         '_log',
         '_metrics',
@@ -43,21 +43,21 @@
     _log: ports.Log
     _metrics: metrics.Metrics
     _waiting: collections.deque[values.Outcome]
-    _kept: collections.OrderedDict[str, values.Outcome]
+    _cached: collections.OrderedDict[str, values.Outcome]
     _lock: threading.Lock
-    # Outcomes that never reached the log.
+    # Number of outcomes that were dropped before they reached the log.
     dropped: int
 
     def __init__(self, log: ports.Log, counts: metrics.Metrics) -> None:
         self._log = log
         self._metrics = counts
         self._waiting = collections.deque()
-        self._kept = collections.OrderedDict()
+        self._cached = collections.OrderedDict()
         self._lock = threading.Lock()
         self.dropped = 0
 
     def add(self, outcome: values.Outcome) -> None:
-        """Takes the final outcome of a request."""
+        """Records the final outcome of a request."""
         logs.event(
             absl_logging.INFO,
             'outcome',
@@ -69,26 +69,26 @@
         )
         self._metrics.requests.add(1, outcome.service, outcome.code)
         with self._lock:
-            self._kept[outcome.request] = outcome
-            if len(self._kept) > _KEPT_MAX:
-                self._kept.popitem(last=False)
+            self._cached[outcome.request] = outcome
+            if len(self._cached) > _MAX_CACHED:
+                self._cached.popitem(last=False)
             self._waiting.append(outcome)
-            if len(self._waiting) > _WAITING_MAX:
+            if len(self._waiting) > _MAX_WAITING:
                 self._waiting.popleft()
                 self.dropped += 1
 
     def find(self, request: str) -> values.Outcome | None:
-        """Returns an outcome that was decided here."""
+        """Returns a cached outcome of this entry; None if there is none."""
         with self._lock:
-            return self._kept.get(request)
+            return self._cached.get(request)
 
     def flush(self) -> bool:
-        """Writes what waits; returns whether nothing is left."""
+        """Writes the waiting outcomes; returns whether all were written."""
         while True:
             with self._lock:
                 batch = [
                     self._waiting.popleft()
-                    for _ in range(min(_BATCH, len(self._waiting)))
+                    for _ in range(min(_MAX_BATCH, len(self._waiting)))
                 ]
             if not batch:
                 return True
@@ -96,15 +96,15 @@
                 return False
 
     def step(self) -> None:
-        """Flushes, as a loop of the entry."""
+        """Flushes once, as a loop of the entry."""
         self.flush()
 
     def _write(self, batch: list[values.Outcome]) -> bool:
         try:
             self._log.append(OUTCOMES_STREAM, [msgspec.msgpack.encode(batch)])
         except errors.PortError:
-            # An append whose answer was lost may be in the log already; a
-            # reader that meets an outcome twice takes the first.
+            # An append whose reply was lost may be in the log already. A
+            # reader that finds an outcome twice uses the first.
             with self._lock:
                 self._waiting.extendleft(reversed(batch))
             return False
@@ -114,7 +114,7 @@
         """Returns counts for the state dump."""
         with self._lock:
             return {
-                'kept': len(self._kept),
+                'kept': len(self._cached),
                 'waiting': len(self._waiting),
                 'dropped': self.dropped,
             }
--- a/packages/daemon/foxtaildaled/selfreports.py
+++ b/packages/daemon/foxtaildaled/selfreports.py
@@ -1,7 +1,7 @@
-"""Takes what backend servers say of themselves in their answers.
+"""Applies what backend servers report about themselves in their responses.
 
-The one way in for answers of every kind, as soon as their head is there: what a
-server says holds for the next send, whatever becomes of the body.
+Responses of every kind are handled here, as soon as their head has arrived: a
+server's report applies to the next send, even if the body fails.
 """
 
 from foxtaildale import errors
@@ -12,7 +12,7 @@
 
 
 class SelfReports:
-    """Safe for concurrent use."""
+    """Handles the self-reports in responses; safe for concurrent use."""
 
     __slots__ = ('_departures', '_owner', '_send_limits')
 
@@ -28,62 +28,69 @@
     def hear(
         self,
         server: forwarding.Backend,
-        answer: forwarding.Head | forwarding.Reply,
+        response: forwarding.Head | forwarding.Reply,
         *,
         leave: int = 0,
         streams: bool = False,
     ) -> None:
-        """Takes what one answer says of the server that gave it.
+        """Applies the report in one response about the server that sent it.
 
         Args:
             server: Where the call was sent.
-            answer: Its answer.
-            leave: What `mark` returned before it was sent.
-            streams: Whether the server is still at work on it.
+            response: The response to the call.
+            leave: What `mark` returned before the call was sent.
+            streams: Whether the server is still working on the call.
         """
-        is_head = isinstance(answer, forwarding.Head)
-        # Whoever answers in its place may not name itself.
-        if not answer.misdirected or answer.server == server.id:
-            self._take(server, answer.report, leave, is_whole=is_head)
-        load = answer.report.load
+        is_head = isinstance(response, forwarding.Head)
+        # Another server that responds at the same address may not give its id.
+        if not response.misdirected or response.server == server.id:
+            self._apply_report(
+                server, response.report, leave, is_complete=is_head
+            )
+        load = response.report.load
 
-        def turn(state: beliefs.Beliefs, now: float) -> None:
-            if answer.not_run:
+        def update(state: beliefs.Beliefs, now: float) -> None:
+            if response.not_run:
                 state.fleet.not_run(
-                    server.id, now, misdirected=answer.misdirected
+                    server.id, now, misdirected=response.misdirected
                 )
             elif load is not None:
                 state.fleet.loaded(server.id, now, load, streams=streams)
 
-        if answer.not_run or load is not None:
-            self._owner.run(turn)
+        if response.not_run or load is not None:
+            self._owner.run(update)
 
     def mark(self, server: forwarding.Backend) -> int:
-        """Returns what is known of a server's leave as something is sent."""
+        """Returns the revision of a server's leave state before a send."""
         return self._departures.revision(server.id, server.born)
 
-    def _take(
+    def _apply_report(
         self,
         server: forwarding.Backend,
-        said: forwarding.SelfReport,
-        leave: int,
+        report: forwarding.SelfReport,
+        leave_revision: int,
         *,
-        is_whole: bool,
+        is_complete: bool,
     ) -> None:
-        # Only answers to requests are known to name all that holds.
-        if is_whole or said.limit is not None:
-            self._send_limits.told(server, said.limit)
-        if said.leaving:
+        # Only responses to requests are known to contain the complete report.
+        if is_complete or report.limit is not None:
+            self._send_limits.told(server, report.limit)
+        if report.leaving:
             if not self._departures.leaving(server.id, server.born):
                 self._owner.run(
                     lambda state, now: state.announcements.departs(server, now)
                 )
-        elif is_whole and leave % 2 and leave == self.mark(server):
-            # Sent after the word came, so it is newer than that.
+        elif (
+            is_complete
+            and leave_revision % 2
+            and leave_revision == self.mark(server)
+        ):
+            # The call was sent after the announcement arrived, so its response
+            # is newer than the announcement.
             self._owner.run(
                 lambda state, now: state.announcements.stays(server, now)
             )
-        if backoff_s := said.backoff_s:
+        if backoff_s := report.backoff_s:
             self._owner.run(
                 lambda state, now: state.announcements.backs_off(
                     server, backoff_s, now
@@ -91,10 +98,11 @@
             )
 
     def check_backoff(self, server: forwarding.Backend) -> None:
-        """Lets a call that carries no request go out.
+        """Checks whether a call that carries no request may be sent.
 
         Raises:
-            errors.UnreachableError: The server wants nothing from this entry VM.
+            errors.UnreachableError: The server has requested a backoff of this
+                entry VM.
         """
         left_s = self._owner.run(
             lambda state, now: state.fleet.backoffs.own_s(
--- a/packages/daemon/foxtaildaled/sendlimits.py
+++ b/packages/daemon/foxtaildaled/sendlimits.py
@@ -1,9 +1,10 @@
-"""Keeps to the limits that backend servers name, over all entry VMs together.
+"""Enforces the rate limits that backend servers report, over all entry VMs.
 
-What answers say is noted as they come (`told`), a send to a server with a limit
-takes a token (`take`), and a loop asks the home for more ahead of need (`step`). All
-VMs hear of a limit as soon as the home does, so that not each of them finds out by
-requests of its own. Where no home answers, each keeps to its part.
+Limits are recorded as responses report them (`told`). A send to a server with a
+limit spends a token (`take`), and a loop requests more tokens from the
+coordinator ahead of need (`step`). The coordinator announces a new limit to all
+VMs at once, so that they need not discover it by requests of their own. While
+no coordinator replies, each VM uses its own share of the limit.
 """
 
 from collections.abc import Callable
@@ -18,14 +19,16 @@
 from foxtaildale_adapters import logs
 from foxtaildaled import asking
 
-# What it is the home of.
+# Subject by which the coordinator of server limits is chosen.
 HOME: Final = 'server limits'
-# Time between asks while a limit is known, and between looks else, seconds.
+# Interval between requests while a limit is known, and between checks otherwise,
+# seconds.
 ASK_S: Final = 0.2
 REST_S: Final = 1.0
-# Time between asks for each entry VM, seconds: all of them ask one home.
+# Interval between requests for each entry VM, seconds. All VMs send their
+# requests to one coordinator, so the interval grows with their number.
 ASK_EACH_S: Final = 0.001
-# Longest wait for the home's answer, and for those of all VMs, seconds.
+# Longest wait for the coordinator's reply, and for those of all VMs, seconds.
 ANSWER_S: Final = 0.15
 
 
@@ -35,8 +38,8 @@
     __slots__ = (
         '_addresses',
         '_clock',
+        '_coordinators',
         '_entry_vm',
-        '_homes',
         '_lock',
         '_peers',
         '_quota',
@@ -54,7 +57,7 @@
         clock: ports.Clock,
     ) -> None:
         self._entry_vm = entry_vm
-        self._homes = homes
+        self._coordinators = homes
         self._peers = peers
         # Returns the peer addresses of the other entry VMs.
         self._addresses = addresses
@@ -66,64 +69,64 @@
         self.on_told: Callable[[], None] = lambda: None
 
     def told(self, server: forwarding.Backend, limit: float | None) -> None:
-        """Takes what a server's answer says of its limit.
+        """Records the limit that a server's response reports.
 
         Args:
             server: The server.
-            limit: Requests a second; None if it names none.
+            limit: Requests per second; None if the response contains none.
         """
-        before = self._tokens.limit(server.id)
-        if limit is None and before is None:
+        previous = self._tokens.limit(server.id)
+        if limit is None and previous is None:
             return
         with self._lock:
             self._tokens.named(self._clock(), server.id, limit)
-        if limit != before:
+        if limit != previous:
             logs.event(
                 logging.INFO,
                 'server limit',
                 server=server.id,
                 limit=limit,
-                before=before,
+                before=previous,
             )
             self.on_told()
 
     def take(self, server: str) -> bool:
-        """Takes one send to a server; returns whether it may be sent."""
+        """Spends a token for a send; returns whether it may be sent."""
         if self._tokens.limit(server) is None:
             return True
         with self._lock:
             return self._tokens.take(self._clock(), server)
 
     def spent(self) -> frozenset[str]:
-        """Returns the servers that may get nothing now, by id."""
+        """Returns the ids of the servers that have no token left."""
         with self._lock:
             return self._tokens.spent(self._clock())
 
     def limits(self) -> dict[str, float]:
-        """Returns the limits that are known, for a person to read."""
+        """Returns the known limits by server id, for the state dump."""
         with self._lock:
             return self._tokens.limits()
 
     def pace_s(self) -> float:
-        """Returns when to ask again, seconds."""
+        """Returns the time until the next request, seconds."""
         if not self.limits():
             return REST_S
         return max(ASK_S, ASK_EACH_S * len(self._addresses()))
 
     def step(self) -> None:
-        """Asks the home for what will be needed, as a loop."""
+        """Requests the tokens that will be needed and announces changes."""
         with self._lock:
-            asks = self._tokens.asks(self._clock())
-        if asks:
-            self._ask(asks)
+            requests = self._tokens.asks(self._clock())
+        if requests:
+            self._request_tokens(requests)
         with self._lock:
-            news = self._quota.news(self._clock())
-        if news:
-            msg = messages.Sends(grants=news)
+            changes = self._quota.news(self._clock())
+        if changes:
+            msg = messages.Sends(grants=changes)
             self._peers.ask_all(self._addresses(), msg, ANSWER_S)
 
     def lend(self, msg: messages.AskSends) -> messages.Sends:
-        """Answers as the home."""
+        """Grants tokens to an entry VM as coordinator."""
         with self._lock:
             now = self._clock()
             return messages.Sends(
@@ -131,14 +134,14 @@
             )
 
     def hear(self, msg: messages.Sends) -> messages.Pong:
-        """Takes what the home tells all VMs."""
+        """Applies what the coordinator announced to all VMs."""
         with self._lock:
             self._tokens.granted(self._clock(), msg.grants)
         return messages.Pong()
 
-    def _ask(self, asks: dict[str, messages.SendAsk]) -> None:
-        msg = messages.AskSends(holder=self._entry_vm, asks=asks)
-        reply = self._homes.ask(HOME, msg, (messages.Sends,), ANSWER_S)
+    def _request_tokens(self, requests: dict[str, messages.SendAsk]) -> None:
+        msg = messages.AskSends(holder=self._entry_vm, asks=requests)
+        reply = self._coordinators.ask(HOME, msg, (messages.Sends,), ANSWER_S)
         with self._lock:
             now = self._clock()
             if reply is not None:
--- a/packages/daemon/foxtaildaled/storereaders.py
+++ b/packages/daemon/foxtaildaled/storereaders.py
@@ -1,4 +1,4 @@
-"""Which entry VM reads the store for others."""
+"""Chooses the entry VM that reads the store for the others."""
 
 from collections.abc import Callable
 import math
@@ -9,36 +9,38 @@
 from foxtaildale import homes
 from foxtaildale import ports
 
-# How long a reader that failed is passed over, seconds.
+# How long a reader that failed is excluded, seconds.
 PASSED_S: Final = 3.0
-# Entry VMs up to which one reads for all; more than those would be a quarter of
-# a core for it, and much that goes between data centres.
+# Maximum number of entry VMs that share one reader. For more VMs, replies
+# would take over a quarter of the reader's core and cause much traffic between
+# data centres.
 ONE_READER: Final = 120
 
 
 class Readers:
-    """Which entry VM reads the store for others.
+    """Chooses the entry VM that reads the store for the others.
 
-    Calls to the store are shared by all entry VMs and priced; were each to
-    read for itself, they would grow with their number. One, by rendezvous hash,
-    reads, and the others ask it; where there are many, one a data centre. One
-    that does not answer or has nothing fresh is passed over for a while, and one
-    that the store fails as soon as it says so: else all would wait until what they
-    know is too old, and then read the store together. Where the next one says the
-    same, the store fails everybody, and another reader is no help. Safe for
-    concurrent use.
+    Calls to the store are charged and share its capacity; if each entry VM read
+    the store, calls would grow with the number of VMs. One VM, chosen by
+    rendezvous hash, reads, and the others send it requests; if there are many
+    VMs, there is one reader per data centre. A reader that does not reply or
+    has no fresh data is excluded for a while. A reader that reports a failing
+    store is excluded at once: otherwise all VMs would wait until their data is
+    too old, and then read the store at the same time. If the next reader
+    reports the same, the store fails for all VMs and another reader would not
+    help. Safe for concurrent use.
     """
 
     __slots__ = (
         '_all',
+        '_choice_cache',
         '_clock',
         '_data_centre',
         '_entry_vm',
-        '_homes',
+        '_excluded_until',
         '_lock',
-        '_lost_until',
-        '_near',
-        '_passed',
+        '_next_exclusion_at',
+        '_same_data_centre',
         'on_passed',
     )
 
@@ -50,46 +52,49 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._all = homes.Strong(lambda vm: vm.cores)
-        # Of this data centre.
-        self._near = homes.Strong(
+        # Candidates of this data centre only.
+        self._same_data_centre = homes.Strong(
             lambda vm: vm.cores if vm.data_centre == data_centre else 0.0
         )
-        self._homes = homes.Homes()
-        # Until when each one that failed is passed over, seconds.
-        self._passed: dict[str, float] = {}
-        # Until when no other one is for a store that fails it, seconds.
-        self._lost_until = -math.inf
-        # Called when another one reads from now on, maybe this entry VM.
+        self._choice_cache = homes.Homes()
+        # Until when each failed reader is excluded, seconds.
+        self._excluded_until: dict[str, float] = {}
+        # Until when no further reader is excluded for a failing store, seconds.
+        self._next_exclusion_at = -math.inf
+        # Called when the reader changes; the new one may be this entry VM.
         self.on_passed: Callable[[], None] = lambda: None
 
     def choose(self, known: dict[str, forwarding.EntryVm]) -> str:
-        """Returns the name of the reader; this entry VM's own if none fits."""
+        """Returns the name of the reader.
+
+        This entry VM's own name is returned if no other VM is eligible.
+        """
         now = self._clock()
-        alone = len(known) <= ONE_READER
-        what = 'read' if alone else f'read {self._data_centre}'
+        is_single = len(known) <= ONE_READER
+        subject = 'read' if is_single else f'read {self._data_centre}'
         with self._lock:
-            strong = self._all if alone else self._near
-            fit = tuple(
+            eligible = self._all if is_single else self._same_data_centre
+            candidates = tuple(
                 name
-                for name in strong.among(known, frozenset())
-                if self._passed.get(name, 0.0) <= now
+                for name in eligible.among(known, frozenset())
+                if self._excluded_until.get(name, 0.0) <= now
             )
-            reader = self._homes.home(what, fit)
+            reader = self._choice_cache.home(subject, candidates)
         return reader or self._entry_vm
 
     def failed(self, name: str) -> None:
-        """Takes a reader that did not answer or had nothing fresh."""
+        """Excludes a reader that did not reply or had no fresh data."""
         with self._lock:
-            self._passed[name] = self._clock() + PASSED_S
+            self._excluded_until[name] = self._clock() + PASSED_S
         self.on_passed()
 
     def store_lost(self, name: str) -> bool:
-        """Takes a reader that the store fails; returns whether it is left."""
+        """Excludes a reader whose store failed; returns whether it did so."""
         with self._lock:
             now = self._clock()
-            if now < self._lost_until:
+            if now < self._next_exclusion_at:
                 return False
-            self._lost_until = now + PASSED_S
-            self._passed[name] = now + PASSED_S
+            self._next_exclusion_at = now + PASSED_S
+            self._excluded_until[name] = now + PASSED_S
         self.on_passed()
         return True
--- a/packages/daemon/foxtaildaled/tidy.py
+++ b/packages/daemon/foxtaildaled/tidy.py
@@ -1,7 +1,7 @@
-"""Gives back what engines keep for requests that no longer need it.
+"""Releases engine resources that requests no longer need.
 
-One thread does it behind the requests' backs: a caller's answer must not wait
-for it. What can't be given back within the bound lapses at the engine itself.
+A background thread sends the releases, so that responses to callers do not wait
+for them. Resources that are not released in time expire at the engine.
 """
 
 import logging
@@ -14,51 +14,57 @@
 from foxtaildale import ports
 from foxtaildale_adapters import logs
 
-# Things that may wait; more are left to lapse, within two seconds at most.
+# Maximum number of queued releases. Further resources are left to expire at the
+# engine, which takes two seconds at most.
 QUEUE_LIMIT: Final = 200
 
-_Thing = forwarding.Reserved | forwarding.Prefilled
+_Resource = forwarding.Reserved | forwarding.Prefilled
 
 
 class Tidy:
-    """Implements `ports.Tidy`."""
+    """Releases reservations and prefilled prompts in the background.
+
+    Implements `ports.Tidy`.
+    """
 
     __slots__ = ('_queue', '_workers')
 
     def __init__(self, workers: ports.Workers) -> None:
         self._workers = workers
-        self._queue: queue.Queue[_Thing] = queue.Queue(QUEUE_LIMIT)
+        self._queue: queue.Queue[_Resource] = queue.Queue(QUEUE_LIMIT)
 
     def start(self) -> None:
-        """Starts the thread."""
+        """Starts the background thread."""
         threading.Thread(target=self._run, name='tidy', daemon=True).start()
 
     def release(self, reserved: forwarding.Reserved) -> None:
-        """Gives up a reservation."""
+        """Queues the release of a reservation."""
         self._put(reserved)
 
     def free(self, prefilled: forwarding.Prefilled) -> None:
-        """Frees a prefilled prompt."""
+        """Queues the release of a prefilled prompt."""
         self._put(prefilled)
 
-    def _put(self, thing: _Thing) -> None:
+    def _put(self, resource: _Resource) -> None:
         try:
-            self._queue.put_nowait(thing)
+            self._queue.put_nowait(resource)
         except queue.Full:
-            logs.event(logging.WARNING, 'left to lapse', server=thing.worker.id)
+            logs.event(
+                logging.WARNING, 'left to lapse', server=resource.worker.id
+            )
 
     def _run(self) -> None:
         while True:
-            thing = self._queue.get()
+            resource = self._queue.get()
             try:
-                if isinstance(thing, forwarding.Reserved):
-                    self._workers.release(thing)
+                if isinstance(resource, forwarding.Reserved):
+                    self._workers.release(resource)
                 else:
-                    self._workers.free(thing)
+                    self._workers.free(resource)
             except errors.PortError as exc:
                 logs.event(
                     logging.INFO,
                     'left to lapse',
-                    server=thing.worker.id,
+                    server=resource.worker.id,
                     error=str(exc),
                 )
--- a/packages/daemon/foxtaildaled/verdicts.py
+++ b/packages/daemon/foxtaildaled/verdicts.py
@@ -1,7 +1,8 @@
-"""What a router believes of requests that end servers.
+"""State of a router about requests that crash servers.
 
-Part of its beliefs, and owned by their actor: the reports of ends (`crashes`), what
-is held (`quarantine`), and what of that the store keeps.
+Part of the router's state and owned by its actor. It holds the reports of
+crashes (`crashes`), the quarantined requests (`quarantine`), and which of them
+are saved in the store.
 """
 
 from collections.abc import Mapping
@@ -17,26 +18,34 @@
 
 
 class Verdicts:
-    """Reports and what followed from them; the time is an argument."""
+    """Crash reports and the quarantine that follows from them.
+
+    The methods get the current time as an argument.
+    """
 
     __slots__ = ('_codec', '_saved', '_wall', 'crashes', 'quarantine')
 
     def __init__(self, codec: ports.RecordCodec, wall: ports.Clock) -> None:
         self._codec = codec
-        # Seconds since the epoch; records are dated by it.
+        # Wall clock for the times in records, seconds since the epoch.
         self._wall = wall
         self.crashes = crashes.Crashes()
         self.quarantine = quarantine.Quarantine()
-        # Until when requests are held, by the store, seconds since the epoch.
+        # Until when requests are quarantined according to the store, seconds
+        # since the epoch, by fingerprint.
         self._saved: dict[int, float] = {}
 
     def judge(self, now: float) -> bool:
-        """Judges the reports; returns whether more is held now."""
+        """Quarantines requests that the crash reports blame.
+
+        Returns:
+            Whether a request was added.
+        """
         if not self.crashes.pending(now):
             return False
-        known = self.quarantine.held(now)
-        found = self.crashes.blamed(now, known)
-        held = dict.fromkeys(found, quarantine.HELD_S)
+        quarantined = self.quarantine.held(now)
+        blamed = self.crashes.blamed(now, quarantined)
+        held = dict.fromkeys(blamed, quarantine.HELD_S)
         return self.take(now, held, {}, 'reports')
 
     def take(
@@ -46,9 +55,9 @@
         cleared: Mapping[int, float],
         source: str,
     ) -> bool:
-        """Takes requests to hold back; returns whether any is new here."""
-        found = self.quarantine.take(now, held, cleared)
-        for request in found:
+        """Adds requests to the quarantine; returns whether any is new here."""
+        added = self.quarantine.take(now, held, cleared)
+        for request in added:
             logs.event(
                 logging.WARNING,
                 'request held',
@@ -56,18 +65,21 @@
                 left_s=int(held[request]),
                 source=source,
             )
-        return bool(found)
+        return bool(added)
 
     def acquit(self, now: float, request: int) -> None:
-        """Takes a request that ran to its end, and ends no server."""
+        """Clears a request that completed and so crashes no server."""
         self.crashes.acquit(request)
         self.quarantine.clear(now, request)
 
     def learn(self, entry: mirror.Entry, now: float, source: str) -> bool:
-        """Takes a record of the store; returns whether it is on a request.
+        """Applies a record of the store.
+
+        Returns:
+            Whether the record is about a quarantined request.
 
         Raises:
-            errors.DecodeError: It is, and can't be read.
+            errors.DecodeError: The record is about one and can't be decoded.
         """
         request = self._codec.held_request(entry.key)
         if request is None:
@@ -82,21 +94,24 @@
         return True
 
     def store_changed(self) -> None:
-        """Takes that the store came back from a copy, and lacks what it had."""
+        """Forgets saved records after the store was restored from a copy.
+
+        The copy may lack records that the store had.
+        """
         self._saved.clear()
 
     def unsaved(self, now: float) -> list[tuple[str, bytes]]:
-        """Returns the records that the store lacks, and those to remove."""
-        wall = self._wall()
+        """Returns the records to add to the store, and those to remove."""
+        wall_now = self._wall()
         held = self.quarantine.held(now)
-        due = [
-            self._codec.encode_held(forwarding.Held(request, wall + left_s))
+        records = [
+            self._codec.encode_held(forwarding.Held(request, wall_now + left_s))
             for request, left_s in held.items()
             if request not in self._saved
         ]
-        due += [
+        records += [
             (self._codec.held_key(request), b'')
             for request in self._saved
             if request not in held
         ]
-        return due
+        return records
