--- a/packages/daemon/foxtaildaled/follow.py
+++ b/packages/daemon/foxtaildaled/follow.py
@@ -1,9 +1,9 @@
-"""Loops by which a keeper follows the platform.
+"""Loops by which a keeper reads from and writes to the platform.
 
-`Follow` reads the configuration stream and the VM list, and writes a
-checkpoint when the fold asks for one. `Settle` writes the batch of claims that
-wait and reads the claims stream, so that a claim costs one wait for both. A
-platform that is down or slow costs these loops time and nobody else.
+`Follow` reads the configuration stream and the VM list, and writes a checkpoint
+when the state machine of the configuration requests one. `Settle` writes the
+batch of waiting claims and reads the claims stream, so that a claim waits once
+for both. A platform that is down or slow delays these loops only.
 """
 
 from collections.abc import Callable
@@ -18,15 +18,15 @@
 
 CONFIG_STREAM: Final = 'config'
 CLAIMS_STREAM: Final = 'claims'
-_BATCH: Final = 1000
-# Time between two rounds while claims wait, seconds.
-_ROUND_S: Final = 0.02
+_MAX_BATCH: Final = 1000
+# Interval between two rounds while claims wait, seconds.
+_ROUND_INTERVAL_S: Final = 0.02
 
 _T = TypeVar('_T')
 
 
 class Follow:
-    """Reads configuration and the VM list."""
+    """Reads the configuration and the VM list."""
 
     __slots__ = ('_directory', '_log', '_owner')
 
@@ -45,14 +45,14 @@
         self._directory = directory
 
     def step(self) -> None:
-        """Reads both once."""
+        """Reads the configuration and the VM list once."""
         self._read_config()
-        self._read_listing()
+        self._read_vm_list()
 
     def _read_config(self) -> None:
         offset = self._owner.run(lambda state, _now: state.follower.next_offset)
         try:
-            batch = self._log.read(CONFIG_STREAM, offset, _BATCH)
+            batch = self._log.read(CONFIG_STREAM, offset, _MAX_BATCH)
         except errors.LapsedError as exc:
             first = exc.first
             self._owner.run(
@@ -78,10 +78,10 @@
         try:
             self._log.append(CONFIG_STREAM, [record])
         except errors.PortError:
-            # The fold asks again; two equal checkpoints are harmless.
+            # The checkpoint stays due; two equal checkpoints are harmless.
             return
 
-    def _read_listing(self) -> None:
+    def _read_vm_list(self) -> None:
         try:
             listing = self._directory.listing()
         except errors.PortError:
@@ -90,7 +90,7 @@
 
 
 class Settle:
-    """Writes and reads claims."""
+    """Writes the waiting claims and reads the claims stream."""
 
     __slots__ = ('_log', '_owner')
 
@@ -104,17 +104,18 @@
         self._log = log
 
     def step(self) -> None:
-        """Works until no claim waits; reads once where none does.
+        """Repeats rounds until no claim waits; runs one round if none does.
 
-        Reading ten times a second cost a keeper at rest a third of its time.
+        Only waiting claims cause repeated reads: ten reads a second would take
+        a third of the time of an idle keeper.
         """
-        self._round()
+        self._run_round()
         while self._owner.run(lambda state, _now: len(state.waiting)):
-            time.sleep(_ROUND_S)
-            self._round()
+            time.sleep(_ROUND_INTERVAL_S)
+            self._run_round()
 
-    def _round(self) -> None:
-        """Writes what waits, then reads to the end."""
+    def _run_round(self) -> None:
+        """Writes the waiting claims, then reads to the end of the stream."""
         records = self._owner.run(lambda state, now: state.claims.batch(now))
         if records:
             self._write(records)
@@ -125,13 +126,13 @@
         try:
             self._log.append(CLAIMS_STREAM, records)
         except errors.AnswerLostError:
-            self._failed(sent=True)
+            self._handle_failed_append(sent=True)
         except errors.PortError:
-            self._failed(sent=False)
+            self._handle_failed_append(sent=False)
         else:
             self._owner.run(lambda state, now: state.claims.on_appended(now))
 
-    def _failed(self, *, sent: bool) -> None:
+    def _handle_failed_append(self, *, sent: bool) -> None:
         self._owner.run(
             lambda state, now: state.settle(
                 state.claims.on_append_failed(now, sent)
@@ -142,7 +143,7 @@
         """Reads one batch; returns whether there may be more."""
         offset = self._owner.run(lambda state, _now: state.claims.next_offset())
         try:
-            batch = self._log.read(CLAIMS_STREAM, offset, _BATCH)
+            batch = self._log.read(CLAIMS_STREAM, offset, _MAX_BATCH)
         except errors.LapsedError as exc:
             first = exc.first
             self._owner.run(
@@ -157,9 +158,9 @@
         return bool(batch.records)
 
 
-def quietly(step: Callable[[], _T]) -> _T | None:
-    """Runs a call to another process; None when it failed."""
+def quietly(call: Callable[[], _T]) -> _T | None:
+    """Makes a call to another process; returns None if it fails."""
     try:
-        return step()
+        return call()
     except errors.PortError:
         return None
--- a/packages/daemon/foxtaildaled/gossip.py
+++ b/packages/daemon/foxtaildaled/gossip.py
@@ -1,9 +1,9 @@
-"""Loops by which a keeper speaks with its peers and with the workers.
+"""Loops by which a keeper exchanges data with its peers and the workers.
 
-`Gossip` tells the other keepers its offset and digest, and pulls the state of
-one that is ahead. `Watch` reads the load of the workers whose pools are at
-home here. `Reap` cancels what dead holders left in the workers' memory. `Steer`
-sets engines to what the preset in force says.
+`Gossip` sends the keeper's offset and digest to the other keepers, and requests
+the state of one that is ahead. `Watch` reads the load of the workers whose pools
+this keeper coordinates. `Reap` cancels what dead holders left in the workers'
+memory. `Steer` sends engines the orders that the preset in force requires.
 """
 
 from collections.abc import Callable
@@ -21,48 +21,50 @@
 from foxtaildaled import follow
 from foxtaildaled import keeper
 
-# Calls to peers or workers that may be under way at once.
-_CALLS: Final = 16
+# Maximum number of concurrent calls to peers or workers.
+_MAX_CALLS: Final = 16
 
 
 class Fan:
-    """Makes calls side by side, at most one for each address.
+    """Makes concurrent calls, at most one for each address.
 
-    A peer that hangs would otherwise hold up the beat to all others, and a
-    second call to it would only pile up behind the first.
+    A peer that hangs would otherwise delay the heartbeats to all others, and a
+    second call to it would only wait behind the first.
     """
 
-    __slots__ = ('_busy', '_pool')
+    __slots__ = ('_last_calls', '_pool')
 
     _pool: futures.ThreadPoolExecutor
-    # Addresses that a call is under way to.
-    _busy: dict[str, futures.Future[None]]
+    # The last call to each address.
+    _last_calls: dict[str, futures.Future[None]]
 
     def __init__(self, name: str) -> None:
-        self._pool = futures.ThreadPoolExecutor(_CALLS, thread_name_prefix=name)
-        self._busy = {}
+        self._pool = futures.ThreadPoolExecutor(
+            _MAX_CALLS, thread_name_prefix=name
+        )
+        self._last_calls = {}
 
-    def call(self, address: str, step: Callable[[], None]) -> None:
-        """Starts a call unless one to the address is under way."""
-        under_way = self._busy.get(address)
-        if under_way is not None and not under_way.done():
+    def call(self, address: str, call: Callable[[], None]) -> None:
+        """Starts a call unless one to the address is in progress."""
+        running = self._last_calls.get(address)
+        if running is not None and not running.done():
             return
-        self._busy[address] = self._pool.submit(step)
+        self._last_calls[address] = self._pool.submit(call)
 
     def close(self) -> None:
-        """Waits for the calls under way."""
+        """Waits for the calls in progress."""
         self._pool.shutdown(wait=True)
 
 
 class Gossip:
-    """Beats to the other keepers."""
+    """Sends heartbeats to the other keepers."""
 
-    __slots__ = ('_fan', '_owner', '_peers', '_silence_s')
+    __slots__ = ('_calls', '_owner', '_peers', '_timeout_s')
 
     _owner: actors.Owner[keeper.Keeper]
     _peers: ports.Peers
-    _silence_s: float
-    _fan: Fan
+    _timeout_s: float
+    _calls: Fan
 
     def __init__(
         self,
@@ -72,74 +74,82 @@
     ) -> None:
         self._owner = owner
         self._peers = peers
-        self._silence_s = silence_s
-        self._fan = Fan('gossip')
+        self._timeout_s = silence_s
+        self._calls = Fan('gossip')
 
     def step(self) -> None:
-        """Sends one beat to each peer and lets old state lapse."""
+        """Sends a heartbeat to each target and expires old state."""
         self._owner.run(lambda state, now: state.tick(now))
-        beat = self._owner.run(lambda state, _now: state.beat())
+        heartbeat = self._owner.run(lambda state, _now: state.beat())
         for address in self._owner.run(lambda state, now: state.targets(now)):
-            self._fan.call(
-                address, functools.partial(self._beat, address, beat)
+            self._calls.call(
+                address,
+                functools.partial(self._send_heartbeat, address, heartbeat),
             )
         for address in self._owner.run(lambda state, _now: state.take_ahead()):
-            self._fan.call(address, functools.partial(self._pull, address))
+            self._calls.call(
+                address, functools.partial(self._request_state, address)
+            )
 
     def goodbye(self) -> None:
-        """Tells the peers that this keeper ends by plan."""
-        me = self._owner.run(lambda state, _now: state.me)
-        bye = messages.Bye(incarnation=me.incarnation)
+        """Notifies the peers that this keeper stops as planned."""
+        own_entry = self._owner.run(lambda state, _now: state.me)
+        notice = messages.Bye(incarnation=own_entry.incarnation)
         for address in self._owner.run(lambda state, now: state.targets(now)):
-            self._fan.call(address, functools.partial(self._bye, address, bye))
-        self._fan.close()
+            self._calls.call(
+                address,
+                functools.partial(self._send_stop_notice, address, notice),
+            )
+        self._calls.close()
 
-    def _beat(self, address: str, beat: messages.Beat) -> None:
-        reply = self._ask(address, beat)
+    def _send_heartbeat(self, address: str, heartbeat: messages.Beat) -> None:
+        reply = self._request(address, heartbeat)
         if not isinstance(reply, messages.Beat):
             return
-        behind = self._owner.run(lambda state, now: state.on_beat(now, reply))
-        if behind:
-            self._pull(address)
+        is_behind = self._owner.run(
+            lambda state, now: state.on_beat(now, reply)
+        )
+        if is_behind:
+            self._request_state(address)
 
-    def _pull(self, address: str) -> None:
+    def _request_state(self, address: str) -> None:
         offset = self._owner.run(lambda state, _now: state.follower.offset)
-        pulled = self._ask(address, messages.Pull(offset=offset))
-        if isinstance(pulled, messages.PullReply):
-            self._owner.run(lambda state, now: state.on_pull(now, pulled))
+        reply = self._request(address, messages.Pull(offset=offset))
+        if isinstance(reply, messages.PullReply):
+            self._owner.run(lambda state, now: state.on_pull(now, reply))
 
-    def _bye(self, address: str, bye: messages.Bye) -> None:
-        self._ask(address, bye)
+    def _send_stop_notice(self, address: str, notice: messages.Bye) -> None:
+        self._request(address, notice)
 
-    def _ask(self, address: str, msg: messages.Any) -> messages.Any | None:
+    def _request(self, address: str, msg: messages.Any) -> messages.Any | None:
         return follow.quietly(
-            lambda: self._peers.ask(address, msg, self._silence_s)
+            lambda: self._peers.ask(address, msg, self._timeout_s)
         )
 
 
 class Watch:
-    """Reads the load of the workers at home here."""
+    """Reads the load of the workers that this keeper coordinates."""
 
-    __slots__ = ('_engines', '_fan', '_owner', '_seen')
+    __slots__ = ('_calls', '_engines', '_last_event', '_owner')
 
     _owner: actors.Owner[keeper.Keeper]
     _engines: ports.Engines
-    _fan: Fan
-    # Number of the last cache event read, by address.
-    _seen: dict[str, int]
+    _calls: Fan
+    # Number of the last cache event that was read, by address.
+    _last_event: dict[str, int]
 
     def __init__(
         self, owner: actors.Owner[keeper.Keeper], engines: ports.Engines
     ) -> None:
         self._owner = owner
         self._engines = engines
-        self._fan = Fan('watch')
-        self._seen = {}
+        self._calls = Fan('watch')
+        self._last_event = {}
 
     def step(self) -> None:
-        """Reads each worker's load once."""
+        """Reads the load of each worker once."""
         for server in self._owner.run(lambda state, now: state.homed(now)):
-            self._fan.call(
+            self._calls.call(
                 server.address, functools.partial(self._read, server)
             )
 
@@ -153,13 +163,13 @@
             self._read_cache(server)
 
     def _read_cache(self, server: values.BackendServer) -> None:
-        after = self._seen.get(server.address, 0)
+        after = self._last_event.get(server.address, 0)
         events = follow.quietly(
             lambda: self._engines.cache(server.address, after)
         )
         if events is None or not events.events:
             return
-        self._seen[server.address] = events.events[-1].number
+        self._last_event[server.address] = events.events[-1].number
         self._owner.run(
             lambda state, _now: state.pools.on_cache(
                 server.name, server.service, events
@@ -170,38 +180,39 @@
 class Reap:
     """Cancels what dead holders left in the workers' memory."""
 
-    __slots__ = ('_engines', '_fan', '_owner', '_reaper')
+    __slots__ = ('_calls', '_engines', '_owner', '_reaper')
 
     _owner: actors.Owner[keeper.Keeper]
     _engines: ports.Engines
     _reaper: reaper.Reaper
-    _fan: Fan
+    _calls: Fan
 
     def __init__(
         self,
         owner: actors.Owner[keeper.Keeper],
         engines: ports.Engines,
-        judge: reaper.Reaper,
+        orphan_reaper: reaper.Reaper,
     ) -> None:
         self._owner = owner
         self._engines = engines
-        self._reaper = judge
-        self._fan = Fan('reap')
+        self._reaper = orphan_reaper
+        self._calls = Fan('reap')
 
     def step(self) -> None:
-        """Looks once at each worker that this keeper reaps."""
+        """Checks once each worker that this keeper is responsible for."""
         self._owner.run(lambda _state, now: self._reaper.forget(now))
         for server in self._owner.run(lambda state, now: state.reaped(now)):
-            self._fan.call(
-                server.address, functools.partial(self._reap, server)
+            self._calls.call(
+                server.address,
+                functools.partial(self._cancel_abandoned, server),
             )
 
-    def _reap(self, server: values.BackendServer) -> None:
-        held = follow.quietly(lambda: self._engines.holdings(server.address))
-        if held is None:
+    def _cancel_abandoned(self, server: values.BackendServer) -> None:
+        reply = follow.quietly(lambda: self._engines.holdings(server.address))
+        if reply is None:
             return
         census = self._owner.run(lambda state, now: state.census(now))
-        for holding in held.holdings:
+        for holding in reply.holdings:
             if self._reaper.abandoned(holding, census):
                 self._cancel(server, holding)
 
@@ -216,47 +227,49 @@
         try:
             self._engines.cancel(server.address, req)
         except errors.PortError:
-            # The next round finds the holding again.
+            # The next round tries again, since the holding is still listed.
             return
 
 
 class Steer:
-    """Sets engines to what the preset in force says."""
+    """Sends engines the orders that the preset in force requires."""
 
-    __slots__ = ('_engines', '_fan', '_owner')
+    __slots__ = ('_calls', '_engines', '_owner')
 
     _owner: actors.Owner[keeper.Keeper]
     _engines: ports.Orders
-    _fan: Fan
+    _calls: Fan
 
     def __init__(
         self, owner: actors.Owner[keeper.Keeper], engines: ports.Orders
     ) -> None:
         self._owner = owner
         self._engines = engines
-        self._fan = Fan('steer')
+        self._calls = Fan('steer')
 
     def step(self) -> None:
-        """Looks at each worker that is due, and orders what differs."""
+        """Reads the settings of each due worker and orders the changes."""
         for server in self._owner.run(lambda state, now: state.orders_due(now)):
-            self._fan.call(
-                server.address, functools.partial(self._steer, server)
+            self._calls.call(
+                server.address,
+                functools.partial(self._send_worker_orders, server),
             )
 
-    def _steer(self, server: values.BackendServer) -> None:
+    def _send_worker_orders(self, server: values.BackendServer) -> None:
         name = server.name
         try:
             observed = self._engines.observe(server.address)
         except errors.PortError:
             self._owner.run(lambda state, now: state.orders.unseen(name, now))
             return
-        given = self._owner.run(
+        orders = self._owner.run(
             lambda state, now: state.orders.seen(
                 name, observed, state.follower.offset, now
             )
         )
-        for order in given:
-            # Its answer proves nothing: the next look shows what came of it.
+        for order in orders:
+            # The reply does not prove that the order took effect; the next
+            # observation of the worker does.
             follow.quietly(
                 functools.partial(self._engines.order, server.address, order)
             )
--- a/packages/daemon/foxtaildaled/loops.py
+++ b/packages/daemon/foxtaildaled/loops.py
@@ -1,7 +1,7 @@
-"""The loops of a router: what it follows, repeats and looks at.
+"""Creates the periodic loops of a router.
 
-Each runs in a thread of its own and has a client of the store of its own, so
-that one which waits holds up no other.
+Each loop runs in its own thread and has its own client of the store, so that a
+loop that waits does not block another one.
 """
 
 from collections.abc import Callable
@@ -42,61 +42,63 @@
     clock: ports.Clock,
     rng: random.Random,
 ) -> list[process.Loop]:
-    """Returns the loops, not started.
+    """Returns the loops; they are not started.
 
     Args:
         cfg: Settings of the router.
-        codec: What the records of the store mean.
+        codec: Encodes and decodes the records of the store.
         store: Makes a client of the store.
         workers: The backend servers.
-        owner: Owns what the router believes.
+        owner: Owns the state of the router.
         peers: The other entry VMs.
-        plan: The asking side of the homes.
-        fit: Whether this entry VM may be one.
-        counts: Metrics.
-        stopping: Set when the router is told to stop.
-        on_read: Called behind each read of configuration or servers.
-        clock: Seconds.
+        plan: The client that sends placement requests to coordinators.
+        fit: Checks whether this entry VM may be a coordinator.
+        counts: Metrics of the router.
+        stopping: Set when the router is asked to stop.
+        on_read: Called after each read of the configuration or the servers.
+        clock: Monotonic clock, seconds.
         rng: Chooses among peers.
     """
 
-    def topic(name: str, wait_s: float) -> syncing.Topic:
+    def make_topic(name: str, wait_s: float) -> syncing.Topic:
         return syncing.Topic(name, owner, store(), counts, wait_s)
 
-    pace_s = cfg.leaving_s / syncing.READS_PER_BOUND
-    limit_s = cfg.leaving_s * syncing.STALE_PART
+    read_interval_s = cfg.leaving_s / syncing.READS_PER_BOUND
+    max_age_s = cfg.leaving_s * syncing.STALE_PART
     readers = storereaders.Readers(cfg.entry_vm, cfg.data_centre, clock)
     introduction = introductions.Introduction(
         owner=owner,
         peers=peers,
         own=cfg.peer_address,
         seeds=cfg.seeds,
-        limit_s=limit_s,
+        limit_s=max_age_s,
         first_start=cfg.first_start,
         clock=clock,
         rng=rng,
     )
 
-    # Wake those that leave reading to another VM, which may be no reader now.
-    wakes: list[threading.Event] = []
+    # Wakes the loops that rely on another reader, since it may have changed.
+    wake_events: list[threading.Event] = []
 
     def wake_all() -> None:
-        for wake in wakes:
+        for wake in wake_events:
             wake.set()
 
     readers.on_passed = wake_all
 
-    def follow(name: str, wait_s: float) -> Callable[[], None]:
-        lazy = syncing.Lazy(
-            topic=topic(name, wait_s),
+    def make_reader(name: str, wait_s: float) -> Callable[[], None]:
+        reader = syncing.Lazy(
+            topic=make_topic(name, wait_s),
             owner=owner,
             readers=readers,
             entry_vm=cfg.entry_vm,
-            limit_s=limit_s,
+            limit_s=max_age_s,
             rng=rng,
         )
-        wakes.append(threading.Event())
-        return _behind(introduction, _paced(lazy.step, on_read, wakes[-1]))
+        wake_events.append(threading.Event())
+        return _after_introduction(
+            introduction, _with_pause(reader.step, on_read, wake_events[-1])
+        )
 
     members = syncing.Members(
         name=cfg.entry_vm,
@@ -104,24 +106,24 @@
         codec=codec,
         owner=owner,
         store=store(),
-        topic=topic(codec.members_topic, 0.0),
+        topic=make_topic(codec.members_topic, 0.0),
         readers=readers,
         clock=clock,
     )
-    peer = syncing.PeerSync(
+    peer_sync = syncing.PeerSync(
         owner=owner,
         peers=peers,
         readers=readers,
         entry_vm=cfg.entry_vm,
-        limit_s=limit_s,
+        limit_s=max_age_s,
         rng=rng,
     )
 
-    def ask_peers() -> None:
+    def sync_with_peers() -> None:
         introduction.run()
-        peer.step()
+        peer_sync.step()
 
-    balancer = balancing.Balancing(
+    stage_balancer = balancing.Balancing(
         entry_vm=cfg.entry_vm,
         holder=incarnations.make('router', cfg.entry_vm),
         lease_s=cfg.lease_s,
@@ -132,35 +134,42 @@
         workers=workers,
         clock=clock,
     )
-    survey = surveys.Surveys(
+    inventory = surveys.Surveys(
         owner=owner, peers=peers, held=plan.held, clock=clock
     )
-    survey_loop = process.Loop('surveys', surveys.LOOK_S, survey.step)
+    inventory_loop = process.Loop('surveys', surveys.LOOK_S, inventory.step)
     owner.run(
-        lambda state, _: setattr(state.plans, 'on_unsurveyed', survey_loop.wake)
+        lambda state, _: setattr(
+            state.plans, 'on_unsurveyed', inventory_loop.wake
+        )
     )
-    config = follow(codec.config_topic, syncing.CONFIG_WAIT_S)
-    balance = _unless(stopping, balancer.step)
+    read_config = make_reader(codec.config_topic, syncing.CONFIG_WAIT_S)
+    balance_stages = _unless_stopping(stopping, stage_balancer.step)
     return [
-        process.Loop('config', 0.0, config),
-        process.Loop('servers', pace_s, follow(codec.servers_topic, 0.0)),
+        process.Loop('config', 0.0, read_config),
+        process.Loop(
+            'servers', read_interval_s, make_reader(codec.servers_topic, 0.0)
+        ),
         process.Loop(
             'members',
             syncing.MEMBERS_S,
-            _behind(introduction, _until(members.step)),
+            _after_introduction(introduction, _until_done(members.step)),
         ),
         process.Loop('places', places.PROBE_S, plan.step),
         process.Loop('fitness', fitness.LOOK_S, fit.step),
-        survey_loop,
-        process.Loop('peers', syncing.PEER_S, ask_peers),
-        process.Loop('balancing', balancing.LOOK_S, balance),
+        inventory_loop,
+        process.Loop('peers', syncing.PEER_S, sync_with_peers),
+        process.Loop('balancing', balancing.LOOK_S, balance_stages),
     ]
 
 
-def _behind(
+def _after_introduction(
     introduction: introductions.Introduction, step: Callable[[], None]
 ) -> Callable[[], None]:
-    """Waits until what others know has been taken, or none of them knows."""
+    """Returns a step that runs after the initial state was requested.
+
+    It waits until the state of another VM was applied or no VM has any.
+    """
 
     def run() -> None:
         introduction.wait()
@@ -169,24 +178,27 @@
     return run
 
 
-def _paced(
+def _with_pause(
     step: Callable[[], float],
-    after: Callable[[], None],
+    on_done: Callable[[], None],
     wake: threading.Event,
 ) -> Callable[[], None]:
-    """Waits as long as a step says, unless it is woken."""
+    """Returns a step that waits as long as `step` returns, or until `wake`."""
 
     def run() -> None:
         wait_s = step()
-        after()
+        on_done()
         wake.wait(wait_s)
         wake.clear()
 
     return run
 
 
-def _until(step: Callable[[], bool]) -> Callable[[], None]:
-    """Repeats a step until it is done, with less and less haste."""
+def _until_done(step: Callable[[], bool]) -> Callable[[], None]:
+    """Returns a step that repeats `step` until it is done.
+
+    The wait between attempts doubles up to a maximum.
+    """
 
     def run() -> None:
         wait_s = syncing.PEER_S
@@ -197,10 +209,13 @@
     return run
 
 
-def _unless(
+def _unless_stopping(
     stopping: threading.Event, step: Callable[[], None]
 ) -> Callable[[], None]:
-    """Leaves what lasts to the entry VM that takes over."""
+    """Returns a step that does nothing while the router stops.
+
+    Work that takes long is left to the entry VM that takes over.
+    """
 
     def run() -> None:
         if not stopping.is_set():
--- a/packages/daemon/foxtaildaled/reading.py
+++ b/packages/daemon/foxtaildaled/reading.py
@@ -1,9 +1,9 @@
-"""Reads the pieces of one answer: checks each and sends it on.
+"""Reads the chunks of one response, checks each and forwards it.
 
-An answer that is streamed to its caller is carried by the pump, one thread for
-all streams; one that is gathered for its caller, or comes from something else
-than a connection, is read by the request's own thread. Both run once a token,
-so they do nothing that can be done once a stream.
+A response that is streamed to its caller is handled by the pump, one thread for
+all streams. A response that is collected before it is sent, or that does not
+come from a connection, is read by the thread of its request. Both run once per
+token, so work that can be done once per stream is done outside of them.
 """
 
 from collections.abc import Iterable
@@ -19,32 +19,32 @@
 from foxtaildale_adapters import pump
 from foxtaildaled import sinks
 
-_GONE: Final = 'the caller went away'
+_DISCONNECTED: Final = 'the caller went away'
 
 
 class Reader:
-    """Reads one answer, over as many connections as it takes."""
+    """Reads one response, which may arrive over several connections."""
 
     __slots__ = (
+        '_caller_disconnected',
         '_checker',
         '_clock',
-        '_gone',
+        '_max_silence_s',
         '_pump',
-        '_silence_s',
+        '_sent_times',
         '_sink',
-        '_times',
     )
 
-    # Set when the caller has gone.
-    _gone: threading.Event
+    # Set when the caller has disconnected.
+    _caller_disconnected: threading.Event
     _sink: sinks.Sink
     _checker: streams.Checker
     _clock: ports.Clock
-    # Receives when each piece was sent on; seconds, monotonic.
-    _times: list[float]
+    # Gets the time at which each chunk was forwarded, seconds, monotonic.
+    _sent_times: list[float]
     _pump: pump.Pump
-    # Silence of the engine after which its connection is given up, seconds.
-    _silence_s: float
+    # Time without data after which the engine's connection is closed, seconds.
+    _max_silence_s: float
 
     def __init__(
         self,
@@ -57,71 +57,74 @@
         carrier: pump.Pump,
         silence_s: float,
     ) -> None:
-        self._gone = gone
+        self._caller_disconnected = gone
         self._sink = sink
         self._checker = checker
         self._clock = clock
-        self._times = times
+        self._sent_times = times
         self._pump = carrier
-        self._silence_s = silence_s
+        self._max_silence_s = silence_s
 
     def read(self, items: ports.Pieces) -> str:
-        """Reads to the end; returns '' for a whole answer, else what is wrong.
+        """Reads to the end.
+
+        Returns:
+            An empty string for a complete response, otherwise the fault.
 
         Raises:
             errors.PortError: The connection broke off or went silent.
         """
-        direct = isinstance(self._sink, sinks.EventSink)
-        if not direct or not isinstance(items, events.Stream):
+        is_streamed = isinstance(self._sink, sinks.EventSink)
+        if not is_streamed or not isinstance(items, events.Stream):
             return self._iterate(items)
         first = next(items)
         if isinstance(first, backends.Last):
-            # A stream that was read on behind its last piece: it closed itself
+            # The stream was read beyond its last chunk and has closed itself
             # with this event, so there is no connection to take over.
             return self._iterate([first])
         taken = flow.take_over(items)
         if taken.sock is None:
             return self._iterate(itertools.chain([first], taken.items, items))
         with taken.sock:
-            return self._carry(taken, [first, *taken.items], self._sink)
+            return self._pump_stream(taken, [first, *taken.items], self._sink)
 
-    def _carry(
+    def _pump_stream(
         self,
         taken: flow.Taken,
-        ahead: list[backends.Piece | backends.Last],
+        chunks_read: list[backends.Piece | backends.Last],
         sink: sinks.Sink,
     ) -> str:
         assert isinstance(sink, sinks.EventSink)
         assert taken.sock is not None
-        carried = flow.Flow(
+        flow_state = flow.Flow(
             exchange=sink.open(),
             checker=self._checker,
             framer=sink.framer,
             clock=self._clock,
-            times=self._times,
+            times=self._sent_times,
             rest=taken.rest,
         )
-        if carried.take(ahead) or sink.open().flush():
-            carried.run(self._pump, taken.sock, self._silence_s)
-        if carried.last is not None:
+        if flow_state.take(chunks_read) or sink.open().flush():
+            flow_state.run(self._pump, taken.sock, self._max_silence_s)
+        if flow_state.last is not None:
             return ''
-        return carried.fault or _GONE
+        return flow_state.fault or _DISCONNECTED
 
     def _iterate(self, items: Iterable[backends.Piece | backends.Last]) -> str:
         for item in items:
-            if self._gone.is_set():
-                return _GONE
+            if self._caller_disconnected.is_set():
+                return _DISCONNECTED
             if isinstance(item, backends.Last):
-                return self._end(item)
+                return self._finish(item)
             verdict = self._checker.piece(item)
             if verdict is streams.Verdict.ACCEPTED:
                 self._sink.piece(item)
-                self._times.append(self._clock())
+                self._sent_times.append(self._clock())
             elif verdict is not streams.Verdict.DUPLICATE:
                 return str(verdict.value)
         return 'the stream ended early'
 
-    def _end(self, last: backends.Last) -> str:
+    def _finish(self, last: backends.Last) -> str:
         verdict = self._checker.last(last)
         if verdict is not streams.Verdict.WHOLE:
             return str(verdict.value)
--- a/packages/daemon/foxtaildaled/storereaders.py
+++ b/packages/daemon/foxtaildaled/storereaders.py
@@ -11,19 +11,19 @@
 
 # How long a reader that failed is excluded, seconds.
 PASSED_S: Final = 3.0
-# Maximum number of entry VMs that share one reader. For more VMs, replies
-# would take over a quarter of the reader's core and cause much traffic between
-# data centres.
+# Maximum number of entry VMs that share one reader. Replies to more VMs would
+# take a quarter of a core of the reader and cause much traffic between data
+# centres.
 ONE_READER: Final = 120
 
 
 class Readers:
     """Chooses the entry VM that reads the store for the others.
 
-    Calls to the store are charged and share its capacity; if each entry VM read
-    the store, calls would grow with the number of VMs. One VM, chosen by
-    rendezvous hash, reads, and the others send it requests; if there are many
-    VMs, there is one reader per data centre. A reader that does not reply or
+    Calls to the store are charged, and all entry VMs share its capacity. If
+    each VM read the store, calls would grow with the number of VMs. One VM,
+    chosen by rendezvous hash, reads, and the others send it requests; if there
+    are many VMs, there is one reader per data centre. A reader that does not reply or
     has no fresh data is excluded for a while. A reader that reports a failing
     store is excluded at once: otherwise all VMs would wait until their data is
     too old, and then read the store at the same time. If the next reader
@@ -64,19 +64,19 @@
         # Called when the reader changes; the new one may be this entry VM.
         self.on_passed: Callable[[], None] = lambda: None
 
-    def choose(self, known: dict[str, forwarding.EntryVm]) -> str:
+    def choose(self, vms: dict[str, forwarding.EntryVm]) -> str:
         """Returns the name of the reader.
 
         This entry VM's own name is returned if no other VM is eligible.
         """
         now = self._clock()
-        is_single = len(known) <= ONE_READER
+        is_single = len(vms) <= ONE_READER
         subject = 'read' if is_single else f'read {self._data_centre}'
         with self._lock:
             eligible = self._all if is_single else self._same_data_centre
             candidates = tuple(
                 name
-                for name in eligible.among(known, frozenset())
+                for name in eligible.among(vms, frozenset())
                 if self._excluded_until.get(name, 0.0) <= now
             )
             reader = self._choice_cache.home(subject, candidates)
--- a/packages/daemon/foxtaildaled/syncing.py
+++ b/packages/daemon/foxtaildaled/syncing.py
@@ -1,11 +1,12 @@
-"""Loops that keep a router's beliefs fresh.
-
-One entry VM, or one a data centre, reads the store, the others ask it
-(`storereaders`). A process that starts asks first (`introductions`). The
-configuration is waited for, since it must be in force soon after it was
-accepted. Entries of servers change with every heartbeat, so waiting for them
-would return at once; they are read at a pace that leaves most of the bound for
-leaving servers unused. While the store fails, any other entry VM is asked.
+"""Loops that keep a router's state up to date.
+
+One entry VM, or one per data centre, reads the store, and the others send it
+requests (`storereaders`). A process that starts first requests the state from
+other VMs (`introductions`). Reads of the configuration wait for a change, since
+it must be in force soon after it was accepted. Entries of servers change with
+every heartbeat, so such a wait would return at once. They are read at an
+interval that is a small part of the time bound for leaving servers. While the
+store fails, requests go to any other entry VM.
 """
 
 import logging
@@ -23,43 +24,51 @@
 from foxtaildaled import beliefs
 from foxtaildaled import storereaders
 
-# Wait of one read for the configuration, seconds. A connection that went
-# silent is noticed this long plus an answer's bound later.
+# How long one read of the configuration waits for a change, seconds. A
+# connection that went silent is detected after this time plus the time limit of
+# a response.
 CONFIG_WAIT_S: Final = 1.5
-# Reads of the servers in the time after which a leaving one must be left
-# alone: four, so that one may be lost and the next still be in time.
+# Reads of the servers within the time after which a leaving server must get no
+# more requests. With four, one read may fail and the next is still in time.
 READS_PER_BOUND: Final = 4.0
-# Wait after a failed call to the store, seconds: short against the two seconds
-# within which a change must be in force, long against the price of a call. It
-# doubles with each failure in a row.
+# Wait after a failed call to the store, seconds. It is short compared with the
+# two seconds within which a change must be in force, and long compared with the
+# cost of a call. It doubles with each consecutive failure.
 RETRY_S: Final = 0.3
-# The longest wait of the VM that reads for its data centre, and of one that knows
-# no configuration; and that of all others, which hear of the store's return from
-# the reader. Each call to a store that is down is one more for it to get through.
+# Longest wait between attempts, seconds: of a reader and of a VM without a
+# configuration, and of all other VMs, which learn from the reader that the store
+# has recovered. Each call to a store that is down adds to its backlog.
 RETRY_READER_S: Final = 0.6
 RETRY_MOST_S: Final = 2.4
-# Time between the reader's reads of the list of entry VMs, seconds; the others
-# get it from the reader.
+# Interval between the reader's reads of the list of entry VMs, seconds. The
+# other VMs get the list from the reader.
 MEMBERS_S: Final = 3.0
-# Time after which an entry that was written and not seen is written again,
-# seconds: two of the reads, and as much for a reader that is lost meanwhile.
+# Time after which an entry that was written but not seen is written again,
+# seconds: two intervals of the reads, and two more in case the reader fails.
 LISTED_S: Final = 12.0
-# Part of the time for leaving servers at which what is known is too old, and
-# the store is read. A reader is asked every 0.4 s and reads every 0.5 s, so
-# that its word is 0.9 s old at most; the bound is two seconds or more.
+# Part of the time bound for leaving servers after which the known state is too
+# old and the store is read. A reader gets a request every 0.4 s and reads every
+# 0.5 s, so its data is at most 0.9 s old; the bound is two seconds or more.
 STALE_PART: Final = 0.55
-# Time between asks, and the longest wait for an answer, seconds.
+# Interval between requests to a peer, and longest wait for its reply, seconds.
 PEER_S: Final = 0.4
 PEER_ANSWER_S: Final = 0.3
-# Shortest pause of a loop that has nothing to read, seconds; it looks again when
-# what is known may be too old.
+# Shortest pause of a loop that has nothing to read, seconds. It checks again
+# when the known state may be too old.
 LAZY_S: Final = 0.1
 
 
 class Topic:
-    """Follows one keyed topic; `step` is called by a loop."""
+    """Reads the changes of one keyed topic; a loop calls `step`."""
 
-    __slots__ = ('_counts', '_owner', '_store', '_topic', '_wait_s', '_well')
+    __slots__ = (
+        '_counts',
+        '_is_reachable',
+        '_owner',
+        '_store',
+        '_topic',
+        '_wait_s',
+    )
 
     def __init__(
         self,
@@ -74,24 +83,26 @@
         self._store = store
         self._counts = counts
         self._wait_s = wait_s
-        # None until the first answer or failure.
-        self._well: bool | None = None
+        # Whether the last read succeeded; None before the first.
+        self._is_reachable: bool | None = None
 
     def step(self) -> bool:
-        """Reads once; returns whether the store answered."""
+        """Reads once; returns whether the store responded."""
         try:
             offset = self._owner.run(lambda state, _: state.end(self._topic))
-            keyed, whole = self._read(offset)
+            keyed, is_snapshot = self._read(offset)
         except (errors.PortError, errors.DecodeError) as exc:
             self._owner.run(lambda state, now: state.failed(now))
             self._counts.store_calls.add(1, self._topic, 'failed')
-            self._note(False, error=str(exc))
+            self._log_change(False, error=str(exc))
             return False
         self._owner.run(
-            lambda state, now: state.take(self._topic, keyed, now, whole=whole)
+            lambda state, now: state.take(
+                self._topic, keyed, now, whole=is_snapshot
+            )
         )
         self._counts.store_calls.add(1, self._topic, 'answered')
-        self._note(True, offset=keyed.end)
+        self._log_change(True, offset=keyed.end)
         return True
 
     def _read(self, offset: int) -> tuple[ports.Keyed, bool]:
@@ -103,26 +114,30 @@
         except errors.LapsedError:
             return self._store.newest(self._topic), True
 
-    def _note(self, well: bool, **fields: object) -> None:
-        if well == self._well:
+    def _log_change(self, is_reachable: bool, **fields: object) -> None:
+        if is_reachable == self._is_reachable:
             return
-        if well:
-            event = 'store reached' if self._well is None else 'store regained'
+        if is_reachable:
+            event = (
+                'store reached'
+                if self._is_reachable is None
+                else 'store regained'
+            )
         else:
             event = 'store lost'
-        self._well = well
+        self._is_reachable = is_reachable
         logs.event(logging.INFO, event, topic=self._topic, **fields)
 
 
 class Members:
-    """Lists this entry VM, and reads the list for the others."""
+    """Lists this entry VM and, as reader, reads the list for the others."""
 
     __slots__ = (
         '_clock',
         '_codec',
-        '_list_at',
         '_member',
         '_name',
+        '_next_write_at',
         '_owner',
         '_readers',
         '_store',
@@ -145,39 +160,39 @@
         self._member = member
         self._readers = readers
         self._clock = clock
-        # When the entry is written again if it was not seen, seconds.
-        self._list_at = -math.inf
+        # Earliest time at which the entry is written again, seconds.
+        self._next_write_at = -math.inf
         self._codec = codec
         self._owner = owner
         self._store = store
         self._topic = topic
 
     def step(self) -> bool:
-        """Reads the list for the others, and writes this entry VM's entry.
+        """Reads the list if it is the reader, and writes a missing entry.
 
         Returns:
-            Whether this entry VM was seen listed as it should be.
+            Whether this entry VM is listed with its current entry.
         """
-        known = self._known()
-        reads = not known or self._readers.choose(known) == self._name
-        if reads and not self._topic.step():
+        vms = self._entry_vms()
+        is_reader = not vms or self._readers.choose(vms) == self._name
+        if is_reader and not self._topic.step():
             return False
         name, member = self._name, self._member
         if self._owner.run(lambda state, _: state.is_listed(name, member)):
             return True
-        self._list()
+        self._write_entry()
         return False
 
-    def _known(self) -> dict[str, forwarding.EntryVm]:
+    def _entry_vms(self) -> dict[str, forwarding.EntryVm]:
         return self._owner.run(lambda state, _: state.entry_vms)
 
-    def _list(self) -> None:
-        """Writes the entry, unless it was written a moment before.
+    def _write_entry(self) -> None:
+        """Writes the entry, unless it was written recently.
 
-        Until it is seen, it may be on its way: the VM that reads the list for
-        the others does so every few seconds.
+        A written entry may not be seen for a while, since the VM that reads the
+        list for the others does so every few seconds.
         """
-        if self._clock() < self._list_at:
+        if self._clock() < self._next_write_at:
             return
         value = self._codec.encode_member(self._member)
         try:
@@ -185,16 +200,16 @@
         except errors.PortError as exc:
             logs.event(logging.WARNING, 'listing failed', error=str(exc))
             return
-        self._list_at = self._clock() + LISTED_S
+        self._next_write_at = self._clock() + LISTED_S
 
 
 class Lazy:
-    """Reads a topic from the store unless a reader's word is fresh."""
+    """Reads a topic from the store unless the reader's data is fresh."""
 
     __slots__ = (
         '_entry_vm',
         '_failures',
-        '_limit_s',
+        '_max_age_s',
         '_owner',
         '_readers',
         '_rng',
@@ -215,44 +230,48 @@
         self._owner = owner
         self._readers = readers
         self._entry_vm = entry_vm
-        self._limit_s = limit_s
+        self._max_age_s = limit_s
         self._rng = rng
-        # Calls that failed in a row.
+        # Number of consecutive failed calls.
         self._failures = 0
 
     def step(self) -> float:
-        """Reads once if it must; returns when to look again, seconds."""
+        """Reads once if needed.
+
+        Returns:
+            The time until the next call, seconds.
+        """
 
-        def turn(
+        def read_state(
             state: beliefs.Beliefs, now: float
         ) -> tuple[float, dict[str, forwarding.EntryVm], bool]:
-            fresh_s = state.fresh_for(now, self._limit_s)
+            fresh_s = state.fresh_for(now, self._max_age_s)
             return fresh_s, state.entry_vms, state.matcher is None
 
-        fresh_s, known, ignorant = self._owner.run(turn)
-        reads = self._readers.choose(known) == self._entry_vm
-        if fresh_s > 0 and not reads:
+        fresh_s, vms, is_unconfigured = self._owner.run(read_state)
+        is_reader = self._readers.choose(vms) == self._entry_vm
+        if fresh_s > 0 and not is_reader:
             return max(LAZY_S, fresh_s)
         if self._topic.step():
             self._failures = 0
             return 0.0
         self._failures += 1
-        return self._retry_s(soon=reads or ignorant)
+        return self._retry_s(is_urgent=is_reader or is_unconfigured)
 
-    def _retry_s(self, *, soon: bool) -> float:
-        most_s = RETRY_READER_S if soon else RETRY_MOST_S
+    def _retry_s(self, *, is_urgent: bool) -> float:
+        max_wait_s = RETRY_READER_S if is_urgent else RETRY_MOST_S
         doublings = min(self._failures - 1, 8)
-        wait_s = min(most_s, RETRY_S * float(2**doublings))
-        # Spread, since all VMs lose the store at the same moment.
+        wait_s = min(max_wait_s, RETRY_S * float(2**doublings))
+        # Random, since all VMs lose the store at the same moment.
         return wait_s * self._rng.uniform(0.75, 1.25)
 
 
 class PeerSync:
-    """Asks the reader, and any other entry VM while nothing is fresh."""
+    """Requests state from the reader, or from any VM while it is stale."""
 
     __slots__ = (
         '_entry_vm',
-        '_limit_s',
+        '_max_age_s',
         '_owner',
         '_peers',
         '_readers',
@@ -273,38 +292,38 @@
         self._peers = peers
         self._readers = readers
         self._entry_vm = entry_vm
-        self._limit_s = limit_s
+        self._max_age_s = limit_s
         self._rng = rng
 
     def step(self) -> None:
-        """Asks once, as a loop."""
-        known = self._owner.run(lambda state, _: state.entry_vms)
-        reader = self._readers.choose(known)
+        """Sends one round of requests, as a loop."""
+        vms = self._owner.run(lambda state, _: state.entry_vms)
+        reader = self._readers.choose(vms)
         if reader != self._entry_vm:
-            reply = self._ask(known[reader].peer_address)
-            if reply is None or reply.age_s > self._limit_s:
+            reply = self._request_state(vms[reader].peer_address)
+            if reply is None or reply.age_s > self._max_age_s:
                 self._readers.failed(reader)
-                _log_passed(reader, answered=reply is not None)
+                _log_excluded(reader, answered=reply is not None)
             elif reply.store_lost and self._readers.store_lost(reader):
-                _log_passed(reader, answered=True)
+                _log_excluded(reader, answered=True)
         else:
             self._owner.run(lambda state, now: state.ask_self(now))
-            lost = self._owner.run(lambda state, _: state.store_lost())
-            if lost and self._readers.store_lost(reader):
-                _log_passed(reader, answered=True)
+            is_store_lost = self._owner.run(lambda state, _: state.store_lost())
+            if is_store_lost and self._readers.store_lost(reader):
+                _log_excluded(reader, answered=True)
         if self._owner.run(
-            lambda state, now: state.is_fresh(now, self._limit_s)
+            lambda state, now: state.is_fresh(now, self._max_age_s)
         ):
             return
         addresses = self._owner.run(lambda state, _: state.peers())
         if addresses:
-            self._ask(self._rng.choice(addresses))
+            self._request_state(self._rng.choice(addresses))
 
-    def _ask(self, address: str) -> messages.RecordsReply | None:
-        """Asks one entry VM and takes what it knows; None if it fails."""
-        ask = self._owner.run(lambda state, now: state.ask(now))
+    def _request_state(self, address: str) -> messages.RecordsReply | None:
+        """Requests and applies the state of one entry VM; None on failure."""
+        request = self._owner.run(lambda state, now: state.ask(now))
         try:
-            reply = self._peers.ask(address, ask, PEER_ANSWER_S)
+            reply = self._peers.ask(address, request, PEER_ANSWER_S)
         except errors.PortError as exc:
             logs.event(
                 logging.INFO, 'peer lost', address=address, error=str(exc)
@@ -316,7 +335,7 @@
         return reply
 
 
-def _log_passed(reader: str, *, answered: bool) -> None:
+def _log_excluded(reader: str, *, answered: bool) -> None:
     logs.event(
         logging.INFO, 'reader passed over', reader=reader, answered=answered
     )
