--- a/packages/daemon/foxtaildaled/gossip.py
+++ b/packages/daemon/foxtaildaled/gossip.py
@@ -262,12 +262,12 @@
         except errors.PortError:
             self._owner.run(lambda state, now: state.orders.unseen(name, now))
             return
-        orders = self._owner.run(
+        worker_orders = self._owner.run(
             lambda state, now: state.orders.seen(
                 name, observed, state.follower.offset, now
             )
         )
-        for order in orders:
+        for order in worker_orders:
             # The reply does not prove that the order took effect; the next
             # observation of the worker does.
             follow.quietly(
--- a/packages/daemon/foxtaildaled/loops.py
+++ b/packages/daemon/foxtaildaled/loops.py
@@ -56,7 +56,7 @@
         counts: Metrics of the router.
         stopping: Set when the router is asked to stop.
         on_read: Called after each read of the configuration or the servers.
-        clock: Monotonic clock, seconds.
+        clock: Returns the time, seconds.
         rng: Chooses among peers.
     """
 
--- a/packages/daemon/foxtaildaled/quarantining.py
+++ b/packages/daemon/foxtaildaled/quarantining.py
@@ -97,7 +97,8 @@
         self._store = store
         self._clock = clock
         self._lock = threading.Lock()
-        # Own reports that the coordinator has not received, oldest first.
+        # Own reports that the coordinator has not received, with their times,
+        # oldest first.
         self._pending: list[_Report] = []
         # Requests cleared here that the coordinator does not know of yet.
         self._pending_cleared: list[int] = []
@@ -157,14 +158,14 @@
     def report(self, msg: messages.CrashReports) -> messages.Quarantined:
         """Handles reports of another VM as coordinator."""
 
-        def run(state: beliefs.Beliefs, now: float) -> messages.Quarantined:
+        def change(state: beliefs.Beliefs, now: float) -> messages.Quarantined:
             for crash in msg.crashes:
                 state.verdicts.crashes.note(now, crash)
             for request in msg.cleared:
                 state.verdicts.acquit(now, request)
             return self._update(state, now)
 
-        reply = self._owner.run(run)
+        reply = self._owner.run(change)
         if msg.cleared:
             self._is_changed = True
         if not msg.copy:
@@ -232,10 +233,10 @@
             )
 
     def _clear(self, request: int) -> None:
-        def run(state: beliefs.Beliefs, now: float) -> None:
+        def change(state: beliefs.Beliefs, now: float) -> None:
             state.verdicts.acquit(now, request)
 
-        self._owner.run(run)
+        self._owner.run(change)
 
     def _send_reports(self) -> bool:
         """Sends pending reports.
@@ -275,12 +276,12 @@
     def _record(self, sent: list[_Report]) -> bool:
         """Records own reports; returns whether any crashes are known here."""
 
-        def run(state: beliefs.Beliefs, now: float) -> bool:
+        def change(state: beliefs.Beliefs, now: float) -> bool:
             for crash in _with_ages(sent, now):
                 state.verdicts.crashes.note(now, crash)
             return state.verdicts.crashes.pending(now)
 
-        return self._owner.run(run)
+        return self._owner.run(change)
 
     def _request_coordinator(
         self, reported: Sequence[messages.Crash], cleared: list[int]
@@ -289,7 +290,8 @@
             crashes=tuple(reported), cleared=tuple(cleared)
         )
         if reported:
-            # Reports of a coordinator to itself would be lost with it otherwise.
+            # Without the copies, reports that a coordinator sends to itself would
+            # be lost with it.
             successors = self._coordinators.heirs(HOME, HEIRS)
             copy = msgspec.structs.replace(msg, copy=True)
             self._peers.ask_all(successors, copy, ANSWER_S)
@@ -316,7 +318,7 @@
         )
 
     def _save(self) -> None:
-        """Saves new quarantined requests in the store and removes expired."""
+        """Saves new quarantined requests and removes expired ones."""
         records = self._owner.run(
             lambda state, now: state.verdicts.unsaved(now)
         )
--- a/packages/daemon/foxtaildaled/tidy.py
+++ b/packages/daemon/foxtaildaled/tidy.py
@@ -14,8 +14,8 @@
 from foxtaildale import ports
 from foxtaildale_adapters import logs
 
-# Maximum number of queued releases. Further resources are left to expire at the
-# engine, which takes two seconds at most.
+# Maximum number of queued releases. Further resources are left to expire at
+# the engine, which takes two seconds at most.
 QUEUE_LIMIT: Final = 200
 
 _Resource = forwarding.Reserved | forwarding.Prefilled
--- a/packages/daemon/foxtaildaled/verdicts.py
+++ b/packages/daemon/foxtaildaled/verdicts.py
@@ -44,8 +44,8 @@
         if not self.crashes.pending(now):
             return False
         quarantined = self.quarantine.held(now)
-        blamed = self.crashes.blamed(now, quarantined)
-        held = dict.fromkeys(blamed, quarantine.HELD_S)
+        newly_blamed = self.crashes.blamed(now, quarantined)
+        held = dict.fromkeys(newly_blamed, quarantine.HELD_S)
         return self.take(now, held, {}, 'reports')
 
     def take(
