--- a/packages/daemon/foxtaildaled/quarantining.py
+++ b/packages/daemon/foxtaildaled/quarantining.py
@@ -185,10 +185,10 @@
 
     def pace_s(self) -> float:
         """Returns the time until the next round of the loop, seconds."""
-        busy = self._owner.run(
+        is_settling = self._owner.run(
             lambda state, now: state.verdicts.crashes.is_settling(now)
         )
-        return LOOK_S if busy else REST_S
+        return LOOK_S if is_settling else REST_S
 
     def step(self) -> None:
         """Runs one round: sends reports, decides, announces and saves."""
@@ -218,13 +218,13 @@
         )
         now = self._clock()
         with self._lock:
-            was_completed = [
+            completed = [
                 request
                 for request in quarantined
                 if now - self._completed.get(request, -math.inf) < COMPLETED_S
             ]
-            self._pending_cleared.extend(was_completed)
-        for request in was_completed:
+            self._pending_cleared.extend(completed)
+        for request in completed:
             self._clear(request)
             logs.event(
                 logging.INFO,
@@ -290,8 +290,8 @@
             crashes=tuple(reported), cleared=tuple(cleared)
         )
         if reported:
-            # Without the copies, reports that a coordinator sends to itself would
-            # be lost with it.
+            # Without the copies, reports that a coordinator sends to itself
+            # would be lost with it.
             successors = self._coordinators.heirs(HOME, HEIRS)
             copy = msgspec.structs.replace(msg, copy=True)
             self._peers.ask_all(successors, copy, ANSWER_S)
--- a/packages/daemon/foxtaildaled/sendlimits.py
+++ b/packages/daemon/foxtaildaled/sendlimits.py
@@ -21,8 +21,8 @@
 
 # Subject by which the coordinator of server limits is chosen.
 HOME: Final = 'server limits'
-# Interval between requests while a limit is known, and between checks otherwise,
-# seconds.
+# Interval between requests while a limit is known, and between checks
+# otherwise, seconds.
 ASK_S: Final = 0.2
 REST_S: Final = 1.0
 # Interval between requests for each entry VM, seconds. All VMs send their
--- a/packages/daemon/foxtaildaled/storereaders.py
+++ b/packages/daemon/foxtaildaled/storereaders.py
@@ -23,12 +23,14 @@
     Calls to the store are charged, and all entry VMs share its capacity. If
     each VM read the store, calls would grow with the number of VMs. One VM,
     chosen by rendezvous hash, reads, and the others send it requests; if there
-    are many VMs, there is one reader per data centre. A reader that does not reply or
-    has no fresh data is excluded for a while. A reader that reports a failing
-    store is excluded at once: otherwise all VMs would wait until their data is
-    too old, and then read the store at the same time. If the next reader
-    reports the same, the store fails for all VMs and another reader would not
-    help. Safe for concurrent use.
+    are many VMs, there is one reader per data centre. A reader that does not
+    reply or has no fresh data is excluded for a while. A reader that reports a
+    failing store is excluded at once: otherwise all VMs would wait until their
+    data is too old, and then read the store at the same time. If the next
+    reader reports the same, the store fails for all VMs and another reader
+    would not help.
+
+    Safe for concurrent use.
     """
 
     __slots__ = (
--- a/packages/daemon/foxtaildaled/syncing.py
+++ b/packages/daemon/foxtaildaled/syncing.py
@@ -36,8 +36,8 @@
 # cost of a call. It doubles with each consecutive failure.
 RETRY_S: Final = 0.3
 # Longest wait between attempts, seconds: of a reader and of a VM without a
-# configuration, and of all other VMs, which learn from the reader that the store
-# has recovered. Each call to a store that is down adds to its backlog.
+# configuration, and of all other VMs, which learn from the reader that the
+# store has recovered. Each call to a store that is down adds to its backlog.
 RETRY_READER_S: Final = 0.6
 RETRY_MOST_S: Final = 2.4
 # Interval between the reader's reads of the list of entry VMs, seconds. The
