--- a/packages/daemon/foxtaildaled/quarantining.py
+++ b/packages/daemon/foxtaildaled/quarantining.py
@@ -185,10 +185,10 @@
 
     def pace_s(self) -> float:
         """Returns the time until the next round of the loop, seconds."""
-        is_settling = self._owner.run(
+        has_settling = self._owner.run(
             lambda state, now: state.verdicts.crashes.is_settling(now)
         )
-        return LOOK_S if is_settling else REST_S
+        return LOOK_S if has_settling else REST_S
 
     def step(self) -> None:
         """Runs one round: sends reports, decides, announces and saves."""
--- a/packages/daemon/foxtaildaled/syncing.py
+++ b/packages/daemon/foxtaildaled/syncing.py
@@ -63,7 +63,7 @@
 
     __slots__ = (
         '_counts',
-        '_is_reachable',
+        '_is_up',
         '_owner',
         '_store',
         '_topic',
@@ -84,7 +84,7 @@
         self._counts = counts
         self._wait_s = wait_s
         # Whether the last read succeeded; None before the first.
-        self._is_reachable: bool | None = None
+        self._is_up: bool | None = None
 
     def step(self) -> bool:
         """Reads once; returns whether the store responded."""
@@ -114,18 +114,14 @@
         except errors.LapsedError:
             return self._store.newest(self._topic), True
 
-    def _log_change(self, is_reachable: bool, **fields: object) -> None:
-        if is_reachable == self._is_reachable:
+    def _log_change(self, is_up: bool, **fields: object) -> None:
+        if is_up == self._is_up:
             return
-        if is_reachable:
-            event = (
-                'store reached'
-                if self._is_reachable is None
-                else 'store regained'
-            )
+        if is_up:
+            event = 'store reached' if self._is_up is None else 'store regained'
         else:
             event = 'store lost'
-        self._is_reachable = is_reachable
+        self._is_up = is_up
         logs.event(logging.INFO, event, topic=self._topic, **fields)
 
 
