--- a/packages/core/foxtaildale/appends.py
+++ b/packages/core/foxtaildale/appends.py
@@ -1,8 +1,9 @@
-"""What a keeper has to append to a stream, and when it may try.
+"""Queues the items that a keeper appends to a stream of the platform log.
 
-One append is in flight at a time and takes along all that has gathered, so the
-number of appends doesn't grow with the number of requests. After a failure the
-tries back off, so that a log that is down isn't hammered by every VM.
+Only one append is in flight at a time, and it contains all items queued so
+far, up to a maximum, so the number of appends does not grow with the number
+of requests. After a failure the delay between attempts grows, so that the VMs
+do not overload a log that is unavailable.
 """
 
 from collections.abc import Hashable
@@ -11,16 +12,18 @@
 from typing import Generic
 from typing import TypeVar
 
-_FIRST_BACKOFF_S: Final = 0.5
-_LAST_BACKOFF_S: Final = 8.0
-# Items of one append.
+# Delay after the first failure; doubles with each further failure up to the
+# maximum.
+_MIN_BACKOFF_S: Final = 0.5
+_MAX_BACKOFF_S: Final = 8.0
+# Maximum number of items in one append.
 _MAX_ITEMS: Final = 500
 
 _T = TypeVar('_T', bound=Hashable)
 
 
 class Appends(Generic[_T]):
-    """Items to append, in order; times are seconds, monotonic."""
+    """Queue of items to append; times are monotonic, in seconds."""
 
     __slots__ = (
         '_backoff_s',
@@ -33,62 +36,67 @@
     )
 
     def __init__(self, interval_s: float) -> None:
-        # Shortest time between two appends.
+        # Minimum time between the starts of two appends.
         self.interval_s = interval_s
-        # In order; a set, so that nothing gathers twice during an outage.
+        # An ordered set, so that no item is queued twice during an outage.
         self._items: dict[_T, None] = {}
-        # What the append in flight took along; None if there is none.
+        # Items of the append in flight; None if there is none.
         self._in_flight: list[_T] | None = None
         self._next_at = float('-inf')
         self._retry_at = float('-inf')
-        self._backoff_s = _FIRST_BACKOFF_S
-        # Appends begun, for the metrics.
+        self._backoff_s = _MIN_BACKOFF_S
+        # Number of appends started, for the metrics.
         self.count = 0
 
     def __len__(self) -> int:
         return len(self._items) + len(self._in_flight or ())
 
     def add(self, item: _T) -> None:
-        """Adds an item behind the others, unless it waits already."""
+        """Adds an item at the end of the queue, unless it is queued already."""
         self._items[item] = None
 
     def is_down(self, now: float) -> bool:
-        """Whether the last try failed and the next is not due."""
+        """Whether the last attempt failed and the next one is not due."""
         return now < self._retry_at
 
     def wait_s(self, now: float) -> float:
-        """Returns how long until the next append may begin."""
+        """Returns how long to wait before the next append, seconds."""
         return max(self._retry_at - now, self.interval_s)
 
     def take(self, now: float) -> list[_T]:
-        """Begins an append; empty if there is nothing or it is too early."""
+        """Starts an append and returns its items.
+
+        Returns an empty list if an append is in flight, nothing is queued or
+        the next append is not due.
+        """
         if self._in_flight is not None or not self._items:
             return []
         if now < max(self._next_at, self._retry_at):
             return []
-        taken = list(itertools.islice(self._items, _MAX_ITEMS))
-        for item in taken:
+        items = list(itertools.islice(self._items, _MAX_ITEMS))
+        for item in items:
             del self._items[item]
-        self._in_flight = taken
+        self._in_flight = items
         self._next_at = now + self.interval_s
         self.count += 1
-        return taken
+        return items
 
     def on_done(self, now: float) -> None:
-        """The append in flight took effect."""
+        """Handles the success of the append in flight."""
         self._in_flight = None
         self._retry_at = now
-        self._backoff_s = _FIRST_BACKOFF_S
+        self._backoff_s = _MIN_BACKOFF_S
 
     def on_failed(self, now: float) -> tuple[list[_T], list[_T]]:
-        """The append in flight failed or its answer was lost.
+        """Handles a failure of the append in flight or the loss of its reply.
 
         Returns:
-            What it had taken along, and what waited behind it. Nothing of it
-            is kept: the owner adds again what is still to be said.
+            The items of the append and the items queued behind it. Both are
+            removed from the queue: the owner adds those again that are still
+            needed.
         """
-        taken, self._in_flight = self._in_flight or [], None
-        waited, self._items = list(self._items), {}
+        items, self._in_flight = self._in_flight or [], None
+        queued, self._items = list(self._items), {}
         self._retry_at = now + self._backoff_s
-        self._backoff_s = min(2 * self._backoff_s, _LAST_BACKOFF_S)
-        return taken, waited
+        self._backoff_s = min(2 * self._backoff_s, _MAX_BACKOFF_S)
+        return items, queued
--- a/packages/core/foxtaildale/changes.py
+++ b/packages/core/foxtaildale/changes.py
@@ -1,8 +1,8 @@
 """Records of the platform log's `config` stream.
 
-Operators publish presets and switch between them, keepers add checkpoints;
-`fold` says what the records mean. A preset travels in its canonical form, and
-the digest of that form names it.
+Operators publish presets and switch between them; keepers append checkpoints.
+`fold` defines the effect of each record. A preset is encoded in its canonical
+form and identified by the digest of that form.
 """
 
 from typing import Annotated
@@ -13,9 +13,9 @@
 
 from foxtaildale import values
 
-# The log's stream of configuration.
+# Name of the log stream that contains the configuration.
 STREAM: Final = 'config'
-# Longest canonical preset, bytes.
+# Maximum size of a canonical preset.
 MAX_PRESET_BYTES: Final = 32_768
 
 _Id = Annotated[str, msgspec.Meta(min_length=1, max_length=40)]
@@ -25,19 +25,19 @@
 class _Change(
     msgspec.Struct, frozen=True, kw_only=True, tag=True, array_like=True
 ):
-    """Base of the records."""
+    """Base class of the records."""
 
-    # Chosen at random by the writer; a repeated append carries it again.
+    # Chosen at random by the writer; a repeated append has the same id.
     id: _Id
 
 
 class Publish(_Change, frozen=True):
-    """Makes a preset known; it is not yet in force."""
+    """Publishes a preset without putting it in force."""
 
     base: _Offset
     digest: str
-    # Canonical form. Kept as bytes, so that a reader of another version,
-    # which knows other fields, keeps and passes on the same bytes.
+    # Canonical form. Stored as bytes, so that a reader of another version,
+    # which has other fields, stores and forwards the same bytes.
     preset: bytes
 
 
@@ -51,7 +51,7 @@
 
 
 class Checkpoint(_Change, frozen=True):
-    """The folded state of all records below `offset`; changes nothing."""
+    """The state after all records below `offset`; does not change it."""
 
     offset: _Offset
     digest: str
@@ -63,27 +63,29 @@
 
 _encoder: Final = msgspec.msgpack.Encoder()
 _decoder: Final = msgspec.msgpack.Decoder(Change)
-# How a preset without client accounts ends, since they are its last field.
+# End of a canonical preset without client accounts, its last field.
 _NO_ACCOUNTS: Final = b',"accounts":{}}'
-_presets: Final = msgspec.json.Decoder(values.Preset)
+_preset_decoder: Final = msgspec.json.Decoder(values.Preset)
 
 
 def canonical(preset: values.Preset) -> bytes:
-    """Returns the one form of a preset: JSON, every field, keys sorted.
+    """Returns the canonical form of a preset.
 
-    Without accounts it has no field for them, so that a preset which was
-    published before there were any keeps its digest.
+    It is JSON with every field and sorted keys. The field for client accounts
+    is left out if there are none, so that a preset published before this field
+    existed keeps its digest.
     """
-    # Decoded once, since 1 and 1.0 are equal weights but not equal bytes.
-    whole = _presets.decode(msgspec.json.encode(preset))
-    data = msgspec.json.encode(whole, order='deterministic')
+    # Encoding and decoding normalizes numbers: the weights 1 and 1.0 are
+    # equal but encoded differently.
+    normalized = _preset_decoder.decode(msgspec.json.encode(preset))
+    data = msgspec.json.encode(normalized, order='deterministic')
     if data.endswith(_NO_ACCOUNTS):
         return data.removesuffix(_NO_ACCOUNTS) + b'}'
     return data
 
 
 def digest_of(data: bytes) -> str:
-    """Returns the hex digest that names a preset or a state."""
+    """Returns the hex digest that identifies a preset or a state."""
     return xxhash.xxh3_128_hexdigest(data)
 
 
@@ -94,12 +96,12 @@
 
 
 def encode(change: Change) -> bytes:
-    """Returns the bytes of a record."""
+    """Returns the encoded record."""
     return _encoder.encode(change)
 
 
 def decode(data: bytes) -> Change | None:
-    """Returns the record in `data`, or None if it is not one."""
+    """Returns the record encoded in `data`, or None if it is invalid."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -107,17 +109,21 @@
 
 
 def preset_in(record: Publish) -> values.Preset | None:
-    """Returns the preset in a record, or None if it is not whole."""
+    """Returns the preset of a record, or None if it is invalid.
+
+    It is invalid if it is too long, does not match its digest or cannot be
+    decoded.
+    """
     if len(record.preset) > MAX_PRESET_BYTES:
         return None
     if digest_of(record.preset) != record.digest:
         return None
     try:
-        return _presets.decode(record.preset)
+        return _preset_decoder.decode(record.preset)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return None
 
 
 def preset_of(data: bytes) -> values.Preset:
-    """Returns the preset of a canonical form that was checked before."""
-    return _presets.decode(data)
+    """Decodes a canonical form that has been checked before."""
+    return _preset_decoder.decode(data)
--- a/packages/core/foxtaildale/checkpoints.py
+++ b/packages/core/foxtaildale/checkpoints.py
@@ -1,9 +1,10 @@
-"""When a checkpoint is written, and where a late reader finds one.
+"""Schedules the writing of checkpoints and finds them in the log.
 
 The platform keeps records for a limited time. A checkpoint is a record that
-carries the folded state, so that a keeper started later needs only what is
-left. Two equal ones are harmless; hundreds at once would crowd the log, so
-each keeper waits for a turn of its own and the first one saves the others it.
+contains the whole configuration state, so that a keeper that starts later
+needs only the records that are left. Two equal checkpoints are harmless, but
+hundreds at once would load the log. Each keeper therefore delays its
+checkpoint by a different time, and skips it if another keeper has written one.
 """
 
 from collections.abc import Iterator
@@ -14,95 +15,96 @@
 from foxtaildale import changes
 from foxtaildale import ports
 
-# Records after the last checkpoint that make another one due.
+# Number of records since the last checkpoint that makes another one due.
 MAX_RECORDS: Final = 128
-# Keepers put off a due checkpoint by up to this long for each of them, so
-# that one writes it and the others see it before their turn, seconds.
-_SPREAD_S: Final = 1.0
+# Maximum delay of a due checkpoint, seconds per keeper. One keeper writes it,
+# and the others read it before their own delay has passed.
+_DELAY_PER_KEEPER_S: Final = 1.0
 
 
 class Schedule:
     """Decides when this keeper writes a checkpoint."""
 
     __slots__ = (
+        '_covered_offset',
         '_due_at',
         '_entry_vm',
         '_interval_s',
-        '_offset',
-        '_records',
-        '_seen_at',
+        '_read_at',
+        '_record_count',
     )
 
-    # What the newest checkpoint stands for, and when it was seen.
-    _offset: int
-    _seen_at: float | None
-    # Records since.
-    _records: int
-    # When this keeper's turn comes; None while none is due.
+    # Offset that the newest checkpoint covers, and when it was read.
+    _covered_offset: int
+    _read_at: float | None
+    # Number of records since the newest checkpoint.
+    _record_count: int
+    # When this keeper writes a checkpoint; None while none is due.
     _due_at: float | None
 
     def __init__(self, entry_vm: str, interval_s: float) -> None:
         self._entry_vm = entry_vm
         self._interval_s = interval_s
-        self._offset = 0
-        self._seen_at = None
-        self._records = 0
+        self._covered_offset = 0
+        self._read_at = None
+        self._record_count = 0
         self._due_at = None
 
     def on_record(self) -> None:
-        """Counts a record that is no checkpoint."""
-        self._records += 1
+        """Counts a record that is not a checkpoint."""
+        self._record_count += 1
 
     def on_checkpoint(self, now: float, offset: int) -> None:
-        """Notes a checkpoint that stands for `offset`."""
-        if offset >= self._offset:
-            self._offset = offset
-            self._seen_at = now
-            self._records = 0
+        """Records a checkpoint that covers the records below `offset`."""
+        if offset >= self._covered_offset:
+            self._covered_offset = offset
+            self._read_at = now
+            self._record_count = 0
 
     def due(self, now: float, first_kept: int, keepers: int) -> bool:
-        """Tells whether to append one now."""
-        if not self._wanted(now, first_kept):
+        """Whether to append a checkpoint now."""
+        if not self._is_needed(now, first_kept):
             self._due_at = None
             return False
-        spread = _SPREAD_S * keepers
+        max_delay_s = _DELAY_PER_KEEPER_S * keepers
         if self._due_at is None:
-            self._due_at = now + spread * self._turn()
+            self._due_at = now + max_delay_s * self._delay_fraction()
         if now < self._due_at:
             return False
-        # The append may be lost; another turn comes unless it is seen.
-        self._due_at = now + spread
+        # The append may be lost; it is repeated unless its record is read.
+        self._due_at = now + max_delay_s
         return True
 
-    def _wanted(self, now: float, first_kept: int) -> bool:
-        if first_kept > self._offset:
-            # A keeper that starts now finds nothing to start from.
+    def _is_needed(self, now: float, oldest_offset: int) -> bool:
+        if oldest_offset > self._covered_offset:
+            # A keeper that starts now has no checkpoint to start from.
             return True
-        if self._records >= MAX_RECORDS:
+        if self._record_count >= MAX_RECORDS:
             return True
-        if self._seen_at is None:
-            self._seen_at = now
-        # Also with no record since: the last checkpoint will lapse as well.
-        return now - self._seen_at >= self._interval_s
-
-    def _turn(self) -> float:
-        """Returns this keeper's turn in a round of all, from 0 to 1."""
-        text = f'{self._entry_vm}/{self._offset}'
+        if self._read_at is None:
+            self._read_at = now
+        # Needed even without new records: the last checkpoint expires too.
+        return now - self._read_at >= self._interval_s
+
+    def _delay_fraction(self) -> float:
+        """Returns this keeper's share of the maximum delay, from 0 to 1."""
+        text = f'{self._entry_vm}/{self._covered_offset}'
         return xxhash.xxh64_intdigest(text.encode()) / 2**64
 
 
 def candidates(batch: ports.Batch) -> Iterator[list[changes.Checkpoint]]:
-    """Yields checkpoints whose following records can be read, newest first.
+    """Yields the checkpoints whose following records are available.
 
-    Those for one offset come together. More than one means that their writers
-    folded the same records to different states.
+    The newest offset comes first. Different checkpoints of one offset are
+    yielded together: their writers computed different states from the same
+    records.
     """
-    found: dict[int, dict[str, changes.Checkpoint]] = {}
+    by_offset: dict[int, dict[str, changes.Checkpoint]] = {}
     for record in batch.records:
         change = changes.decode(record.data)
         if not isinstance(change, changes.Checkpoint):
             continue
         if batch.first <= change.offset <= record.offset:
-            found.setdefault(change.offset, {})[change.digest] = change
-    for offset in sorted(found, reverse=True):
-        yield list(found[offset].values())
+            by_offset.setdefault(change.offset, {})[change.digest] = change
+    for offset in sorted(by_offset, reverse=True):
+        yield list(by_offset[offset].values())
--- a/packages/core/foxtaildale/divergence.py
+++ b/packages/core/foxtaildale/divergence.py
@@ -1,56 +1,59 @@
-"""Reports of two different states at one offset.
+"""Records differences between two states computed at one offset.
 
-Folds of one stream can't differ, so one process is broken: its memory, its
-version, or the log gave it other records. Which one can't be told from here.
-It is reported for people to settle; nothing is repaired by guessing.
+All readers of one stream must compute the same state. A difference means that
+one process is faulty: its memory or its version is wrong, or the log returned
+other records to it. The keeper cannot determine which state is wrong, so it
+reports the difference to the operators and repairs nothing.
 """
 
 from typing import Final
 
 import msgspec
 
-# Reports remembered for the state dump.
-_MAX: Final = 8
+# Maximum number of divergences shown in the state dump.
+_MAX_DIVERGENCES: Final = 8
 
 
 class Divergence(msgspec.Struct, frozen=True):
     """Two different states at one offset."""
 
-    # Name of the peer's VM, or what else the other state came from.
+    # Where the other state came from: the name of the peer's VM, 'pull' or
+    # 'checkpoint'.
     source: str
     offset: int
+    # Digests of the two states.
     own: str
     other: str
 
 
 class Reports:
-    """The divergences that one follower has met."""
+    """The divergences that one follower has detected."""
 
-    __slots__ = ('_open', 'all')
+    __slots__ = ('_unresolved', 'all')
 
-    # Newest last; settled ones are among them.
+    # Newest last; includes resolved ones.
     all: tuple[Divergence, ...]
-    # Sources that differ still, as far as is known.
-    _open: set[str]
+    # Sources whose last known state differs.
+    _unresolved: set[str]
 
     def __init__(self) -> None:
         self.all = ()
-        self._open = set()
+        self._unresolved = set()
 
     def __bool__(self) -> bool:
-        """Tells whether any source differs still."""
-        return bool(self._open)
+        """Whether there is an unresolved divergence."""
+        return bool(self._unresolved)
 
     def __contains__(self, source: str) -> bool:
-        """Tells whether a source differs still."""
-        return source in self._open
+        """Whether a source has an unresolved divergence."""
+        return source in self._unresolved
 
-    def report(self, found: Divergence) -> None:
-        """Notes a divergence."""
-        self._open.add(found.source)
-        if found not in self.all:
-            self.all = (*self.all, found)[-_MAX:]
+    def report(self, divergence: Divergence) -> None:
+        """Records a divergence and marks its source as unresolved."""
+        self._unresolved.add(divergence.source)
+        if divergence not in self.all:
+            self.all = (*self.all, divergence)[-_MAX_DIVERGENCES:]
 
     def settle(self, source: str) -> None:
-        """Notes that a source agrees, say after it was replaced."""
-        self._open.discard(source)
+        """Records that a source agrees, for example after its replacement."""
+        self._unresolved.discard(source)
--- a/packages/core/foxtaildale/fold.py
+++ b/packages/core/foxtaildale/fold.py
@@ -1,15 +1,16 @@
-"""Presets agreed on: the fold of the platform log's `config` stream.
-
-Every reader applies the same records in the order of their offsets, with no
-clock and nothing else of its own, so all come to the same state. Nobody
-votes. The flow of one record: it is decoded (one that can't be is skipped, by
-all alike), its id is looked up (a repeat is skipped), its verdict is found,
-and if it is accepted the state changes.
-
-How ids are bounded. A record says which offset its writer had read up to
-(`base`). It is rejected as stale when it lands `WINDOW` or more offsets after
-that, and verdicts are remembered for the last `WINDOW` offsets. So a copy
-either lands while the verdict on the first one is remembered, or is stale.
+"""Computes the agreed presets from the platform log's `config` stream.
+
+Every reader applies the same records in offset order and uses no clock and no
+other local input, so all readers reach the same state without voting. Each
+record is decoded (every reader skips a record that cannot be decoded), its id
+is looked up (a repeated id is skipped), its verdict is determined, and if it
+is accepted, the state changes.
+
+The set of remembered ids is bounded. A record states the offset up to which
+its writer had read (`base`). It is rejected as stale if its own offset is
+`WINDOW` or more above that, and verdicts are remembered for the last `WINDOW`
+offsets. A duplicate therefore either arrives while the verdict on the first
+copy is still remembered, or is stale.
 """
 
 from typing import Annotated
@@ -23,10 +24,12 @@
 from foxtaildale import ports
 from foxtaildale import values
 
-# Offsets that a verdict is remembered for, and that a record may be late by.
+# Number of offsets for which a verdict is remembered, and by which a record
+# may follow its `base`.
 WINDOW: Final = 256
-# Published presets that are kept; the oldest goes first, never the one in
-# force. Bounds the state, and with it checkpoints and pulls, to about 1 MB.
+# Maximum number of published presets. The oldest is removed first, but never
+# the one in force. Limits the state, and therefore checkpoints and pull
+# replies, to about 1 MB.
 MAX_PUBLISHED: Final = 32
 
 Reason = Literal[
@@ -36,7 +39,7 @@
 
 
 class Verdict(msgspec.Struct, frozen=True, array_like=True):
-    """What the fold made of a record."""
+    """The decision on one record."""
 
     offset: int
     # Empty if accepted.
@@ -46,7 +49,7 @@
 
     @property
     def accepted(self) -> bool:
-        """Tells whether the record took effect."""
+        """Whether the record took effect."""
         return not self.reason
 
 
@@ -61,11 +64,12 @@
 
 
 class State(msgspec.Struct, frozen=True, array_like=True):
-    """Everything folded, as it travels in checkpoints and pulls."""
+    """The whole state as encoded in checkpoints and pull replies."""
 
     offset: _Offset = 0
     revision: _Offset = 0
-    # Offset of the switch in force, and its preset's digest; empty if none.
+    # Offset of the last accepted switch, 0 if none, and the digest of its
+    # preset, empty if none.
     switched_at: int = 0
     in_force: str = ''
     # Oldest first.
@@ -79,11 +83,11 @@
 
 
 class Fold:
-    """The folded state, and what follows from it."""
+    """Applies records to the state and gives access to it."""
 
     __slots__ = (
-        '_bytes',
         '_digest',
+        '_encoded',
         '_in_force',
         '_published',
         '_revision',
@@ -102,8 +106,9 @@
     _published: dict[str, Published]
     # By id, oldest first.
     _verdicts: dict[str, Verdict]
-    # State's bytes and digest until the next record; empty if not made yet.
-    _bytes: bytes
+    # Cached encoding of the state and its digest; empty if not computed since
+    # the last record.
+    _encoded: bytes
     _digest: str
 
     def __init__(self, state: State | None = None) -> None:
@@ -115,8 +120,10 @@
         self._verdicts = dict(state.verdicts)
         self._in_force = None
         if state.in_force:
-            self._in_force = self._enforced(self._published[state.in_force])
-        self._bytes = b''
+            self._in_force = self._make_in_force(
+                self._published[state.in_force]
+            )
+        self._encoded = b''
         self._digest = ''
 
     @property
@@ -136,7 +143,7 @@
 
     @property
     def digest(self) -> str:
-        """Digest of the whole state; equal for equal offsets."""
+        """Digest of the whole state; equal on all readers at one offset."""
         if not self._digest:
             self._digest = changes.digest_of(self.to_bytes())
         return self._digest
@@ -146,10 +153,10 @@
         return self._verdicts.get(change_id)
 
     def to_bytes(self) -> bytes:
-        """Returns the state as it travels."""
-        if not self._bytes:
+        """Returns the encoded state."""
+        if not self._encoded:
             in_force = self._in_force.digest if self._in_force else ''
-            self._bytes = _encoder.encode(
+            self._encoded = _encoder.encode(
                 State(
                     self.offset,
                     self._revision,
@@ -159,7 +166,7 @@
                     tuple(self._verdicts.items()),
                 )
             )
-        return self._bytes
+        return self._encoded
 
     def apply(self, record: ports.Record) -> changes.Change | None:
         """Applies the record at `offset` and returns it, or None if skipped.
@@ -169,33 +176,34 @@
         """
         if record.offset != self.offset:
             raise errors.InvariantError(
-                f'record {record.offset} applied at offset {self.offset}'
+                f'record at offset {record.offset} cannot be applied;'
+                f' the next offset is {self.offset}'
             )
-        self._bytes = b''
+        self._encoded = b''
         self._digest = ''
         change = changes.decode(record.data)
         if isinstance(change, changes.Publish | changes.Switch):
-            self._judge(change)
+            self._record_verdict(change)
         self.offset += 1
-        self._forget()
+        self._remove_old_verdicts()
         return change
 
-    def _judge(self, change: changes.Publish | changes.Switch) -> None:
+    def _record_verdict(self, change: changes.Publish | changes.Switch) -> None:
         if change.id in self._verdicts:
-            # The answer to an append was lost and the writer sent it again.
-            # Counted twice, a switch that was told `rejected` could still
-            # come into force once its expectation happens to be met.
+            # The reply to an append was lost and the writer repeated it. If
+            # the repeat were evaluated, a switch reported as rejected could
+            # still come into force once its expected revision is reached.
             return
-        reason = self._late(change)
+        reason = self._check_base(change)
         if not reason and isinstance(change, changes.Publish):
             reason = self._publish(change)
         elif not reason and isinstance(change, changes.Switch):
             reason = self._switch(change)
         self._verdicts[change.id] = Verdict(self.offset, reason, self._revision)
 
-    def _late(self, change: changes.Publish | changes.Switch) -> Reason:
+    def _check_base(self, change: changes.Publish | changes.Switch) -> Reason:
         if change.base > self.offset:
-            # Written by somebody who has read another log than this one.
+            # The writer has read a log other than this one.
             return 'ahead'
         if self.offset - change.base >= WINDOW:
             return 'stale'
@@ -205,55 +213,56 @@
         preset = changes.preset_in(change)
         if preset is None:
             return 'bad-preset'
-        found = self._published.pop(change.digest, None)
-        # Published anew, it is the youngest again.
-        self._published[change.digest] = found or Published(
+        published = self._published.pop(change.digest, None)
+        # Publishing a preset again makes it the newest one.
+        self._published[change.digest] = published or Published(
             preset.name, change.digest, self.offset, change.preset
         )
         if len(self._published) > MAX_PUBLISHED:
-            self._drop_oldest()
+            self._remove_oldest_preset()
         return ''
 
-    def _drop_oldest(self) -> None:
-        kept = self._in_force.digest if self._in_force else ''
-        oldest = next(key for key in self._published if key != kept)
+    def _remove_oldest_preset(self) -> None:
+        in_force = self._in_force.digest if self._in_force else ''
+        oldest = next(key for key in self._published if key != in_force)
         del self._published[oldest]
 
     def _switch(self, change: changes.Switch) -> Reason:
         if change.expects != self._revision:
-            # Two operators switched at once; the log's order settles it, and
-            # the second learns that its choice was made on an old view.
+            # Two operators switched at the same time. The first record in the
+            # log wins; the second operator is informed that its switch was
+            # based on an outdated revision.
             return 'other-revision'
-        found = self._published.get(change.digest)
-        if found is None or found.name != change.name:
+        published = self._published.get(change.digest)
+        if published is None or published.name != change.name:
             return 'not-published'
         self._revision += 1
         self._switched_at = self.offset
-        self._in_force = self._enforced(found)
+        self._in_force = self._make_in_force(published)
         return ''
 
-    def _enforced(self, found: Published) -> values.InForce:
+    def _make_in_force(self, published: Published) -> values.InForce:
         return values.InForce(
             self._revision,
             self._switched_at,
-            found.digest,
-            changes.preset_of(found.data),
+            published.digest,
+            changes.preset_of(published.data),
         )
 
-    def _forget(self) -> None:
-        oldest = self.offset - WINDOW
+    def _remove_old_verdicts(self) -> None:
+        oldest_offset = self.offset - WINDOW
         while self._verdicts:
-            key = next(iter(self._verdicts))
-            if self._verdicts[key].offset >= oldest:
+            change_id = next(iter(self._verdicts))
+            if self._verdicts[change_id].offset >= oldest_offset:
                 return
-            del self._verdicts[key]
+            del self._verdicts[change_id]
 
 
 def from_bytes(data: bytes, digest: str) -> Fold | None:
-    """Returns the fold whose state is in `data`.
+    """Returns the fold whose state is encoded in `data`.
 
-    None if the bytes are not a state or are not those of the digest: a state
-    that was cut short or altered on its way must not replace a good one.
+    Returns None if the bytes do not match the digest or do not encode a
+    state: a truncated or altered state must not replace a good one.
     """
     if changes.digest_of(data) != digest:
         return None
--- a/packages/core/foxtaildale/gossip.py
+++ b/packages/core/foxtaildale/gossip.py
@@ -1,12 +1,13 @@
-"""Which peers a keeper exchanges beats with.
+"""Selects the peers to which a keeper sends its heartbeats.
 
-A full mesh costs each keeper as many beats as there are keepers. That pays
-while there are few: each hears of each other's end at once. At several hundred
-it is more than control may spend, so a beat goes to a few peers only, taken
-in turn from a list that is shuffled anew when it is used up. Every peer is met
-once in a round, which a free choice at random would not ensure, and since a
-beat is answered by a beat, news spreads in a few beats all the same.
-docs/design/presets.md has the figures.
+In a full mesh each keeper sends as many heartbeats as there are keepers. With
+few keepers this is affordable, and every keeper is informed at once when
+another one stops. With several hundred it exceeds the budget for control
+traffic, so a heartbeat goes to a few peers only. They are taken in turn from a
+list that is shuffled again when it is used up. Every peer is contacted once in
+a round, which an independent random choice would not ensure. Since the reply
+to a heartbeat is a heartbeat too, updates still reach all keepers within a few
+heartbeats. docs/design/presets.md has the figures.
 """
 
 from collections.abc import Sequence
@@ -14,54 +15,57 @@
 import random
 from typing import Final
 
-# With no more keepers than this, a beat goes to all others.
+# Up to this number of keepers, a heartbeat goes to all others.
 FULL_MESH: Final = 9
-# Peers that one beat goes to where there are more.
+# Number of peers that receive one heartbeat if there are more keepers.
 FANOUT: Final = 2
 
 
 def fanout_of(keepers: int) -> int:
-    """Returns how many peers one beat goes to."""
+    """Returns the number of peers that receive one heartbeat."""
     return max(1, keepers - 1) if keepers <= FULL_MESH else FANOUT
 
 
 class Gossip:
-    """Chooses the peers of one keeper's beats."""
+    """Selects the peers of one keeper's heartbeats."""
 
-    __slots__ = ('_fanout', '_left', '_random')
+    __slots__ = ('_fanout', '_random', '_remaining')
 
-    # Peers of one beat; None for as many as their number asks for.
+    # Number of peers per heartbeat; None to derive it from the number of
+    # keepers.
     _fanout: int | None
-    # Peers still to meet in this round.
-    _left: list[str]
+    # Addresses of the peers not yet contacted in this round.
+    _remaining: list[str]
 
     def __init__(self, entry_vm: str, fanout: int | None = None) -> None:
-        """Seeds the order by the VM's name, so that tests can repeat it."""
+        """Seeds the order with the name of the VM to make it reproducible."""
         self._fanout = fanout
-        self._left = []
+        self._remaining = []
         self._random = random.Random(entry_vm)
 
     def targets(self, addresses: Sequence[str]) -> tuple[str, ...]:
-        """Returns where this beat goes.
+        """Returns the addresses to which the next heartbeat goes.
 
         Args:
-            addresses: All peers, without this keeper.
+            addresses: Addresses of all peers, without this keeper.
         """
-        known = frozenset(addresses)
-        self._left = [address for address in self._left if address in known]
-        fanout = self._fanout or fanout_of(len(known) + 1)
-        wanted = min(fanout, len(known))
+        peers = frozenset(addresses)
+        self._remaining = [
+            address for address in self._remaining if address in peers
+        ]
+        fanout = self._fanout or fanout_of(len(peers) + 1)
+        target_count = min(fanout, len(peers))
         chosen: list[str] = []
-        while len(chosen) < wanted:
-            if not self._left:
-                self._left = sorted(known)
-                self._random.shuffle(self._left)
-            address = self._left.pop()
+        while len(chosen) < target_count:
+            if not self._remaining:
+                self._remaining = sorted(peers)
+                self._random.shuffle(self._remaining)
+            address = self._remaining.pop()
             if address not in chosen:
                 chosen.append(address)
         return tuple(chosen)
 
 
 def round_beats(keepers: int) -> int:
-    """Returns the beats in which a keeper meets every other once."""
+    """Returns the number of heartbeats that contact every peer once."""
     return max(1, math.ceil((keepers - 1) / fanout_of(keepers)))
--- a/packages/core/foxtaildale/members.py
+++ b/packages/core/foxtaildale/members.py
@@ -1,9 +1,13 @@
-"""Who takes part: entry VMs and backend servers, merged from all that tells.
+"""Tracks the members of the system: entry VMs and backend servers.
 
-The platform's list lags, engines refuse while it still calls them live, and
-peers may hold an older list. The rules: a list never replaces a newer one; a
-member that anybody reported leaving stays so for as long as lists name it at
-that address; a keeper counts as there while its beats are heard.
+A keeper merges several sources, since each may be outdated: the platform's
+list lags, engines refuse requests as leaving while the list still shows them
+as live, and peers may have an older list. The rules are:
+
+- A list never replaces a newer one.
+- A backend server that any source reported as leaving remains so as long as
+  the list names it at that address.
+- A keeper counts as present while its heartbeats arrive.
 """
 
 from typing import Final
@@ -14,21 +18,22 @@
 from foxtaildale import messages
 from foxtaildale import values
 
-# Incarnations of one VM that are remembered as replaced.
-_REPLACED: Final = 8
-# Reports kept about members that no list names; bounds what peers can fill.
+# Number of replaced incarnations remembered for each peer.
+_MAX_REPLACED: Final = 8
+# Maximum number of reports of leaving members; limits the memory that peers
+# can fill.
 _MAX_REPORTS: Final = 1000
-# Rounds of beats that a peer may miss before it counts as gone.
-_ROUNDS: Final = 2
+# Rounds of heartbeats that a peer may miss before it counts as removed.
+_MAX_MISSED_ROUNDS: Final = 2
 
 
 def key_of(server: values.BackendServer) -> str:
-    """Returns how reports name a backend server, `NAME@ADDRESS`."""
+    """Returns the key of a backend server in reports, `NAME@ADDRESS`."""
     return f'{server.name}@{server.address}'
 
 
 class _Peer:
-    """What is known of another keeper."""
+    """The last heartbeat and the incarnations of another keeper."""
 
     __slots__ = ('beat', 'heard_at', 'replaced')
 
@@ -48,9 +53,9 @@
 
     __slots__ = (
         '_heartbeat_s',
-        '_left',
+        '_leaving_servers',
+        '_leaving_vms',
         '_peers',
-        '_reports',
         '_silence_s',
         'entry_vm',
         'listed_at',
@@ -59,16 +64,17 @@
 
     # Name of the keeper's own VM.
     entry_vm: str
-    # Newest list seen, with the states that it gave itself; None before one.
+    # Newest list received, with its own states; None before the first.
     listing: values.Listing | None
-    # When it was taken; shows how far the list lags.
+    # When the list was received; shows how old it is.
     listed_at: float
     # By VM name.
     _peers: dict[str, _Peer]
-    # Entry VMs that a list called leaving, by name and address.
-    _left: set[str]
-    # Backend servers that anybody called leaving, `NAME@ADDRESS`; ordered.
-    _reports: dict[str, None]
+    # Keys of the entry VMs that a list named as leaving.
+    _leaving_vms: set[str]
+    # Keys of the backend servers that any source reported as leaving,
+    # `NAME@ADDRESS`; in order of arrival.
+    _leaving_servers: dict[str, None]
 
     def __init__(
         self, entry_vm: str, silence_s: float, heartbeat_s: float = 1.0
@@ -79,60 +85,70 @@
         self._silence_s = silence_s
         self._heartbeat_s = heartbeat_s
         self._peers = {}
-        self._left = set()
-        self._reports = {}
+        self._leaving_vms = set()
+        self._leaving_servers = {}
 
     @property
     def version(self) -> int:
-        """Version of the newest list seen; -1 before one."""
+        """Version of the newest list received; -1 before the first."""
         return -1 if self.listing is None else self.listing.version
 
     @property
     def leaving(self) -> tuple[str, ...]:
-        """Reports that the list does not bear out yet, to be passed on."""
+        """Reported servers that the list shows as live, to forward to peers."""
         return tuple(
             key_of(server)
-            for server in self._listed()
-            if server.state == 'live' and key_of(server) in self._reports
+            for server in self._listed_servers()
+            if server.state == 'live'
+            and key_of(server) in self._leaving_servers
         )
 
     def on_listing(self, now: float, listing: values.Listing | None) -> bool:
-        """Takes a list of the platform or of a peer; returns whether newer."""
+        """Handles a list of the platform or a peer; returns whether it is newer."""
         if listing is None or listing.version <= self.version:
             return False
         self.listing = listing
         self.listed_at = now
         named = {key_of(server) for server in listing.backend_servers}
-        # A name that a newer list has dropped may be given out again.
-        self._reports = {key: None for key in self._reports if key in named}
+        # The name of a removed server may be assigned again.
+        self._leaving_servers = {
+            key: None for key in self._leaving_servers if key in named
+        }
         for server in listing.backend_servers:
             if server.state == 'leaving':
-                self._reports[key_of(server)] = None
-        self._left &= {_vm_key(vm) for vm in listing.entry_vms}
-        self._left |= {
-            _vm_key(vm) for vm in listing.entry_vms if vm.state == 'leaving'
+                self._leaving_servers[key_of(server)] = None
+        self._leaving_vms &= {_entry_vm_key(vm) for vm in listing.entry_vms}
+        self._leaving_vms |= {
+            _entry_vm_key(vm)
+            for vm in listing.entry_vms
+            if vm.state == 'leaving'
         }
         return True
 
     def on_leaving(self, key: str) -> bool:
-        """Takes an engine's refusal as leaving; returns whether it is news.
+        """Handles a report that a server is leaving; returns whether it is new.
 
-        The list may call it live for minutes more; each request sent there in
-        that time would be refused and start anew elsewhere.
+        The report stems from an engine's refusal. The list may show the server
+        as live for some more minutes; each request sent to it during that time
+        would be refused and restarted elsewhere.
         """
-        if key in self._reports or len(self._reports) >= _MAX_REPORTS:
+        if (
+            key in self._leaving_servers
+            or len(self._leaving_servers) >= _MAX_REPORTS
+        ):
             return False
-        named = {key_of(server) for server in self._listed()}
+        named = {key_of(server) for server in self._listed_servers()}
         if self.listing is not None and key not in named:
-            # A peer with an older list reports one that has gone; kept, it
-            # would bar a new server of that name. One that our list does not
-            # name yet is reported again with the peer's next beat.
+            # A peer with an older list reports a removed server; if recorded,
+            # the report would exclude a new server of that name. A server
+            # that this list does not name yet is reported again with the
+            # peer's next heartbeat.
             return False
-        self._reports[key] = None
+        self._leaving_servers[key] = None
         return True
 
     def on_beat(self, now: float, beat: messages.Beat) -> None:
-        """Takes a peer's beat."""
+        """Handles a peer's heartbeat."""
         for key in beat.leaving:
             self.on_leaving(key)
         if beat.entry_vm == self.entry_vm:
@@ -142,34 +158,35 @@
             self._peers[beat.entry_vm] = _Peer(beat, now)
             return
         if beat.incarnation in peer.replaced:
-            # Late from a process that has been replaced; tickets that name
-            # its witness would go to one that never noted their start.
+            # A delayed heartbeat of a process that has been replaced. Tickets
+            # that name its witness would go to one that has not recorded
+            # their start.
             return
         if beat.incarnation != peer.beat.incarnation:
             replaced = (*peer.replaced, peer.beat.incarnation)
-            peer.replaced = replaced[-_REPLACED:]
+            peer.replaced = replaced[-_MAX_REPLACED:]
         peer.beat = beat
         peer.heard_at = now
 
     def servers(
         self, service: str, role: values.Role
     ) -> tuple[values.BackendServer, ...]:
-        """Returns the backend servers that may be given new work."""
+        """Returns the backend servers that may receive new work."""
         return tuple(
             server
-            for server in self._listed()
+            for server in self._listed_servers()
             if server.service == service
             and server.role == role
             and not self.is_leaving(server)
         )
 
     def backend_servers(self) -> tuple[values.BackendServer, ...]:
-        """Returns all that are listed, with their merged state."""
+        """Returns all listed backend servers with their merged states."""
         return tuple(
             msgspec.structs.replace(server, state='leaving')
             if self.is_leaving(server)
             else server
-            for server in self._listed()
+            for server in self._listed_servers()
         )
 
     def merged(self) -> values.Listing | None:
@@ -181,16 +198,16 @@
         )
 
     def is_leaving(self, server: values.BackendServer) -> bool:
-        """Tells whether a backend server may get no new work."""
-        return key_of(server) in self._reports
+        """Whether a backend server is leaving and must not get new work."""
+        return key_of(server) in self._leaving_servers
 
     def peers(self) -> tuple[values.EntryVm, ...]:
-        """Returns the other entry VMs to exchange beats with.
+        """Returns the other entry VMs to exchange heartbeats with.
 
-        Leaving ones are among them: they still follow the preset. So are
-        those that were only heard. A keeper that starts while the platform is
-        down has no list; the others beat to it, and only by beating back can
-        it pull from them.
+        These include leaving VMs, which still follow the preset, and VMs that
+        are known from their heartbeats only. A keeper that starts while the
+        platform is unavailable has no list. Other keepers send it heartbeats,
+        and it can pull their state only if it sends heartbeats to them.
         """
         listed = self.listing.entry_vms if self.listing else ()
         found = {vm.name: vm for vm in listed}
@@ -209,12 +226,12 @@
 
         Those of leaving VMs are not among them: they take nothing new on.
         """
-        bound = self._bound()
+        bound = self._max_silence_s()
         return tuple(
             peer.beat
             for name, peer in sorted(self._peers.items())
             if now - peer.heard_at <= bound
-            and f'{name}@{peer.beat.address}' not in self._left
+            and f'{name}@{peer.beat.address}' not in self._leaving_vms
         )
 
     def forget(self, now: float) -> None:
@@ -225,26 +242,29 @@
         """
         listed = self.listing.entry_vms if self.listing else ()
         named = {vm.name for vm in listed}
-        bound = 10 * self._bound()
+        bound = 10 * self._max_silence_s()
         self._peers = {
             name: peer
             for name, peer in self._peers.items()
             if name in named or now - peer.heard_at <= bound
         }
 
-    def _bound(self) -> float:
-        """Returns the silence after which a peer counts as gone.
+    def _max_silence_s(self) -> float:
+        """Returns the silence, seconds, after which a peer counts as removed.
 
-        With many keepers a peer is met only once in a round of beats.
+        With many keepers a peer is contacted only once in a round of
+        heartbeats.
         """
         beats = gossip.round_beats(len(self.peers()) + 1)
         if beats == 1:
             return self._silence_s
-        return max(self._silence_s, _ROUNDS * beats * self._heartbeat_s)
+        return max(
+            self._silence_s, _MAX_MISSED_ROUNDS * beats * self._heartbeat_s
+        )
 
-    def _listed(self) -> tuple[values.BackendServer, ...]:
+    def _listed_servers(self) -> tuple[values.BackendServer, ...]:
         return () if self.listing is None else self.listing.backend_servers
 
 
-def _vm_key(vm: values.EntryVm) -> str:
+def _entry_vm_key(vm: values.EntryVm) -> str:
     return f'{vm.name}@{vm.keeper}'
--- a/packages/core/foxtaildale/spread.py
+++ b/packages/core/foxtaildale/spread.py
@@ -1,23 +1,25 @@
-"""How a keeper follows the configuration stream, by log and by peers.
-
-Decisions only; the keeper does the reading and asking. It polls the log from
-`next_offset` and hands over what came (`on_batch`, `on_lapsed`,
-`on_log_failed`); it exchanges beats with peers (`on_peer`) and pulls the
-folded state from one that is ahead where the log doesn't deliver (`on_pull`).
-
-A follower moves to higher offsets only. Three things can be wrong with what
-it knows, and while one is it does not vouch for the preset in force:
-
-- it knows nothing yet, or records that it has not read have lapsed: it looks
-  for a checkpoint in what is left, or for a peer that is further;
-- neither log nor an up-to-date peer has been heard within the freshness
-  bound: a switch may have been missed;
-- the log ends below what it has folded (`log_behind`): the log counts as
-  failing, since following it would bring back what was replaced.
-
-Two folds that differ at one offset break an invariant. That is reported, not
-repaired: which of them is wrong can't be told here. The own state stays, the
-other one is not pulled, and no checkpoint is written from either side.
+"""Follows the configuration stream through the log and through peers.
+
+This module only decides; the keeper does the I/O. The keeper reads the log
+from `next_offset` and passes on the results (`on_batch`, `on_lapsed`,
+`on_log_failed`). It exchanges heartbeats with peers (`on_peer`). If the log
+does not deliver, it pulls the state from a peer that is ahead (`on_pull`).
+
+A follower only moves to higher offsets. It vouches for the preset in force,
+that is, allows it to be used, unless one of these problems exists:
+
+- The follower has no state yet, or records that it has not read have expired.
+  It searches for a checkpoint in the remaining records, or for a peer with a
+  higher offset.
+- Neither the log nor an up-to-date peer has responded within the freshness
+  bound. The follower may have missed a switch.
+- The end of the log is below the follower's own offset (`log_behind`). The
+  log counts as failing, since reading on would restore a replaced preset.
+
+Two different states at one offset violate an invariant. The follower reports
+this but does not repair it, since it cannot determine which state is wrong.
+It keeps its own state, does not pull the other one, and while the difference
+lasts it writes no checkpoint.
 """
 
 from typing import Final
@@ -30,7 +32,7 @@
 from foxtaildale import ports
 from foxtaildale import values
 
-# Source of a state that stands in a checkpoint of the log.
+# Source of a divergence: a checkpoint in the log.
 _CHECKPOINT: Final = 'checkpoint'
 
 
@@ -38,17 +40,17 @@
     """One keeper's view of the configuration stream."""
 
     __slots__ = (
-        '_contact_at',
+        '_confirmed_at',
+        '_expired_below',
         '_fold',
         '_freshness_s',
-        '_gap',
-        '_heard_revision',
-        '_known',
-        '_lag_s',
-        '_log_at',
+        '_is_complete',
+        '_log_current_at',
+        '_max_end',
+        '_min_revision',
+        '_pull_after_s',
         '_schedule',
-        '_seek',
-        '_top',
+        '_search_offset',
         'divergences',
         'entry_vm',
         'log_behind',
@@ -56,22 +58,24 @@
 
     entry_vm: str
     divergences: divergence.Reports
-    # Whether the log's end lies below what was folded.
+    # Whether the end of the log is below the follower's own offset.
     log_behind: bool
     _fold: fold.Fold
-    # Whether the fold stands for the whole stream up to its offset.
-    _known: bool
-    # Where the search for a checkpoint goes on; None when not searching.
-    _seek: int | None
-    # Records below this offset can't be read any more.
-    _gap: int
-    # Highest revision that somebody on this VM has worked by.
-    _heard_revision: int
-    # Highest offset that is known to exist.
-    _top: int
-    # When the log last brought us up to date, and when log or peer did.
-    _log_at: float | None
-    _contact_at: float | None
+    # Whether the state covers the complete stream up to its offset.
+    _is_complete: bool
+    # Offset at which the search for a checkpoint continues; None if there
+    # is no search.
+    _search_offset: int | None
+    # Records below this offset have expired.
+    _expired_below: int
+    # Highest revision that an entry of this VM has reported.
+    _min_revision: int
+    # Highest end of the stream that the log or a peer has reported.
+    _max_end: int
+    # When the state was last up to date according to the log, and
+    # according to the log or a peer.
+    _log_current_at: float | None
+    _confirmed_at: float | None
     _schedule: checkpoints.Schedule
 
     def __init__(
@@ -82,79 +86,87 @@
         lag_s: float = 2.0,
         checkpoint_s: float = 600.0,
     ) -> None:
-        """Starts with nothing known.
+        """Creates a follower without a state.
 
         Args:
             entry_vm: Name of the VM.
-            freshness_s: Age of the last contact above which nothing is
-                vouched for.
-            lag_s: Time without the log after which peers are pulled from.
-            checkpoint_s: Longest time between checkpoints; well under half
-                of what the platform keeps records for.
+            freshness_s: Maximum time since the state was last confirmed as up
+                to date for the preset to be vouched for.
+            lag_s: Time without a current log after which the follower pulls
+                from peers.
+            checkpoint_s: Maximum time between checkpoints; well under half
+                of the time for which the platform keeps records.
         """
         self.entry_vm = entry_vm
         self.divergences = divergence.Reports()
         self.log_behind = False
         self._freshness_s = freshness_s
-        self._lag_s = lag_s
+        self._pull_after_s = lag_s
         self._schedule = checkpoints.Schedule(entry_vm, checkpoint_s)
         self._fold = fold.Fold()
-        self._known = False
-        self._seek = None
-        self._gap = 0
-        self._heard_revision = 0
-        self._top = 0
-        self._log_at = None
-        self._contact_at = None
+        self._is_complete = False
+        self._search_offset = None
+        self._expired_below = 0
+        self._min_revision = 0
+        self._max_end = 0
+        self._log_current_at = None
+        self._confirmed_at = None
 
     @property
     def offset(self) -> int:
-        """Offset of the first record that is not folded yet."""
+        """Offset of the first record that has not been applied."""
         return self._fold.offset
 
     @property
     def next_offset(self) -> int:
-        """Where to read the log from."""
-        return self._fold.offset if self._seek is None else self._seek
+        """Offset from which to read the log."""
+        return (
+            self._fold.offset
+            if self._search_offset is None
+            else self._search_offset
+        )
 
     @property
     def digest(self) -> str:
-        """Digest of the folded state."""
+        """Digest of the state."""
         return self._fold.digest
 
     @property
     def in_force(self) -> values.InForce | None:
-        """The preset in force as far as it is known; see `vouched`."""
+        """The last known preset in force; check `vouched` before use."""
         return self._fold.in_force
 
     @property
     def state(self) -> fold.Fold:
-        """The folded state, for reading only."""
+        """The state; callers must not change it."""
         return self._fold
 
     def vouched(self, now: float) -> bool:
-        """Tells whether `in_force` may be acted on."""
-        if not self._known or self._gap > self.offset:
+        """Whether `in_force` is current enough to be used."""
+        if not self._is_complete or self._expired_below > self.offset:
             return False
-        if self._fold.revision < self._heard_revision:
+        if self._fold.revision < self._min_revision:
             return False
-        return _within(now, self._contact_at, self._freshness_s)
+        return _within(now, self._confirmed_at, self._freshness_s)
 
     def on_revision(self, revision: int) -> None:
-        """Takes the revision that an entry of this VM says it works by.
+        """Records the revision that an entry of this VM reports as its own.
 
-        A restarted keeper may learn from a peer that was cut off before the
-        last switch. Its entries still know of it; told the older preset as
-        the one in force, they would go back to it.
+        A restarted keeper may pull the state of a peer that was disconnected
+        before the last switch. The entries of its VM may have applied that
+        switch already; if the keeper vouched for the older preset, they would
+        return to it.
         """
-        self._heard_revision = max(self._heard_revision, revision)
+        self._min_revision = max(self._min_revision, revision)
 
     def log_age(self, now: float) -> float | None:
-        """Returns the seconds since the log last told us everything."""
-        return None if self._log_at is None else now - self._log_at
+        """Returns the seconds since the log confirmed the state as current."""
+        return (
+            None if self._log_current_at is None else now - self._log_current_at
+        )
 
     def dump(self, now: float) -> dict[str, object]:
-        """Returns the state for operators."""
+        """Returns the state dump for operators."""
         in_force = self.in_force
         return {
             'revision': self._fold.revision,
@@ -164,80 +176,83 @@
             'vouched': self.vouched(now),
             'log_age_s': self.log_age(now),
             'log_behind': self.log_behind,
-            # Records below this are gone; above `offset` it is a gap.
-            'lapsed_below': self._gap,
+            # Records below this offset have expired. If it is above
+            # `offset`, records in between are missing.
+            'lapsed_below': self._expired_below,
             'divergences': self.divergences.all,
         }
 
     def on_batch(self, now: float, batch: ports.Batch) -> bool:
-        """Takes what the log gave; returns whether `in_force` changed."""
+        """Applies records of the log; returns whether `in_force` changed."""
         if batch.end < self.offset:
-            # The log was lost and begun anew, or a copy that lags answered.
-            # Folding on from there would revert accepted presets.
+            # The log was lost and recreated, or a lagging replica replied.
+            # Applying its records would revert accepted switches.
             self.log_behind = True
             return False
         self.log_behind = False
-        self._top = max(self._top, batch.end)
-        before = self._fold.revision
-        if self._lost_to(batch):
-            self._search(batch.first)
-        if self._seek is not None:
-            self._scan(now, batch)
+        self._max_end = max(self._max_end, batch.end)
+        old_revision = self._fold.revision
+        if self._has_gap_before(batch):
+            self._start_search(batch.first)
+        if self._search_offset is not None:
+            self._search_batch(now, batch)
         else:
-            self._known = True
-            self._fold_all(now, batch)
-        if self._seek is None and self.offset >= self._top:
-            self._log_at = now
-            self._contact_at = now
-        return self._fold.revision != before
+            self._is_complete = True
+            self._apply_batch(now, batch)
+        if self._search_offset is None and self.offset >= self._max_end:
+            self._log_current_at = now
+            self._confirmed_at = now
+        return self._fold.revision != old_revision
 
     def on_lapsed(self, now: float, first: int) -> None:
-        """Records from `next_offset` to before `first` are gone unread."""
+        """Handles the expiry of unread records below `first`."""
         del now
-        self._search(first)
+        self._start_search(first)
 
     def on_log_failed(self, now: float) -> None:
-        """The log could not be read; only time without it matters."""
+        """Handles a failed read; only the time without the log has an effect."""
 
     def on_peer(self, now: float, beat: messages.Beat) -> bool:
-        """Takes a peer's beat; returns whether to pull from that peer."""
+        """Handles a peer's heartbeat; returns whether to pull its state."""
         if beat.offset > self.offset:
             if beat.entry_vm in self.divergences:
                 return False
-            self._top = max(self._top, beat.offset)
-            # The log brings the same with the next poll, and costs less.
-            return not _within(now, self._log_at, self._lag_s)
+            self._max_end = max(self._max_end, beat.offset)
+            # If the log is current, the next poll delivers the same records
+            # at a lower cost.
+            return not _within(now, self._log_current_at, self._pull_after_s)
         if beat.offset < self.offset:
-            # It is behind, and can't tell whether a switch was missed.
+            # The peer is behind, so it cannot confirm that this state is
+            # current.
             return False
         if beat.digest != self.digest:
-            self._report(beat.entry_vm, beat.offset, beat.digest)
+            self._report_divergence(beat.entry_vm, beat.offset, beat.digest)
             return False
         self.divergences.settle(beat.entry_vm)
-        if self.offset >= self._top:
-            self._contact_at = now
+        if self.offset >= self._max_end:
+            self._confirmed_at = now
         return False
 
     def on_pull(self, now: float, reply: messages.PullReply) -> bool:
-        """Takes a peer's state; returns whether `in_force` changed."""
+        """Handles a pulled state; returns whether `in_force` changed."""
         if reply.offset <= self.offset:
             return False
         pulled = fold.from_bytes(reply.state, reply.digest)
         if pulled is None or pulled.offset != reply.offset:
             return False
-        before = self._fold.revision
-        if pulled.revision < before:
-            # A longer stream can't have fewer switches than its beginning.
-            self._report('pull', reply.offset, reply.digest)
+        old_revision = self._fold.revision
+        if pulled.revision < old_revision:
+            # The number of switches never decreases with the offset.
+            self._report_divergence('pull', reply.offset, reply.digest)
             return False
-        self._adopt(pulled)
-        self._top = max(self._top, self.offset)
-        if self.offset >= self._top:
-            self._contact_at = now
-        return self._fold.revision != before
+        self._replace_state(pulled)
+        self._max_end = max(self._max_end, self.offset)
+        if self.offset >= self._max_end:
+            self._confirmed_at = now
+        return self._fold.revision != old_revision
 
     def pull_reply(self) -> messages.PullReply:
-        """Returns the folded state for a peer; the keeper adds its list."""
+        """Returns the state for a peer; the keeper adds its member list."""
         return messages.PullReply(
             offset=self.offset,
             digest=self.digest,
@@ -248,16 +263,17 @@
     def checkpoint_due(
         self, now: float, first_kept: int, keepers: int = 8
     ) -> bytes | None:
-        """Returns the record of a checkpoint to append, if it is time.
+        """Returns the checkpoint record to append, or None if none is due.
 
         Args:
-            now: The time.
-            first_kept: Oldest offset that the log still keeps.
-            keepers: How many keepers there are, to spread them in time.
+            now: Current time, seconds, monotonic.
+            first_kept: Oldest offset that the log still has.
+            keepers: Number of keepers, among which the appends are spread
+                in time.
         """
         if not self.vouched(now) or self.divergences or not self.offset:
             return None
-        if not _within(now, self._log_at, self._lag_s):
+        if not _within(now, self._log_current_at, self._pull_after_s):
             return None
         if not self._schedule.due(now, first_kept, keepers):
             return None
@@ -270,24 +286,24 @@
             )
         )
 
-    def _lost_to(self, batch: ports.Batch) -> bool:
-        """Tells whether records between ours and the batch are gone."""
-        if self._seek is not None:
+    def _has_gap_before(self, batch: ports.Batch) -> bool:
+        """Whether records between the state and the batch are missing."""
+        if self._search_offset is not None:
             return False
         return batch.first > self.offset
 
-    def _search(self, first: int) -> None:
+    def _start_search(self, first: int) -> None:
         if first <= self.offset:
-            self._seek = None
+            self._search_offset = None
             return
-        self._gap = max(self._gap, first)
-        self._seek = first
+        self._expired_below = max(self._expired_below, first)
+        self._search_offset = first
 
-    def _fold_all(self, now: float, batch: ports.Batch) -> None:
+    def _apply_batch(self, now: float, batch: ports.Batch) -> None:
         for record in batch.records:
             if record.offset > self.offset:
-                # A record is missing; what follows can't be folded.
-                self._search(record.offset)
+                # A record is missing, so the following ones cannot be applied.
+                self._start_search(record.offset)
                 return
             if record.offset == self.offset:
                 self._apply(now, record)
@@ -300,46 +316,62 @@
             self._schedule.on_record()
         self._fold.apply(record)
 
-    def _on_checkpoint(self, now: float, found: changes.Checkpoint) -> None:
-        """Notes a checkpoint met while folding; the fold doesn't need it."""
-        if found.offset == self.offset and found.digest != self.digest:
-            self._report(_CHECKPOINT, found.offset, found.digest)
+    def _on_checkpoint(
+        self, now: float, checkpoint: changes.Checkpoint
+    ) -> None:
+        """Checks a checkpoint in the stream against the own state."""
+        if (
+            checkpoint.offset == self.offset
+            and checkpoint.digest != self.digest
+        ):
+            self._report_divergence(
+                _CHECKPOINT, checkpoint.offset, checkpoint.digest
+            )
             return
-        if found.offset == self.offset:
+        if checkpoint.offset == self.offset:
             self.divergences.settle(_CHECKPOINT)
-        self._schedule.on_checkpoint(now, found.offset)
+        self._schedule.on_checkpoint(now, checkpoint.offset)
 
-    def _scan(self, now: float, batch: ports.Batch) -> None:
-        """Looks for the newest checkpoint whose rest can be read."""
+    def _search_batch(self, now: float, batch: ports.Batch) -> None:
+        """Searches a batch for the newest checkpoint to start from.
+
+        All records that follow the checkpoint must be available.
+        """
         if batch.records:
-            self._seek = batch.records[-1].offset + 1
-        for found in checkpoints.candidates(batch):
-            if len(found) > 1:
-                self._report(_CHECKPOINT, found[0].offset, found[1].digest)
-            elif self._start_from(now, found[0]):
+            self._search_offset = batch.records[-1].offset + 1
+        for same_offset in checkpoints.candidates(batch):
+            if len(same_offset) > 1:
+                self._report_divergence(
+                    _CHECKPOINT, same_offset[0].offset, same_offset[1].digest
+                )
+            elif self._load_checkpoint(now, same_offset[0]):
                 return
 
-    def _start_from(self, now: float, found: changes.Checkpoint) -> bool:
-        loaded = fold.from_bytes(found.state, found.digest)
-        if loaded is None or loaded.offset != found.offset:
+    def _load_checkpoint(
+        self, now: float, checkpoint: changes.Checkpoint
+    ) -> bool:
+        loaded = fold.from_bytes(checkpoint.state, checkpoint.digest)
+        if loaded is None or loaded.offset != checkpoint.offset:
             return False
         if loaded.offset < self.offset or loaded.revision < self._fold.revision:
             return False
-        self._adopt(loaded)
+        self._replace_state(loaded)
         self._schedule.on_checkpoint(now, loaded.offset)
         return True
 
-    def _adopt(self, state: fold.Fold) -> None:
-        self._fold = state
-        self._known = True
-        if self.offset >= self._gap:
-            self._seek = None
+    def _replace_state(self, new_state: fold.Fold) -> None:
+        self._fold = new_state
+        self._is_complete = True
+        if self.offset >= self._expired_below:
+            self._search_offset = None
 
-    def _report(self, source: str, offset: int, other: str) -> None:
+    def _report_divergence(
+        self, source: str, offset: int, other_digest: str
+    ) -> None:
         self.divergences.report(
-            divergence.Divergence(source, offset, self.digest, other)
+            divergence.Divergence(source, offset, self.digest, other_digest)
         )
 
 
-def _within(now: float, since: float | None, bound: float) -> bool:
-    return since is not None and now - since <= bound
+def _within(now: float, last_at: float | None, max_age_s: float) -> bool:
+    return last_at is not None and now - last_at <= max_age_s
