--- a/packages/core/foxtaildale/members.py
+++ b/packages/core/foxtaildale/members.py
@@ -210,43 +210,43 @@
         and it can pull their state only if it sends heartbeats to them.
         """
         listed = self.listing.entry_vms if self.listing else ()
-        found = {vm.name: vm for vm in listed}
+        by_name = {vm.name: vm for vm in listed}
         for name, peer in self._peers.items():
-            if name not in found:
-                found[name] = values.EntryVm(
+            if name not in by_name:
+                by_name[name] = values.EntryVm(
                     name=name,
                     data_centre=peer.beat.data_centre,
                     keeper=peer.beat.address,
                 )
-        found.pop(self.entry_vm, None)
-        return tuple(found.values())
+        by_name.pop(self.entry_vm, None)
+        return tuple(by_name.values())
 
     def keepers(self, now: float) -> tuple[messages.Beat, ...]:
-        """Returns the last beats of the keepers that are there, by name.
+        """Returns the last heartbeats of the present keepers, sorted by name.
 
-        Those of leaving VMs are not among them: they take nothing new on.
+        Keepers of leaving VMs are excluded, since they accept no new work.
         """
-        bound = self._max_silence_s()
+        max_silence_s = self._max_silence_s()
         return tuple(
             peer.beat
             for name, peer in sorted(self._peers.items())
-            if now - peer.heard_at <= bound
+            if now - peer.heard_at <= max_silence_s
             and f'{name}@{peer.beat.address}' not in self._leaving_vms
         )
 
     def forget(self, now: float) -> None:
-        """Drops peers that no list names and nobody has heard for long.
+        """Removes peers that are not listed and have been silent for long.
 
-        VMs are replaced by the hundred a day; without this their last beats
-        would be kept for ever.
+        Hundreds of VMs are replaced each day; otherwise their last heartbeats
+        would stay in memory for ever.
         """
         listed = self.listing.entry_vms if self.listing else ()
         named = {vm.name for vm in listed}
-        bound = 10 * self._max_silence_s()
+        max_age_s = 10 * self._max_silence_s()
         self._peers = {
             name: peer
             for name, peer in self._peers.items()
-            if name in named or now - peer.heard_at <= bound
+            if name in named or now - peer.heard_at <= max_age_s
         }
 
     def _max_silence_s(self) -> float:
@@ -255,11 +255,11 @@
         With many keepers a peer is contacted only once in a round of
         heartbeats.
         """
-        beats = gossip.round_beats(len(self.peers()) + 1)
-        if beats == 1:
+        heartbeats = gossip.round_beats(len(self.peers()) + 1)
+        if heartbeats == 1:
             return self._silence_s
         return max(
-            self._silence_s, _MAX_MISSED_ROUNDS * beats * self._heartbeat_s
+            self._silence_s, _MAX_MISSED_ROUNDS * heartbeats * self._heartbeat_s
         )
 
     def _listed_servers(self) -> tuple[values.BackendServer, ...]:
--- a/packages/core/foxtaildale/mirror.py
+++ b/packages/core/foxtaildale/mirror.py
@@ -1,13 +1,15 @@
-"""The newest record of each key of a keyed topic, as one process knows it.
-
-Records are ordered by their position in the store (`positions`), which every process
-sees alike, so what comes from the store and what comes from a peer merge by taking
-the higher one. A mirror never goes back: a stale answer of the store or a peer that
-is behind changes nothing.
-
-A store that comes back from a copy has older records at higher positions. Records of
-two histories are therefore ordered by what their writers say (`Rank`), where they do.
-What the copy lacks, or has an older record of, is carried over and told to peers until
+"""A process's copy of a keyed topic: the newest record of each key.
+
+Records are ordered by their position in the store (`positions`), which is the
+same for every process. Records from the store and from peers are therefore
+merged by taking the one with the higher position. A mirror never returns to an
+older record: a stale reply of the store or a peer that is behind changes
+nothing.
+
+A store that is restored from a copy has older records at higher positions.
+Records of two epochs are therefore ordered by the rank that their writers gave
+them (`Rank`), if they have one. A record that the copy lacks, or of which it
+has an older version, is carried over to the new epoch and sent to peers until
 it is written again.
 """
 
@@ -19,12 +21,13 @@
 
 from foxtaildale import positions
 
-# Removed keys that are remembered, so that a peer's older record can't bring
-# one back; some minutes of replaced backend servers at the largest size.
+# Maximum number of removed keys that are remembered, so that a peer's older
+# record does not restore one. Enough for some minutes of replaced backend
+# servers in the largest system.
 MAX_REMOVED: Final = 4096
 
-# Orders the records of one key as their writer wrote them; `UNRANKED` where it does
-# not tell.
+# Orders the records of one key as they were written; `UNRANKED` if the value
+# does not contain the order.
 Rank = tuple[int, int]
 UNRANKED: Final[Rank] = (0, 0)
 
@@ -33,11 +36,11 @@
     """The newest record of one key."""
 
     key: str
-    # Its position.
+    # Position of the record.
     offset: int
     # Empty if the key was removed.
     value: bytes
-    # Of what a removal removed.
+    # Rank of the removed value, if this is a removal.
     removed: Rank = UNRANKED
 
 
@@ -49,35 +52,38 @@
     """One keyed topic.
 
     Args:
-        rank: Ranks the value of a key.
-        keeps: Whether what the copy of a later history lacks is known on until it is
-            written again, or given up by `drop_carried`; else it is removed.
+        rank: Returns the rank of a key's value.
+        keeps: Whether a record that a restored store lacks is kept until it is
+            written again or removed by `drop_carried`; otherwise it is removed
+            at once.
     """
 
     __slots__ = (
-        '_before',
         '_carried',
         '_changed_at',
+        '_changed_at_previous_epoch',
         '_entries',
-        '_keeps',
         '_rank',
         '_removed',
+        '_retain_carried',
         'end',
     )
 
-    # By key, newest only; removed ones among them.
+    # Newest record by key, including removals.
     _entries: dict[str, Entry]
-    # By key, the position of the oldest record of its epoch that said what the newest
-    # one says, with none in between that said something else.
+    # By key, the position since which it has had its content: that of the
+    # oldest record in the epoch of the newest one that has the same content,
+    # with no different record in between.
     _changed_at: dict[str, int]
-    # The same for the epoch before, of those that said it then already.
-    _before: dict[str, int]
+    # The same position in the previous epoch, for keys that had the same
+    # content there already.
+    _changed_at_previous_epoch: dict[str, int]
     # Removed keys, oldest removal first.
     _removed: dict[str, None]
-    # Keys whose newest record is of an earlier epoch than the end, and whether peers
-    # that know what the store holds must be told.
+    # Keys whose newest record belongs to an earlier epoch than the end, and
+    # whether it must be sent to peers that have read the store.
     _carried: dict[str, bool]
-    # Position up to which the topic is known; the next read begins here.
+    # Position up to which the topic has been read; the next read starts here.
     end: int
 
     def __init__(
@@ -87,94 +93,100 @@
         keeps: bool = False,
     ) -> None:
         self._rank = rank
-        self._keeps = keeps
+        self._retain_carried = keeps
         self._entries = {}
         self._changed_at = {}
-        self._before = {}
+        self._changed_at_previous_epoch = {}
         self._removed = {}
         self._carried = {}
         self.end = 0
 
     def apply(self, entries: Iterable[Entry], end: int) -> list[Entry]:
-        """Takes records, of the store or of a peer.
+        """Applies records of the store or of a peer.
 
         Returns:
-            Those that were news here, in order of their positions.
+            The records that changed the mirror, in order of position.
         """
         self.end = max(self.end, end)
         epoch = positions.epoch(self.end)
-        news = []
-        for found in sorted(entries, key=lambda item: item.offset):
-            entry = found
-            known = self._entries.get(entry.key)
-            if known is None or self._supersedes(entry, known):
-                if known is not None and not entry.value:
-                    removed = max(entry.removed, self._rank_of(known))
-                    entry = msgspec.structs.replace(found, removed=removed)
+        changed = []
+        for original in sorted(entries, key=lambda item: item.offset):
+            entry = original
+            newest = self._entries.get(entry.key)
+            if newest is None or self._supersedes(entry, newest):
+                if newest is not None and not entry.value:
+                    removed = max(entry.removed, self._rank_of(newest))
+                    entry = msgspec.structs.replace(original, removed=removed)
                 self._put(entry)
-                news.append(entry)
-                known = entry
-            if positions.epoch(known.offset) < epoch:
-                self._carried[entry.key] = not self._says(entry)
-        return news
+                changed.append(entry)
+                newest = entry
+            if positions.epoch(newest.offset) < epoch:
+                self._carried[entry.key] = not self._has_current_content(entry)
+        return changed
 
     def snapshot(self, entries: Iterable[Entry], end: int) -> list[Entry]:
-        """Takes all that the store holds; what is missing was removed.
+        """Applies the complete content of the store.
 
-        A snapshot that is older than what is known here only adds.
+        Keys that are missing from it were removed. A snapshot that is older
+        than the mirror only adds records.
 
         Returns:
-            What was news here, removals among it.
+            The records that changed the mirror, including removals.
         """
         listed = list(entries)
-        whole = end >= self.end
+        is_current = end >= self.end
         is_later = positions.epoch(end) > positions.epoch(self.end)
-        news = self.apply(listed, end)
-        if not whole:
-            return news
-        present = {entry.key for entry in listed}
+        changed = self.apply(listed, end)
+        if not is_current:
+            return changed
+        listed_keys = {entry.key for entry in listed}
         for key, entry in list(self._entries.items()):
-            if not entry.value or key in present:
+            if not entry.value or key in listed_keys:
                 continue
-            if self._keeps and (is_later or key in self._carried):
+            if self._retain_carried and (is_later or key in self._carried):
                 self._carried[key] = True
                 continue
-            news.append(self._remove(entry, lacking=is_later))
-        return news
+            changed.append(self._remove(entry, lacking=is_later))
+        return changed
 
     def drop_carried(self) -> list[Entry]:
-        """Gives up what was not written again since the store came back.
+        """Removes the keys not written again since the store was restored.
 
         Returns:
-            Its removals, as news.
+            The removals.
         """
-        found = [self._entries[key] for key in self._carried]
+        carried = [self._entries[key] for key in self._carried]
         self._carried.clear()
         return [
-            self._remove(entry, lacking=True) for entry in found if entry.value
+            self._remove(entry, lacking=True)
+            for entry in carried
+            if entry.value
         ]
 
     def carries(self) -> bool:
-        """Whether anything is known that the store may lack."""
+        """Whether there are records that the store may lack."""
         return bool(self._carried)
 
     def is_carried(self, key: str) -> bool:
-        """Whether a key's record was not written in the store's newest epoch."""
-        known = self._entries.get(key)
-        return known is not None and (
-            positions.epoch(known.offset) < positions.epoch(self.end)
+        """Whether a key's record belongs to an earlier epoch of the store."""
+        newest = self._entries.get(key)
+        return newest is not None and (
+            positions.epoch(newest.offset) < positions.epoch(self.end)
         )
 
     def since(self, end: int) -> list[Entry]:
-        """Returns what a peer lacks that knows the topic up to a position.
+        """Returns the records that a peer lacks.
+
+        Records with the same content as the previous one of their key are left
+        out. Servers write about once a second and rarely change anything;
+        these records would be most of the traffic between VMs.
 
-        Records that repeat what their key's older one said are no news to it.
-        Servers write every second or so and hardly ever something new; passed
-        on, that would be most of what goes between VMs.
+        Args:
+            end: Position up to which the peer has read the topic.
         """
         changed_at = self._changed_at
         if positions.epoch(end) < positions.epoch(self.end):
-            changed_at = changed_at | self._before
+            changed_at = changed_at | self._changed_at_previous_epoch
         return [
             entry
             for entry in self._entries.values()
@@ -182,28 +194,32 @@
         ]
 
     def repeats(self, entry: Entry, before: int) -> None:
-        """Notes that a record says what its key's record before it said.
+        """Records that an entry has the same content as the previous one.
 
         Args:
             entry: The newest record of its key.
-            before: Since which position its key has said so.
+            before: Position since which the key has had this content.
         """
-        known = self._entries.get(entry.key)
-        if known is None or known.offset != entry.offset:
+        newest = self._entries.get(entry.key)
+        if newest is None or newest.offset != entry.offset:
             return
         if positions.epoch(before) == positions.epoch(entry.offset):
             self._changed_at[entry.key] = before
         else:
-            # Peers of the newest epoch may know the key from the copy alone.
-            self._before[entry.key] = before
+            # Peers in the newest epoch may have this key from the restored
+            # copy only.
+            self._changed_at_previous_epoch[entry.key] = before
 
     def changed_at(self, key: str) -> int | None:
-        """Returns since which position a key has its value; None if none."""
-        known = self._entries.get(key)
-        return self._changed_at[key] if known and known.value else None
+        """Returns the position since which a key has had its value.
+
+        Returns None if the key has no value.
+        """
+        newest = self._entries.get(key)
+        return self._changed_at[key] if newest and newest.value else None
 
     def values(self) -> dict[str, bytes]:
-        """Returns the value of every key that was not removed."""
+        """Returns the value of every key that has not been removed."""
         return {
             key: entry.value
             for key, entry in self._entries.items()
@@ -211,29 +227,29 @@
         }
 
     def get(self, key: str) -> Entry | None:
-        """Returns the newest record of a key, also a removal."""
+        """Returns the newest record of a key, which may be a removal."""
         return self._entries.get(key)
 
-    def _supersedes(self, entry: Entry, known: Entry) -> bool:
+    def _supersedes(self, entry: Entry, current: Entry) -> bool:
         same_epoch = positions.epoch(entry.offset) == positions.epoch(
-            known.offset
+            current.offset
         )
         if not same_epoch and entry.value:
             rank = self._rank(entry.key, entry.value)
-            before = self._rank_of(known)
-            if rank != before:
-                return rank > before
-            if rank != UNRANKED and not known.value:
+            current_rank = self._rank_of(current)
+            if rank != current_rank:
+                return rank > current_rank
+            if rank != UNRANKED and not current.value:
                 return False
-        return entry.offset > known.offset
+        return entry.offset > current.offset
 
-    def _says(self, entry: Entry) -> bool:
-        """Whether a copy's older record says what its key's newest one says."""
-        since = self._changed_at[entry.key]
-        if positions.epoch(entry.offset) != positions.epoch(since) + 1:
+    def _has_current_content(self, entry: Entry) -> bool:
+        """Whether a restored older record has the content of the newest one."""
+        changed_at = self._changed_at[entry.key]
+        if positions.epoch(entry.offset) != positions.epoch(changed_at) + 1:
             return False
-        # The copy has the offsets of the history that it was made of.
-        return positions.offset(since) <= positions.offset(entry.offset)
+        # The copy has the same offsets as the epoch it was made from.
+        return positions.offset(changed_at) <= positions.offset(entry.offset)
 
     def _rank_of(self, entry: Entry) -> Rank:
         if not entry.value:
@@ -241,27 +257,28 @@
         return self._rank(entry.key, entry.value)
 
     def _remove(self, entry: Entry, *, lacking: bool) -> Entry:
-        """Removes a key that the store does not hold.
+        """Removes a key that the store does not contain.
 
         Args:
-            entry: Its newest record.
-            lacking: Whether it may come again as it was.
+            entry: The newest record of the key.
+            lacking: Whether the same value may be written again, because the
+                restored copy lacks it.
         """
-        gone = Entry(
+        removal = Entry(
             key=entry.key,
-            # Below the end, from which on it may be written again.
+            # Below the end, so that any new record of the key is higher.
             offset=max(entry.offset, self.end - 1),
             value=b'',
             removed=UNRANKED if lacking else self._rank_of(entry),
         )
-        self._put(gone)
-        return gone
+        self._put(removal)
+        return removal
 
     def _put(self, entry: Entry) -> None:
         self._entries[entry.key] = entry
         self._changed_at[entry.key] = entry.offset
         self._removed.pop(entry.key, None)
-        self._before.pop(entry.key, None)
+        self._changed_at_previous_epoch.pop(entry.key, None)
         self._carried.pop(entry.key, None)
         if entry.value:
             return
--- a/packages/core/foxtaildale/rules.py
+++ b/packages/core/foxtaildale/rules.py
@@ -1,7 +1,7 @@
-"""Rules over several settings at once.
+"""Rules that involve several settings.
 
-The schema bounds each field alone. What only goes wrong in combination is
-found here, as faults that `settings` puts into words.
+The schema checks each field separately. This module checks combinations of
+fields and returns faults, from which `settings` makes error messages.
 """
 
 from collections.abc import Mapping
@@ -12,8 +12,9 @@
 from foxtaildale import options
 from foxtaildale import values
 
-# A single late heartbeat must not make a process count as gone.
-_HEARTBEATS_IN_SILENCE: Final = 2
+# Minimum silence_s as a multiple of heartbeat_s: a single late heartbeat must
+# not make a process count as removed.
+_MIN_HEARTBEATS_IN_SILENCE: Final = 2
 _ADDRESSES: Final = (
     'caller_address',
     'peer_address',
@@ -25,23 +26,23 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One thing wrong with settings."""
+    """One violation of a rule in settings."""
 
     # Dotted path of the field; empty for the whole file.
     path: str
     found: str
     allowed: str
-    # Other fields that were compared; where one of them is wrong itself,
-    # nothing can be said here.
+    # Other fields that were compared. If one of them is invalid itself, the
+    # fault is not reported.
     compared: tuple[str, ...] = ()
 
 
 def options_faults(cfg: options.Options, given: frozenset[str]) -> list[Fault]:
-    """Returns what is wrong with options whose fields are each in bounds.
+    """Returns the faults of options whose fields are valid separately.
 
     Args:
         cfg: The options.
-        given: Names of the fields that the file sets itself.
+        given: Names of the fields that are present in the file.
     """
     faults = _role_faults(cfg, given)
     for name in _ADDRESSES:
@@ -77,8 +78,8 @@
 
 def _address_faults(name: str, address: str) -> list[Fault]:
     if not address.isascii() or address != address.strip():
-        # The pattern's digits are any script's, and its end may be a newline;
-        # neither can be bound or connected to.
+        # The pattern also matches digits of other scripts and a newline at the
+        # end; such an address cannot be bound or connected to.
         return [Fault(name, ascii(address), 'plain digits, dots and a colon')]
     ip, _, port = address.rpartition(':')
     if any(int(part) > 255 for part in ip.split('.')) or int(port) > 65_535:
@@ -86,59 +87,60 @@
             Fault(name, f'"{address}"', 'numbers to 255 and a port to 65535')
         ]
     if name not in _LISTENING and int(port) == 0:
-        # The kernel chooses a port only for an address that is listened on.
+        # The kernel only chooses a port for a listening socket.
         return [Fault(name, f'"{address}"', 'a port from 1 to 65535')]
     return []
 
 
 def _shared_faults(cfg: options.Options) -> list[Fault]:
-    """Finds two interfaces on one address; the second could not be opened."""
-    seen: dict[str, str] = {}
+    """Finds interfaces on the same address; only one could be opened."""
+    names: dict[str, str] = {}
     faults: list[Fault] = []
     for name in _LISTENING:
         address = getattr(cfg, name)
         if address.endswith(':0'):
             continue
-        if address in seen:
+        if address in names:
             faults.append(
                 Fault(
                     name,
-                    f'"{address}", the same as {seen[address]}',
+                    f'"{address}", the same as {names[address]}',
                     'an address of its own',
-                    (seen[address],),
+                    (names[address],),
                 )
             )
-        seen[address] = name
+        names[address] = name
     return faults
 
 
 def _time_faults(cfg: options.Options) -> list[Fault]:
-    least = _HEARTBEATS_IN_SILENCE * cfg.heartbeat_s
-    round_s = cfg.poll_s + cfg.platform_timeout_s
+    min_silence_s = _MIN_HEARTBEATS_IN_SILENCE * cfg.heartbeat_s
+    read_cycle_s = cfg.poll_s + cfg.platform_timeout_s
     faults: list[Fault] = []
-    if cfg.silence_s < least:
-        # One lost heartbeat would cut a healthy process off.
+    if cfg.silence_s < min_silence_s:
+        # One lost heartbeat would exclude a healthy process.
         faults.append(
             Fault(
                 'silence_s',
                 str(cfg.silence_s),
-                f'at least {_HEARTBEATS_IN_SILENCE} times heartbeat_s, {least}',
+                f'at least {_MIN_HEARTBEATS_IN_SILENCE} times heartbeat_s, {min_silence_s}',
                 ('heartbeat_s',),
             )
         )
-    if cfg.freshness_s < max(cfg.silence_s, round_s):
-        # A keeper would stop vouching between two good reads of the log.
+    if cfg.freshness_s < max(cfg.silence_s, read_cycle_s):
+        # A keeper would stop vouching for the preset between two successful
+        # reads of the log.
         faults.append(
             Fault(
                 'freshness_s',
                 str(cfg.freshness_s),
                 'at least silence_s and poll_s + platform_timeout_s,'
-                f' {max(cfg.silence_s, round_s)}',
+                f' {max(cfg.silence_s, read_cycle_s)}',
                 ('silence_s', 'poll_s', 'platform_timeout_s'),
             )
         )
     if cfg.ticket_life_s <= cfg.silence_s:
-        # A ticket would be too old before its executor counts as gone.
+        # A ticket would expire before its executor counts as removed.
         faults.append(
             Fault(
                 'ticket_life_s',
@@ -151,11 +153,11 @@
 
 
 def service_faults(path: str, service: values.Service) -> list[Fault]:
-    """Returns what is wrong with a service whose fields are in bounds.
+    """Returns the faults of a service whose fields are valid separately.
 
     Args:
-        path: Path of the service in its file.
-        service: What the preset says of it.
+        path: Path of the service in the file.
+        service: The service's section of the preset.
     """
     faults: list[Fault] = []
     if service.kind == 'plain':
@@ -177,12 +179,13 @@
             )
         )
     if service.kind == 'model' and service.once == 'ticket':
-        # A ticket's outcome travels whole between VMs; a stream can't.
+        # The outcome of a ticket is sent between VMs as one message, which a
+        # stream cannot be.
         faults.append(
             Fault(f'{path}.once', 'ticket', 'claim or none for a model service')
         )
     if 0 < service.first_answer_ms < service.patience_ms:
-        # A request would hold its place in the queue past its own target.
+        # A request would stay in the queue for longer than its own target.
         faults.append(
             Fault(
                 f'{path}.patience_ms',
@@ -202,18 +205,18 @@
 
 
 def account_faults(found: Mapping[str, values.Account]) -> list[Fault]:
-    """Returns what is wrong with accounts whose fields are in bounds."""
+    """Returns the faults of accounts whose fields are valid separately."""
     faults: list[Fault] = []
-    holders: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for name, account in found.items():
         for key in account.keys:
-            other = holders.setdefault(key, name)
-            if other != name:
-                # A request with it would be served as either one.
+            owner = owners.setdefault(key, name)
+            if owner != name:
+                # A request with this key could be assigned to either account.
                 faults.append(
                     Fault(
                         f'accounts.{name}.keys',
-                        f'a key of {other}',
+                        f'a key of {owner}',
                         'keys that no other account has',
                     )
                 )
--- a/packages/core/foxtaildale/settings.py
+++ b/packages/core/foxtaildale/settings.py
@@ -1,10 +1,10 @@
-"""Checked settings: JSON with comments into options and presets.
+"""Parses and checks settings: JSON with comments into options and presets.
 
-A text is parsed, held against the JSON schema that msgspec derives from the
-struct, and fields that only make sense together are compared; where a field is
-wrong by itself, what it would be compared with is left alone. All faults are
-raised together, each on one line that names the file, the field, what was
-found and what is allowed. The program reads the file; this module has no I/O.
+A text is parsed and validated against the JSON schema that msgspec derives
+from the struct. Then fields that depend on each other are compared, except
+fields that are invalid themselves. All faults are raised together, one per
+line with the file, the field, the value found and the allowed values. The
+program reads the file; this module does no I/O.
 """
 
 from collections.abc import Callable
@@ -25,15 +25,15 @@
 from foxtaildale import rules
 from foxtaildale import values
 
-# Fields whose content is never shown, not even in a fault.
-_SECRET: Final = frozenset({'secret', 'keys'})
-# What was found is cut to this many characters in a fault.
-_SHOWN: Final = 60
-# Longest file looked at, characters.
+# Fields whose values never appear in a message.
+_SECRET_FIELDS: Final = frozenset({'secret', 'keys'})
+# Maximum length of a value in a message, characters.
+_MAX_SHOWN_CHARS: Final = 60
+# Maximum length of a file, characters.
 MAX_TEXT: Final = 1_048_576
 
-# Stand in for required fields that are missing or wrong, while the others are
-# compared; they pass every rule.
+# Values used for required fields that are missing or invalid while the other
+# fields are compared; they violate no rule.
 _PLACEHOLDERS: Final = {
     'role': 'keeper',
     'entry_vm': 'x',
@@ -41,21 +41,21 @@
     'platform': '127.0.0.1:1',
     'secret': 16 * 'x',
 }
-# Returns the faults of a parsed text, given the paths known to be wrong.
-_Compare = Callable[[dict[str, Any], frozenset[str]], list[rules.Fault]]
+# Returns the faults of a parsed text, given the paths of invalid fields.
+_RuleCheck = Callable[[dict[str, Any], frozenset[str]], list[rules.Fault]]
 
-# Where the parser says at which character it stopped.
-_NEAR: Final = re.compile(r' near (\d+).*')
+# Matches the offset in a message of the parser, characters.
+_PARSER_OFFSET: Final = re.compile(r' near (\d+).*')
 
-# What separates a field from the rest of a path in a fault.
-_INNER: Final = re.compile(r'[.\[]')
+# Separators between the top-level field and the rest of a path.
+_PATH_SEPARATOR: Final = re.compile(r'[.\[]')
 
 _T = TypeVar('_T')
 
 
-def _is_integer(_: object, found: object) -> bool:
-    """Tells a whole number; 2.0 is one to the schema but not to the codec."""
-    return isinstance(found, int) and not isinstance(found, bool)
+def _is_integer(_: object, value: object) -> bool:
+    """Whether a value is an integer; JSON schema accepts 2.0, msgspec not."""
+    return isinstance(value, int) and not isinstance(value, bool)
 
 
 _Validator: Final = jsonschema.validators.extend(  # type: ignore[no-untyped-call]
@@ -67,36 +67,36 @@
 
 
 def options(text: str, name: str) -> options_lib.Options:
-    """Returns the options of a daemon.
+    """Parses the options of a daemon.
 
     Args:
         text: JSON with comments.
-        name: The file's name, for faults.
+        name: Name of the file, for messages.
 
     Raises:
-        errors.SettingsError: The text is wrong; carries every fault.
+        errors.SettingsError: The text is invalid; contains all faults.
     """
-    return _read(text, name, options_lib.Options, _compare_options)
+    return _parse_checked(text, name, options_lib.Options, _check_options)
 
 
 def preset(text: str, name: str) -> values.Preset:
-    """Returns a preset that may be published.
+    """Parses a preset.
 
     Args:
         text: JSON with comments.
-        name: The file's name, for faults.
+        name: Name of the file, for messages.
 
     Raises:
-        errors.SettingsError: The text is wrong; carries every fault.
+        errors.SettingsError: The text is invalid; contains all faults.
     """
-    return _read(text, name, values.Preset, _compare_preset)
+    return _parse_checked(text, name, values.Preset, _check_preset)
 
 
 def schema(kind: type[Any]) -> dict[str, Any]:
-    """Returns the JSON schema of a settings struct; unknown fields are out.
+    """Returns the JSON schema of a settings struct; rejects unknown fields.
 
-    A misspelt field would otherwise be ignored and its default used, which
-    nobody notices until the default matters.
+    Otherwise a misspelt field would be ignored and its default used, without
+    any sign of the mistake until the default has an effect.
     """
     result = msgspec.json.schema(kind)
     for part in result['$defs'].values():
@@ -105,73 +105,83 @@
     return result
 
 
-def _read(text: str, name: str, kind: type[_T], compare: _Compare) -> _T:
-    found = _parse(text, name)
+def _parse_checked(
+    text: str, name: str, kind: type[_T], check_rules: _RuleCheck
+) -> _T:
+    parsed = _decode(text, name)
     faults: list[rules.Fault] = []
-    for error in _Validator(schema(kind)).iter_errors(found):
-        faults += _faults(error)
-    faults += _not_finite(found, ())
-    if isinstance(found, dict):
-        faults += compare(found, frozenset(fault.path for fault in faults))
-    _raise(name, faults)
+    for error in _Validator(schema(kind)).iter_errors(parsed):
+        faults += _schema_faults(error)
+    faults += _non_finite_faults(parsed, ())
+    if isinstance(parsed, dict):
+        faults += check_rules(parsed, frozenset(fault.path for fault in faults))
+    _raise_if_any(name, faults)
     try:
-        return msgspec.convert(found, kind)
+        return msgspec.convert(parsed, kind)
     except msgspec.ValidationError as exc:
         raise errors.SettingsError((f'{name}: {exc}',)) from exc
 
 
-def _compare_options(
-    found: dict[str, Any], wrong: frozenset[str]
+def _check_options(
+    parsed: dict[str, Any], invalid: frozenset[str]
 ) -> list[rules.Fault]:
-    """Compares the fields of options that are right by themselves."""
-    known = options_lib.Options.__struct_fields__
-    # A fault within a list names the item; its field is wrong as a whole.
-    tops = {_INNER.split(path, maxsplit=1)[0] for path in wrong}
-    right = {
+    """Checks the rules for the options that are valid separately."""
+    field_names = options_lib.Options.__struct_fields__
+    # A fault in a list names the item; the whole field is invalid then.
+    invalid_fields = {
+        _PATH_SEPARATOR.split(path, maxsplit=1)[0] for path in invalid
+    }
+    valid = {
         key: value
-        for key, value in found.items()
-        if key in known and key not in tops
+        for key, value in parsed.items()
+        if key in field_names and key not in invalid_fields
     }
-    cfg = msgspec.convert({**_PLACEHOLDERS, **right}, options_lib.Options)
+    cfg = msgspec.convert({**_PLACEHOLDERS, **valid}, options_lib.Options)
     return [
         fault
-        for fault in rules.options_faults(cfg, frozenset(found))
-        if not wrong & {fault.path, *fault.compared}
+        for fault in rules.options_faults(cfg, frozenset(parsed))
+        if not invalid & {fault.path, *fault.compared}
     ]
 
 
-def _compare_preset(
-    found: dict[str, Any], wrong: frozenset[str]
+def _check_preset(
+    parsed: dict[str, Any], invalid: frozenset[str]
 ) -> list[rules.Fault]:
-    """Compares the fields of a preset that are right by themselves."""
-    return _compare_services(found, wrong) + _compare_accounts(found, wrong)
+    """Checks the rules for the parts of a preset that are valid."""
+    return _check_services(parsed, invalid) + _check_accounts(parsed, invalid)
 
 
-def _compare_accounts(
-    found: dict[str, Any], wrong: frozenset[str]
+def _check_accounts(
+    parsed: dict[str, Any], invalid: frozenset[str]
 ) -> list[rules.Fault]:
-    known = found.get('accounts')
-    if not isinstance(known, dict):
+    accounts = parsed.get('accounts')
+    if not isinstance(accounts, dict):
         return []
-    right = {
+    valid = {
         name: msgspec.convert(value, values.Account)
-        for name, value in known.items()
-        if not any(f'{one}.'.startswith(f'accounts.{name}.') for one in wrong)
+        for name, value in accounts.items()
+        if not any(
+            f'{invalid_path}.'.startswith(f'accounts.{name}.')
+            for invalid_path in invalid
+        )
     }
-    return rules.account_faults(right)
+    return rules.account_faults(valid)
 
 
-def _compare_services(
-    found: dict[str, Any], wrong: frozenset[str]
+def _check_services(
+    parsed: dict[str, Any], invalid: frozenset[str]
 ) -> list[rules.Fault]:
-    """Compares the fields of services that are right by themselves."""
-    services = found.get('services')
+    """Checks the rules for the services whose fields are valid."""
+    services = parsed.get('services')
     if not isinstance(services, dict):
         return []
     faults: list[rules.Fault] = []
     for key, value in services.items():
         path = f'services.{key}'
-        if any(f'{one}.'.startswith(f'{path}.') for one in wrong):
+        if any(
+            f'{invalid_path}.'.startswith(f'{path}.')
+            for invalid_path in invalid
+        ):
             continue
         faults += rules.service_faults(
             path, msgspec.convert(value, values.Service)
@@ -179,7 +189,7 @@
     return faults
 
 
-def _parse(text: str, name: str) -> object:
+def _decode(text: str, name: str) -> object:
     if len(text) > MAX_TEXT:
         raise errors.SettingsError(
             (
@@ -192,22 +202,22 @@
     except pyjson5.Json5Exception as exc:
         raise errors.SettingsError(
             (
-                f'{name}: {_place(str(exc.args[0]), text)},'
+                f'{name}: {_describe_parse_error(str(exc.args[0]), text)},'
                 ' allowed: JSON with comments',
             )
         ) from exc
 
 
-def _place(message: str, text: str) -> str:
-    """Returns the parser's message with a line in place of an offset."""
-    match = _NEAR.search(message)
+def _describe_parse_error(message: str, text: str) -> str:
+    """Returns the parser's message with a line number instead of an offset."""
+    match = _PARSER_OFFSET.search(message)
     if match is None:
         return f'found {message}'
     before = text[: int(match[1])]
     return f'line {before.count(chr(10)) + 1}: found {message[: match.start()]}'
 
 
-def _raise(name: str, faults: list[rules.Fault]) -> None:
+def _raise_if_any(name: str, faults: list[rules.Fault]) -> None:
     if not faults:
         return
     lines = {
@@ -218,40 +228,60 @@
     raise errors.SettingsError(tuple(sorted(lines)))
 
 
-def _faults(error: jsonschema.ValidationError) -> list[rules.Fault]:
-    """Returns the faults behind one error of the schema."""
-    path = tuple(str(part) for part in error.absolute_path)
-    part = error.schema
-    assert isinstance(part, dict)
-    found: Any = error.instance
+def _schema_faults(error: jsonschema.ValidationError) -> list[rules.Fault]:
+    """Converts one error of the schema validation to faults."""
+    path = tuple(str(subschema) for subschema in error.absolute_path)
+    subschema = error.schema
+    assert isinstance(subschema, dict)
+    value: Any = error.instance
     if error.validator == 'additionalProperties':
-        known = part['properties']
+        properties = subschema['properties']
         return [
-            rules.Fault(_join((*path, key)), 'an unknown field', _names(known))
-            for key in found
-            if key not in known
+            rules.Fault(
+                _join_path((*path, key)),
+                'an unknown field',
+                _one_of(properties),
+            )
+            for key in value
+            if key not in properties
         ]
     if error.validator == 'required':
-        known = part['properties']
+        properties = subschema['properties']
         return [
-            rules.Fault(_join((*path, key)), 'nothing', _allowed(known[key]))
-            for key in part['required']
-            if key not in found
+            rules.Fault(
+                _join_path((*path, key)),
+                'nothing',
+                _describe_allowed(properties[key]),
+            )
+            for key in subschema['required']
+            if key not in value
         ]
     if 'propertyNames' in error.absolute_schema_path:
-        return [rules.Fault(_join(path), f'key {_show(found)}', _allowed(part))]
-    shown = _hidden(found) if set(path) & _SECRET else _show(found)
-    return [rules.Fault(_join(path), shown, _allowed(part))]
+        return [
+            rules.Fault(
+                _join_path(path),
+                f'key {_format_value(value)}',
+                _describe_allowed(subschema),
+            )
+        ]
+    shown = (
+        _describe_secret(value)
+        if set(path) & _SECRET_FIELDS
+        else _format_value(value)
+    )
+    return [rules.Fault(_join_path(path), shown, _describe_allowed(subschema))]
 
 
-def _not_finite(found: object, path: tuple[str, ...]) -> list[rules.Fault]:
-    """Finds NaN and infinity, which JSON with comments has and we do not.
+def _non_finite_faults(
+    found: object, path: tuple[str, ...]
+) -> list[rules.Fault]:
+    """Finds NaN and infinity, which the parser accepts.
 
-    NaN passes every bound of the schema, because no comparison with it holds;
-    a timeout of NaN would then never or always pass.
+    NaN passes every bound of the schema, because every comparison with it is
+    false; a timeout of NaN would expire never or at once.
     """
     if isinstance(found, float) and not math.isfinite(found):
-        return [rules.Fault(_join(path), str(found), 'a finite number')]
+        return [rules.Fault(_join_path(path), str(found), 'a finite number')]
     if isinstance(found, dict):
         parts = [(str(key), value) for key, value in found.items()]
     elif isinstance(found, list):
@@ -260,33 +290,35 @@
         parts = []
     faults: list[rules.Fault] = []
     for key, value in parts:
-        faults += _not_finite(value, (*path, key))
+        faults += _non_finite_faults(value, (*path, key))
     return faults
 
 
-def _join(path: tuple[str, ...]) -> str:
+def _join_path(path: tuple[str, ...]) -> str:
     return '.'.join(path)
 
 
-def _show(found: object) -> str:
-    if isinstance(found, dict):
-        return 'an object' if found else 'an empty object'
-    text = json.dumps(found, ensure_ascii=False)
-    return text if len(text) <= _SHOWN else text[:_SHOWN] + '…'
+def _format_value(value: object) -> str:
+    if isinstance(value, dict):
+        return 'an object' if value else 'an empty object'
+    text = json.dumps(value, ensure_ascii=False)
+    return (
+        text if len(text) <= _MAX_SHOWN_CHARS else text[:_MAX_SHOWN_CHARS] + '…'
+    )
 
 
-def _hidden(found: object) -> str:
-    if isinstance(found, str):
-        return f'a text of {len(found)} characters'
-    return f'a value of type {type(found).__name__}'
+def _describe_secret(value: object) -> str:
+    if isinstance(value, str):
+        return f'a text of {len(value)} characters'
+    return f'a value of type {type(value).__name__}'
 
 
-def _names(names: Iterable[str]) -> str:
+def _one_of(names: Iterable[str]) -> str:
     return 'one of ' + ', '.join(sorted(names))
 
 
-# How each keyword of the schema reads in a sentence.
-_PHRASES: Final = (
+# Message texts for the keywords of the schema.
+_KEYWORD_TEXTS: Final = (
     ('minimum', 'at least {}'),
     ('exclusiveMinimum', 'above {}'),
     ('maximum', 'at most {}'),
@@ -296,7 +328,7 @@
     ('minProperties', 'at least {} entries'),
     ('maxProperties', 'at most {} entries'),
 )
-_TYPES: Final = {
+_TYPE_TEXTS: Final = {
     'string': 'a text',
     'number': 'a number',
     'integer': 'a whole number',
@@ -306,14 +338,16 @@
 }
 
 
-def _allowed(part: dict[str, Any]) -> str:
-    """Returns what a part of the schema allows, in words."""
-    if '$ref' in part:
+def _describe_allowed(subschema: dict[str, Any]) -> str:
+    """Describes the values that a part of the schema allows."""
+    if '$ref' in subschema:
         return 'an object'
-    if 'enum' in part:
-        return _names(str(value) for value in part['enum'])
-    words = [_TYPES.get(part.get('type', 'string'), 'a value')]
+    if 'enum' in subschema:
+        return _one_of(str(value) for value in subschema['enum'])
+    words = [_TYPE_TEXTS.get(subschema.get('type', 'string'), 'a value')]
     words += [
-        phrase.format(part[key]) for key, phrase in _PHRASES if key in part
+        phrase.format(subschema[key])
+        for key, phrase in _KEYWORD_TEXTS
+        if key in subschema
     ]
     return ', '.join(words)
--- a/packages/core/foxtaildale/values.py
+++ b/packages/core/foxtaildale/values.py
@@ -1,7 +1,7 @@
-"""Values that travel through the whole system.
+"""Values that are used and exchanged throughout the system.
 
-They are immutable structs with slots; the codec library needs their fields
-declared, which is why they are `msgspec.Struct` and not bare classes.
+They are immutable structs with slots. They derive from `msgspec.Struct`, since
+msgspec encodes only classes whose fields are declared.
 """
 
 import sys
@@ -10,8 +10,8 @@
 
 import msgspec
 
-# Bounds stand at the fields, so that the schema which checks a preset before
-# it is published and the codec that reads it back both have them.
+# The fields are annotated with their bounds, so that both the schema that checks
+# a preset before it is published and the codec that decodes it apply them.
 _Name = Annotated[str, msgspec.Meta(pattern=r'^[a-z0-9][a-z0-9-]{0,39}$')]
 _Digest = Annotated[str, msgspec.Meta(pattern=r'^[0-9a-f]{32}$')]
 _Millis = Annotated[int, msgspec.Meta(ge=0, le=86_400_000)]
@@ -19,20 +19,20 @@
 
 Role = Literal['prefill', 'decode', 'plain']
 State = Literal['live', 'leaving']
-# What an operator may set of a model engine.
+# Settings of a model engine that an operator may specify.
 EngineSetting = Literal['load', 'adapter', 'version']
 Once = Literal['none', 'claim', 'ticket']
 
 
 class Figure(msgspec.Struct, frozen=True):
-    """One figure that a decision was made on."""
+    """One value on which a decision was based."""
 
     name: str
     value: float | str
 
 
 class Outcome(msgspec.Struct, frozen=True, kw_only=True):
-    """The final, explained result of one request."""
+    """The final result of one request, with an explanation."""
 
     # Identifies the request for `foxtaildale explain`.
     request: str
@@ -40,12 +40,12 @@
     code: str
     sentence: str
     figures: tuple[Figure, ...] = ()
-    # Revision of the preset in force when it was decided; 0 if none.
+    # Revision of the preset in force at the time of the decision; 0 if none.
     revision: int
     entry_vm: str
-    # Seconds since the epoch, for people; decisions never use it.
+    # Seconds since the Unix epoch, for display only; no decision uses it.
     at: float
-    # When to come back, in seconds; 0 where that makes no sense.
+    # Seconds after which the caller should retry; 0 if a retry is pointless.
     retry_after_s: float = 0.0
     service: str = ''
 
@@ -53,8 +53,8 @@
 def interned(outcome: Outcome) -> Outcome:
     """Returns an equal outcome that shares its common strings.
 
-    A decoder makes new strings for each message; kept by the thousand, the
-    same sentences and names would be most of the memory.
+    A decoder creates new strings for each message. With thousands of stored
+    outcomes, repeated sentences and names would use most of the memory.
     """
     return msgspec.structs.replace(
         outcome,
@@ -69,15 +69,15 @@
     """A backend server as the platform lists it."""
 
     name: str
-    # IP number and port of its HTTP interface.
+    # IP address and port of its HTTP interface.
     address: str
     data_centre: str
     service: str
     role: Role
     state: State = 'live'
-    # Whether it refuses an order that carries an old fencing number.
+    # Whether it refuses an order with an outdated fencing token.
     fenced: bool = False
-    # Requests it holds at once.
+    # Maximum number of concurrent requests.
     slots: int = 20
 
 
@@ -86,100 +86,101 @@
 
     name: str
     data_centre: str
-    # IP number and port of its keeper.
+    # IP address and port of its keeper.
     keeper: str
     state: State = 'live'
 
 
 class Keeper(msgspec.Struct, frozen=True, kw_only=True):
-    """A keeper as its peers hear of it."""
+    """A keeper as it is announced to its peers."""
 
     # Name of its entry VM.
     name: str
-    # Names this start of the process; a restart is another keeper.
+    # Identifies this start of the process; a restart is a new incarnation.
     incarnation: str
     address: str
     data_centre: str
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """The platform's list of live and leaving VMs; it lags."""
+    """The platform's list of live and leaving VMs; may be outdated."""
 
-    # Grows with each change; an older list never replaces a newer one.
+    # Increases with each change; an older list never replaces a newer one.
     version: int
     entry_vms: tuple[EntryVm, ...]
     backend_servers: tuple[BackendServer, ...]
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
-    """What a preset says of one service."""
+    """The section of a preset for one service."""
 
     kind: Literal['model', 'plain']
-    # Which rule keeps a non-idempotent request from running twice.
+    # Method that prevents a non-idempotent request from running twice.
     once: Once = 'none'
     # 0 is the most urgent.
     priority: Annotated[int, msgspec.Meta(ge=0, le=9)] = 5
-    # Target for the first answer, milliseconds; 0 means no target.
+    # Target time to the first part of the response, milliseconds; 0 for none.
     first_answer_ms: _Millis = 0
-    # Target between tokens, milliseconds; 0 means no target.
+    # Target time between tokens, milliseconds; 0 for none.
     between_tokens_ms: _Millis = 0
-    # How long a request may wait for a slot, milliseconds.
+    # Maximum time that a request waits for a slot, milliseconds.
     patience_ms: _Millis = 0
-    # Requests of this service that may wait at once.
+    # Maximum number of waiting requests of this service.
     queue_limit: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 64
-    # Longest body taken, bytes.
+    # Maximum size of a request body.
     max_body_bytes: Annotated[int, msgspec.Meta(ge=1, le=67_108_864)] = (
         1_048_576
     )
-    # Answer length assumed until the caller says otherwise, tokens.
+    # Assumed length of a response unless the caller specifies one, tokens.
     expected_tokens: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 128
-    # How long a call to a plain service may take, milliseconds.
+    # Timeout of a call to a plain service, milliseconds.
     call_timeout_ms: Annotated[int, msgspec.Meta(ge=1, le=3_600_000)] = 5_000
-    # What every engine of the service is set to; others are left alone.
+    # Settings applied to every engine of the service; settings that are not
+    # named stay unchanged.
     engine_settings: dict[EngineSetting, str] = {}
 
 
 class Account(msgspec.Struct, frozen=True, kw_only=True):
-    """What a preset says of one client account."""
+    """The section of a preset for one client account."""
 
-    # Digests of its keys, as `foxtaildale account-key` makes them; a preset can
-    # be read by many, so no key stands in it.
+    # Digests of its keys, as printed by `foxtaildale account-key`. A preset has
+    # many readers, so it does not contain the keys themselves.
     keys: Annotated[tuple[_Digest, ...], msgspec.Meta(max_length=100)]
-    # Requests a second, over all entry VMs together; 0 for no limit.
+    # Requests per second over all entry VMs; 0 for no limit.
     requests_per_s: Annotated[float, msgspec.Meta(ge=0, le=1_000_000)] = 0
-    # Requests beyond that at once.
+    # Additional requests allowed in a burst.
     burst: Annotated[float, msgspec.Meta(ge=0, le=1_000_000)] = 0
 
 
 class Weights(msgspec.Struct, frozen=True):
-    """What the operators weigh more."""
+    """Relative weights of the goals, set by the operators."""
 
     goodput: _Weight = 1.0
     wasted_prefill: _Weight = 1.0
 
 
 class Preset(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole set of rules; exactly one is in force."""
+    """A complete set of rules; at most one preset is in force."""
 
     name: _Name
     services: Annotated[
         dict[_Name, Service], msgspec.Meta(min_length=1, max_length=200)
     ]
     weights: Weights = Weights()
-    # Retries allowed for each first try, over a sliding window.
+    # Retries allowed per first attempt, over a sliding window.
     retry_ratio: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.1
-    # Retries allowed beyond the ratio, for quiet times.
+    # Retries allowed in addition to the ratio, for times of low traffic.
     retry_burst: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 3
-    # Client accounts by name; without any, requests need no key.
+    # Client accounts by name; if there are none, requests need no key.
     accounts: Annotated[
         dict[_Name, Account], msgspec.Meta(max_length=2000)
     ] = {}
 
 
 class InForce(msgspec.Struct, frozen=True):
-    """The preset in force, as folded from the platform's log."""
+    """The preset in force, as determined from the platform's log."""
 
-    # Counts accepted switches; never goes down.
+    # Number of accepted switches; never decreases.
     revision: int
     # Offset of the record that put it in force.
     offset: int
