--- a/packages/core/foxtaildale/checkpoints.py
+++ b/packages/core/foxtaildale/checkpoints.py
@@ -61,9 +61,9 @@
             self._read_at = now
             self._record_count = 0
 
-    def due(self, now: float, first_kept: int, keepers: int) -> bool:
+    def due(self, now: float, oldest_offset: int, keepers: int) -> bool:
         """Whether to append a checkpoint now."""
-        if not self._is_needed(now, first_kept):
+        if not self._is_needed(now, oldest_offset):
             self._due_at = None
             return False
         max_delay_s = _DELAY_PER_KEEPER_S * keepers
--- a/packages/core/foxtaildale/members.py
+++ b/packages/core/foxtaildale/members.py
@@ -5,8 +5,8 @@
 as live, and peers may have an older list. The rules are:
 
 - A list never replaces a newer one.
-- A backend server that any source reported as leaving remains so as long as
-  the list names it at that address.
+- A member that any source reported as leaving counts as leaving as long as the
+  list names it at that address.
 - A keeper counts as present while its heartbeats arrive.
 """
 
@@ -18,7 +18,7 @@
 from foxtaildale import messages
 from foxtaildale import values
 
-# Number of replaced incarnations remembered for each peer.
+# Maximum number of replaced incarnations remembered for each peer.
 _MAX_REPLACED: Final = 8
 # Maximum number of reports of leaving members; limits the memory that peers
 # can fill.
@@ -35,16 +35,16 @@
 class _Peer:
     """The last heartbeat and the incarnations of another keeper."""
 
-    __slots__ = ('beat', 'heard_at', 'replaced')
+    __slots__ = ('heartbeat', 'received_at', 'replaced')
 
-    beat: messages.Beat
-    heard_at: float
+    heartbeat: messages.Beat
+    received_at: float
     # Earlier incarnations, oldest first.
     replaced: tuple[str, ...]
 
-    def __init__(self, beat: messages.Beat, heard_at: float) -> None:
-        self.beat = beat
-        self.heard_at = heard_at
+    def __init__(self, heartbeat: messages.Beat, received_at: float) -> None:
+        self.heartbeat = heartbeat
+        self.received_at = received_at
         self.replaced = ()
 
 
@@ -104,7 +104,11 @@
         )
 
     def on_listing(self, now: float, listing: values.Listing | None) -> bool:
-        """Handles a list of the platform or a peer; returns whether it is newer."""
+        """Handles a list of the platform or of a peer.
+
+        Returns:
+            Whether the list is newer than the last one.
+        """
         if listing is None or listing.version <= self.version:
             return False
         self.listing = listing
@@ -128,7 +132,7 @@
     def on_leaving(self, key: str) -> bool:
         """Handles a report that a server is leaving; returns whether it is new.
 
-        The report stems from an engine's refusal. The list may show the server
+        The report originates from an engine's refusal. The list may show the server
         as live for some more minutes; each request sent to it during that time
         would be refused and restarted elsewhere.
         """
@@ -147,26 +151,26 @@
         self._leaving_servers[key] = None
         return True
 
-    def on_beat(self, now: float, beat: messages.Beat) -> None:
+    def on_beat(self, now: float, heartbeat: messages.Beat) -> None:
         """Handles a peer's heartbeat."""
-        for key in beat.leaving:
+        for key in heartbeat.leaving:
             self.on_leaving(key)
-        if beat.entry_vm == self.entry_vm:
+        if heartbeat.entry_vm == self.entry_vm:
             return
-        peer = self._peers.get(beat.entry_vm)
+        peer = self._peers.get(heartbeat.entry_vm)
         if peer is None:
-            self._peers[beat.entry_vm] = _Peer(beat, now)
+            self._peers[heartbeat.entry_vm] = _Peer(heartbeat, now)
             return
-        if beat.incarnation in peer.replaced:
+        if heartbeat.incarnation in peer.replaced:
             # A delayed heartbeat of a process that has been replaced. Tickets
             # that name its witness would go to one that has not recorded
             # their start.
             return
-        if beat.incarnation != peer.beat.incarnation:
-            replaced = (*peer.replaced, peer.beat.incarnation)
+        if heartbeat.incarnation != peer.heartbeat.incarnation:
+            replaced = (*peer.replaced, peer.heartbeat.incarnation)
             peer.replaced = replaced[-_MAX_REPLACED:]
-        peer.beat = beat
-        peer.heard_at = now
+        peer.heartbeat = heartbeat
+        peer.received_at = now
 
     def servers(
         self, service: str, role: values.Role
@@ -215,8 +219,8 @@
             if name not in by_name:
                 by_name[name] = values.EntryVm(
                     name=name,
-                    data_centre=peer.beat.data_centre,
-                    keeper=peer.beat.address,
+                    data_centre=peer.heartbeat.data_centre,
+                    keeper=peer.heartbeat.address,
                 )
         by_name.pop(self.entry_vm, None)
         return tuple(by_name.values())
@@ -228,10 +232,10 @@
         """
         max_silence_s = self._max_silence_s()
         return tuple(
-            peer.beat
+            peer.heartbeat
             for name, peer in sorted(self._peers.items())
-            if now - peer.heard_at <= max_silence_s
-            and f'{name}@{peer.beat.address}' not in self._leaving_vms
+            if now - peer.received_at <= max_silence_s
+            and f'{name}@{peer.heartbeat.address}' not in self._leaving_vms
         )
 
     def forget(self, now: float) -> None:
@@ -246,7 +250,7 @@
         self._peers = {
             name: peer
             for name, peer in self._peers.items()
-            if name in named or now - peer.heard_at <= max_age_s
+            if name in named or now - peer.received_at <= max_age_s
         }
 
     def _max_silence_s(self) -> float:
--- a/packages/core/foxtaildale/mirror.py
+++ b/packages/core/foxtaildale/mirror.py
@@ -60,8 +60,8 @@
 
     __slots__ = (
         '_carried',
-        '_changed_at',
-        '_changed_at_previous_epoch',
+        '_changed_position',
+        '_changed_position_before_restore',
         '_entries',
         '_rank',
         '_removed',
@@ -74,10 +74,10 @@
     # By key, the position since which it has had its content: that of the
     # oldest record in the epoch of the newest one that has the same content,
     # with no different record in between.
-    _changed_at: dict[str, int]
+    _changed_position: dict[str, int]
     # The same position in the previous epoch, for keys that had the same
     # content there already.
-    _changed_at_previous_epoch: dict[str, int]
+    _changed_position_before_restore: dict[str, int]
     # Removed keys, oldest removal first.
     _removed: dict[str, None]
     # Keys whose newest record belongs to an earlier epoch than the end, and
@@ -95,8 +95,8 @@
         self._rank = rank
         self._retain_carried = keeps
         self._entries = {}
-        self._changed_at = {}
-        self._changed_at_previous_epoch = {}
+        self._changed_position = {}
+        self._changed_position_before_restore = {}
         self._removed = {}
         self._carried = {}
         self.end = 0
@@ -146,7 +146,7 @@
             if self._retain_carried and (is_later or key in self._carried):
                 self._carried[key] = True
                 continue
-            changed.append(self._remove(entry, lacking=is_later))
+            changed.append(self._remove(entry, may_return=is_later))
         return changed
 
     def drop_carried(self) -> list[Entry]:
@@ -158,7 +158,7 @@
         carried = [self._entries[key] for key in self._carried]
         self._carried.clear()
         return [
-            self._remove(entry, lacking=True)
+            self._remove(entry, may_return=True)
             for entry in carried
             if entry.value
         ]
@@ -184,31 +184,34 @@
         Args:
             end: Position up to which the peer has read the topic.
         """
-        changed_at = self._changed_at
+        changed_position = self._changed_position
         if positions.epoch(end) < positions.epoch(self.end):
-            changed_at = changed_at | self._changed_at_previous_epoch
+            changed_position = (
+                changed_position | self._changed_position_before_restore
+            )
         return [
             entry
             for entry in self._entries.values()
-            if changed_at[entry.key] >= end or self._carried.get(entry.key)
+            if changed_position[entry.key] >= end
+            or self._carried.get(entry.key)
         ]
 
-    def repeats(self, entry: Entry, before: int) -> None:
+    def repeats(self, entry: Entry, same_since: int) -> None:
         """Records that an entry has the same content as the previous one.
 
         Args:
             entry: The newest record of its key.
-            before: Position since which the key has had this content.
+            same_since: Position since which the key has had this content.
         """
         newest = self._entries.get(entry.key)
         if newest is None or newest.offset != entry.offset:
             return
-        if positions.epoch(before) == positions.epoch(entry.offset):
-            self._changed_at[entry.key] = before
+        if positions.epoch(same_since) == positions.epoch(entry.offset):
+            self._changed_position[entry.key] = same_since
         else:
             # Peers in the newest epoch may have this key from the restored
             # copy only.
-            self._changed_at_previous_epoch[entry.key] = before
+            self._changed_position_before_restore[entry.key] = same_since
 
     def changed_at(self, key: str) -> int | None:
         """Returns the position since which a key has had its value.
@@ -216,7 +219,7 @@
         Returns None if the key has no value.
         """
         newest = self._entries.get(key)
-        return self._changed_at[key] if newest and newest.value else None
+        return self._changed_position[key] if newest and newest.value else None
 
     def values(self) -> dict[str, bytes]:
         """Returns the value of every key that has not been removed."""
@@ -245,40 +248,45 @@
 
     def _has_current_content(self, entry: Entry) -> bool:
         """Whether a restored older record has the content of the newest one."""
-        changed_at = self._changed_at[entry.key]
-        if positions.epoch(entry.offset) != positions.epoch(changed_at) + 1:
+        changed_position = self._changed_position[entry.key]
+        if (
+            positions.epoch(entry.offset)
+            != positions.epoch(changed_position) + 1
+        ):
             return False
         # The copy has the same offsets as the epoch it was made from.
-        return positions.offset(changed_at) <= positions.offset(entry.offset)
+        return positions.offset(changed_position) <= positions.offset(
+            entry.offset
+        )
 
     def _rank_of(self, entry: Entry) -> Rank:
         if not entry.value:
             return entry.removed
         return self._rank(entry.key, entry.value)
 
-    def _remove(self, entry: Entry, *, lacking: bool) -> Entry:
+    def _remove(self, entry: Entry, *, may_return: bool) -> Entry:
         """Removes a key that the store does not contain.
 
         Args:
             entry: The newest record of the key.
-            lacking: Whether the same value may be written again, because the
-                restored copy lacks it.
+            may_return: Whether the same value may be written again, because a
+                restored store lacks it.
         """
         removal = Entry(
             key=entry.key,
             # Below the end, so that any new record of the key is higher.
             offset=max(entry.offset, self.end - 1),
             value=b'',
-            removed=UNRANKED if lacking else self._rank_of(entry),
+            removed=UNRANKED if may_return else self._rank_of(entry),
         )
         self._put(removal)
         return removal
 
     def _put(self, entry: Entry) -> None:
         self._entries[entry.key] = entry
-        self._changed_at[entry.key] = entry.offset
+        self._changed_position[entry.key] = entry.offset
         self._removed.pop(entry.key, None)
-        self._changed_at_previous_epoch.pop(entry.key, None)
+        self._changed_position_before_restore.pop(entry.key, None)
         self._carried.pop(entry.key, None)
         if entry.value:
             return
@@ -287,5 +295,5 @@
             oldest = next(iter(self._removed))
             del self._removed[oldest]
             del self._entries[oldest]
-            del self._changed_at[oldest]
+            del self._changed_position[oldest]
             self._carried.pop(oldest, None)
--- a/packages/core/foxtaildale/rules.py
+++ b/packages/core/foxtaildale/rules.py
@@ -94,22 +94,22 @@
 
 def _shared_faults(cfg: options.Options) -> list[Fault]:
     """Finds interfaces on the same address; only one could be opened."""
-    names: dict[str, str] = {}
+    used_by: dict[str, str] = {}
     faults: list[Fault] = []
     for name in _LISTENING:
         address = getattr(cfg, name)
         if address.endswith(':0'):
             continue
-        if address in names:
+        if address in used_by:
             faults.append(
                 Fault(
                     name,
-                    f'"{address}", the same as {names[address]}',
+                    f'"{address}", the same as {used_by[address]}',
                     'an address of its own',
-                    (names[address],),
+                    (used_by[address],),
                 )
             )
-        names[address] = name
+        used_by[address] = name
     return faults
 
 
@@ -123,7 +123,8 @@
             Fault(
                 'silence_s',
                 str(cfg.silence_s),
-                f'at least {_MIN_HEARTBEATS_IN_SILENCE} times heartbeat_s, {min_silence_s}',
+                f'at least {_MIN_HEARTBEATS_IN_SILENCE} times heartbeat_s,'
+                f' {min_silence_s}',
                 ('heartbeat_s',),
             )
         )
@@ -204,11 +205,11 @@
     return faults
 
 
-def account_faults(found: Mapping[str, values.Account]) -> list[Fault]:
+def account_faults(accounts: Mapping[str, values.Account]) -> list[Fault]:
     """Returns the faults of accounts whose fields are valid separately."""
     faults: list[Fault] = []
     owners: dict[str, str] = {}
-    for name, account in found.items():
+    for name, account in accounts.items():
         for key in account.keys:
             owner = owners.setdefault(key, name)
             if owner != name:
--- a/packages/core/foxtaildale/settings.py
+++ b/packages/core/foxtaildale/settings.py
@@ -54,7 +54,10 @@
 
 
 def _is_integer(_: object, value: object) -> bool:
-    """Whether a value is an integer; JSON schema accepts 2.0, msgspec not."""
+    """Whether a value is an integer.
+
+    JSON schema treats 2.0 as an integer, but msgspec does not.
+    """
     return isinstance(value, int) and not isinstance(value, bool)
 
 
@@ -230,7 +233,7 @@
 
 def _schema_faults(error: jsonschema.ValidationError) -> list[rules.Fault]:
     """Converts one error of the schema validation to faults."""
-    path = tuple(str(subschema) for subschema in error.absolute_path)
+    path = tuple(str(part) for part in error.absolute_path)
     subschema = error.schema
     assert isinstance(subschema, dict)
     value: Any = error.instance
@@ -273,19 +276,19 @@
 
 
 def _non_finite_faults(
-    found: object, path: tuple[str, ...]
+    parsed: object, path: tuple[str, ...]
 ) -> list[rules.Fault]:
     """Finds NaN and infinity, which the parser accepts.
 
     NaN passes every bound of the schema, because every comparison with it is
     false; a timeout of NaN would expire never or at once.
     """
-    if isinstance(found, float) and not math.isfinite(found):
-        return [rules.Fault(_join_path(path), str(found), 'a finite number')]
-    if isinstance(found, dict):
-        parts = [(str(key), value) for key, value in found.items()]
-    elif isinstance(found, list):
-        parts = [(str(i), value) for i, value in enumerate(found)]
+    if isinstance(parsed, float) and not math.isfinite(parsed):
+        return [rules.Fault(_join_path(path), str(parsed), 'a finite number')]
+    if isinstance(parsed, dict):
+        parts = [(str(key), value) for key, value in parsed.items()]
+    elif isinstance(parsed, list):
+        parts = [(str(i), value) for i, value in enumerate(parsed)]
     else:
         parts = []
     faults: list[rules.Fault] = []
--- a/packages/core/foxtaildale/spread.py
+++ b/packages/core/foxtaildale/spread.py
@@ -18,8 +18,8 @@
 
 Two different states at one offset violate an invariant. The follower reports
 this but does not repair it, since it cannot determine which state is wrong.
-It keeps its own state, does not pull the other one, and while the difference
-lasts it writes no checkpoint.
+It keeps its own state and does not pull the other one. While the difference
+lasts, neither side writes a checkpoint.
 """
 
 from typing import Final
@@ -210,25 +210,30 @@
         self._start_search(first)
 
     def on_log_failed(self, now: float) -> None:
-        """Handles a failed read; only the time without the log has an effect."""
+        """Handles a failed read of the log.
 
-    def on_peer(self, now: float, beat: messages.Beat) -> bool:
+        Nothing to do: only the time without the log has an effect.
+        """
+
+    def on_peer(self, now: float, heartbeat: messages.Beat) -> bool:
         """Handles a peer's heartbeat; returns whether to pull its state."""
-        if beat.offset > self.offset:
-            if beat.entry_vm in self.divergences:
+        if heartbeat.offset > self.offset:
+            if heartbeat.entry_vm in self.divergences:
                 return False
-            self._max_end = max(self._max_end, beat.offset)
+            self._max_end = max(self._max_end, heartbeat.offset)
             # If the log is current, the next poll delivers the same records
             # at a lower cost.
             return not _within(now, self._log_current_at, self._pull_after_s)
-        if beat.offset < self.offset:
+        if heartbeat.offset < self.offset:
             # The peer is behind, so it cannot confirm that this state is
             # current.
             return False
-        if beat.digest != self.digest:
-            self._report_divergence(beat.entry_vm, beat.offset, beat.digest)
+        if heartbeat.digest != self.digest:
+            self._report_divergence(
+                heartbeat.entry_vm, heartbeat.offset, heartbeat.digest
+            )
             return False
-        self.divergences.settle(beat.entry_vm)
+        self.divergences.settle(heartbeat.entry_vm)
         if self.offset >= self._max_end:
             self._confirmed_at = now
         return False
@@ -261,13 +266,13 @@
         )
 
     def checkpoint_due(
-        self, now: float, first_kept: int, keepers: int = 8
+        self, now: float, oldest_offset: int, keepers: int = 8
     ) -> bytes | None:
         """Returns the checkpoint record to append, or None if none is due.
 
         Args:
             now: Current time, seconds, monotonic.
-            first_kept: Oldest offset that the log still has.
+            oldest_offset: Oldest offset that the log still has.
             keepers: Number of keepers, among which the appends are spread
                 in time.
         """
@@ -275,7 +280,7 @@
             return None
         if not _within(now, self._log_current_at, self._pull_after_s):
             return None
-        if not self._schedule.due(now, first_kept, keepers):
+        if not self._schedule.due(now, oldest_offset, keepers):
             return None
         return changes.encode(
             changes.Checkpoint(
--- a/packages/core/foxtaildale/values.py
+++ b/packages/core/foxtaildale/values.py
@@ -10,8 +10,9 @@
 
 import msgspec
 
-# The fields are annotated with their bounds, so that both the schema that checks
-# a preset before it is published and the codec that decodes it apply them.
+# The fields are annotated with their bounds, so that both the schema that
+# checks a preset before it is published and the codec that decodes it apply
+# them.
 _Name = Annotated[str, msgspec.Meta(pattern=r'^[a-z0-9][a-z0-9-]{0,39}$')]
 _Digest = Annotated[str, msgspec.Meta(pattern=r'^[0-9a-f]{32}$')]
 _Millis = Annotated[int, msgspec.Meta(ge=0, le=86_400_000)]
