--- a/packages/core/foxtaildale/members.py
+++ b/packages/core/foxtaildale/members.py
@@ -132,9 +132,9 @@
     def on_leaving(self, key: str) -> bool:
         """Handles a report that a server is leaving; returns whether it is new.
 
-        The report originates from an engine's refusal. The list may show the server
-        as live for some more minutes; each request sent to it during that time
-        would be refused and restarted elsewhere.
+        The report originates from an engine's refusal. The list may show the
+        server as live for some more minutes; each request sent to it during
+        that time would be refused and restarted elsewhere.
         """
         if (
             key in self._leaving_servers
--- a/packages/core/foxtaildale/settings.py
+++ b/packages/core/foxtaildale/settings.py
@@ -234,11 +234,11 @@
 def _schema_faults(error: jsonschema.ValidationError) -> list[rules.Fault]:
     """Converts one error of the schema validation to faults."""
     path = tuple(str(part) for part in error.absolute_path)
-    subschema = error.schema
-    assert isinstance(subschema, dict)
+    part = error.schema
+    assert isinstance(part, dict)
     value: Any = error.instance
     if error.validator == 'additionalProperties':
-        properties = subschema['properties']
+        properties = part['properties']
         return [
             rules.Fault(
                 _join_path((*path, key)),
@@ -249,14 +249,14 @@
             if key not in properties
         ]
     if error.validator == 'required':
-        properties = subschema['properties']
+        properties = part['properties']
         return [
             rules.Fault(
                 _join_path((*path, key)),
                 'nothing',
                 _describe_allowed(properties[key]),
             )
-            for key in subschema['required']
+            for key in part['required']
             if key not in value
         ]
     if 'propertyNames' in error.absolute_schema_path:
@@ -264,7 +264,7 @@
             rules.Fault(
                 _join_path(path),
                 f'key {_format_value(value)}',
-                _describe_allowed(subschema),
+                _describe_allowed(part),
             )
         ]
     shown = (
@@ -272,7 +272,7 @@
         if set(path) & _SECRET_FIELDS
         else _format_value(value)
     )
-    return [rules.Fault(_join_path(path), shown, _describe_allowed(subschema))]
+    return [rules.Fault(_join_path(path), shown, _describe_allowed(part))]
 
 
 def _non_finite_faults(
