--- a/packages/daemon/foxtaildaled/answers.py
+++ b/packages/daemon/foxtaildaled/answers.py
@@ -1,13 +1,14 @@
-"""Answers of model services: prefill, transfer, decode, stream.
+"""Completions of model services: prefill, transfer, decode, stream.
 
-One request goes through attempts. An attempt gets a slot, runs the prefill so
-that it ends when the slot is free, has the decode worker fetch the KV cache,
-and reads the stream. What fails before the caller was sent a first piece is
-tried again within the retry budget; after that only the same stream is read
-on, since another one might say something else.
+A request is served in one or more attempts. An attempt acquires a slot, runs
+the prefill so that it ends when the slot is free, transfers the KV cache to the
+decode worker, and reads the stream. An attempt that fails before the first
+chunk was sent to the caller is retried within the retry budget. After the first
+chunk, only the same stream is resumed, since another stream might contain
+different text.
 
-A service with claims runs at most once: its decode is begun at one engine and
-never again, whatever becomes of it.
+A request of a service with claims runs at most once: its decode is started at
+one engine and never restarted, also after a failure.
 """
 
 import itertools
@@ -34,16 +35,16 @@
 from foxtaildaled import stages
 from foxtaildaled import view
 
-# Times that a broken stream is read on.
-_RESUMES: Final = 5
-# Attempts after which an engine's refusal counts as a failure like any other.
-_FREE_TRIES: Final = 4
-# The engines' word for a planned stop.
+# Maximum number of times that a broken stream is resumed.
+_MAX_RESUMES: Final = 5
+# Attempts up to which a rejection by an engine does not use the retry budget.
+_FREE_ATTEMPTS: Final = 4
+# Error code of an engine that is shutting down as planned.
 _LEAVING: Final = 'leaving'
 
 
 class Answers:
-    """Runs requests of model services."""
+    """Runs requests to model services."""
 
     __slots__ = (
         '_cfg',
@@ -90,19 +91,19 @@
         self._stages = stages.Stages(engines, getter, counts, clock)
 
     def run(self, job: jobs.Job, sink: sinks.Sink) -> slots.Refusal:
-        """Runs a request to its end and returns its code and figures."""
+        """Runs a request to its end and returns its final result."""
         self._retries.first(job.name, job.snapshot)
         last: stages.Failure | None = None
         while True:
             job.attempt += 1
             result = self._attempt(job, sink, last)
             if isinstance(result, slots.Refusal):
-                return _refusal(job, result)
+                return _final_refusal(job, result)
             if job.gone.is_set():
                 return slots.Refusal(codes.CANCELLED)
-            self._report(job, result)
+            self._report_leaving(job, result)
             if not self._may_retry(job, sink, result):
-                return _given_up(job, result, sink)
+                return _failure_result(job, result, sink)
             last = result
 
     def read_on(
@@ -111,17 +112,17 @@
         event: streams.EventId,
         holder: str,
         sink: sinks.Sink,
-        gone: threading.Event,
+        disconnected: threading.Event,
     ) -> codes.Code:
-        """Reads a stream on behind an event, for a caller that came back."""
+        """Resumes a stream after an event, for a caller that reconnected."""
         request, _dot, attempt = event.stream.rpartition('.')
-        number = int(attempt) if attempt.isdecimal() else 0
+        attempt_number = int(attempt) if attempt.isdecimal() else 0
         sink.begin(event.worker, event.stream)
         checker = streams.Checker(
-            request, number, event.stream, event.position + 1
+            request, attempt_number, event.stream, event.position + 1
         )
         reader = reading.Reader(
-            gone=gone,
+            gone=disconnected,
             sink=sink,
             checker=checker,
             clock=self._clock,
@@ -130,24 +131,24 @@
             silence_s=self._cfg.silence_s,
         )
         try:
-            items = self._engines.resume(
+            chunks = self._engines.resume(
                 address,
                 event.stream,
                 checker.position,
                 holder,
                 self._cfg.silence_s,
             )
-            reason = reader.read(items)
+            reason = reader.read(chunks)
         except errors.RejectedError:
             return codes.NO_STREAM
         except errors.PortError:
-            reason = 'the stream broke off'
-        if gone.is_set():
+            reason = 'the stream ended early'
+        if disconnected.is_set():
             return codes.CANCELLED
         return codes.BROKEN if reason else codes.OK
 
-    def _report(self, job: jobs.Job, failure: stages.Failure) -> None:
-        """Tells the keepers of a backend server that refused as leaving."""
+    def _report_leaving(self, job: jobs.Job, failure: stages.Failure) -> None:
+        """Notifies the keepers of a backend server that is shutting down."""
         if failure.rejected == _LEAVING:
             server = job.snapshot.server(failure.at)
             if server is not None:
@@ -160,9 +161,9 @@
             return False
         if failure.begun and job.service.once != 'none':
             return False
-        if failure.rejected and job.attempt <= _FREE_TRIES:
-            # The engine did nothing, so this try has cost nothing; a planned
-            # stop of a backend server must not use up the budget.
+        if failure.rejected and job.attempt <= _FREE_ATTEMPTS:
+            # The engine did no work, so the attempt does not count against the
+            # retry budget; planned shutdowns must not exhaust it.
             return True
         deadline = None
         if job.first_answer_ms:
@@ -185,14 +186,14 @@
         result: slots.Refusal | stages.Failure | None = None
         try:
             job.gone.wait(grant.start_in_ms / 1000)
-            result = self._work(job, sink, grant, measured, ready)
+            result = self._run_stages(job, sink, grant, measured, ready)
         finally:
             if not isinstance(result, slots.Refusal) or job.gone.is_set():
                 job.abandon(stages.kept(result))
-            self._slots.end(job, _end(job, grant, measured, result))
+            self._slots.end(job, _release_message(job, grant, measured, result))
         return result
 
-    def _work(
+    def _run_stages(
         self,
         job: jobs.Job,
         sink: sinks.Sink,
@@ -200,21 +201,21 @@
         measured: stages.Measured,
         ready: stages.Ready | None,
     ) -> slots.Refusal | stages.Failure:
-        """Runs the three stages of one attempt."""
+        """Runs the prefill, transfer and decode stages of one attempt."""
         if ready is None:
             prefilled = self._stages.prefill(job, grant, measured)
             if not isinstance(prefilled, stages.Ready):
                 return prefilled
             ready = prefilled
-        moved = self._stages.transfer(job, grant, ready, measured)
-        if not isinstance(moved, messages.Granted):
-            if not stages.kept(moved):
+        transferred = self._stages.transfer(job, grant, ready, measured)
+        if not isinstance(transferred, messages.Granted):
+            if not stages.kept(transferred):
                 self._metrics.wasted_prefill_tokens.add(
                     ready.reply.tokens - ready.reply.cached, job.name
                 )
-            return moved
+            return transferred
         began_at = self._clock()
-        result = self._decode(job, sink, moved)
+        result = self._decode(job, sink, transferred)
         measured.decode_ms = self._stages.since(began_at)
         measured.output_tokens = len(job.times)
         return result
@@ -222,7 +223,7 @@
     def _decode(
         self, job: jobs.Job, sink: sinks.Sink, grant: messages.Granted
     ) -> slots.Refusal | stages.Failure:
-        """Reads the stream to its end, over new connections if need be."""
+        """Reads the stream to its end, and resumes it if a connection fails."""
         req = backends.DecodeReq(
             request=job.request,
             attempt=job.attempt,
@@ -244,21 +245,25 @@
             silence_s=self._cfg.silence_s,
         )
         reason = ''
-        for turn in range(_RESUMES + 1):
+        for connection_index in range(_MAX_RESUMES + 1):
             if job.gone.is_set():
                 break
             try:
-                items = self._open(job, grant, req, checker, turn)
-                with job.reading(items):
-                    reason = reader.read(items)
+                chunks = self._open_stream(
+                    job, grant, req, checker, connection_index
+                )
+                with job.reading(chunks):
+                    reason = reader.read(chunks)
             except errors.RejectedError as exc:
                 failure = self._stages.failed(
                     job, 'decode-failed', exc, grant.decode
                 )
-                return msgspec.structs.replace(failure, begun=turn > 0)
+                return msgspec.structs.replace(
+                    failure, begun=connection_index > 0
+                )
             except errors.UnreachableError as exc:
                 reason = str(exc)
-                if turn == 0:
+                if connection_index == 0:
                     return self._stages.failed(
                         job, 'decode-failed', exc, grant.decode
                     )
@@ -266,12 +271,12 @@
                 reason = str(exc)
             if not reason:
                 job.let_go(grant.decode_address)
-                self._observe(job)
+                self._observe_times(job)
                 return slots.Refusal(codes.OK)
         job.sent = True
         return stages.Failure('decode-failed', reason, grant.decode, begun=True)
 
-    def _observe(self, job: jobs.Job) -> None:
+    def _observe_times(self, job: jobs.Job) -> None:
         times = job.times
         if not times:
             return
@@ -283,16 +288,16 @@
             job.name,
         )
 
-    def _open(
+    def _open_stream(
         self,
         job: jobs.Job,
         grant: messages.Granted,
         req: backends.DecodeReq,
         checker: streams.Checker,
-        turn: int,
+        connection_index: int,
     ) -> ports.Pieces:
         silence_s = self._cfg.silence_s
-        if turn == 0:
+        if connection_index == 0:
             return self._engines.decode(grant.decode_address, req, silence_s)
         return self._engines.resume(
             grant.decode_address,
@@ -303,17 +308,17 @@
         )
 
 
-def _refusal(job: jobs.Job, refusal: slots.Refusal) -> slots.Refusal:
-    """Returns a refusal as it is true after earlier attempts."""
+def _final_refusal(job: jobs.Job, refusal: slots.Refusal) -> slots.Refusal:
+    """Returns a refusal with the code that is true after earlier attempts."""
     if not job.sent or refusal.code.ran != 'no':
         return refusal
-    # An earlier attempt was sent to a backend server: "not run" would not be
-    # true any more.
+    # An earlier attempt was sent to a backend server, so "not run" would be
+    # wrong.
     code = codes.CANCELLED if refusal.code is codes.GONE else codes.FAILED
     return slots.Refusal(code, refusal.figures, refusal.retry_after_s)
 
 
-def _given_up(
+def _failure_result(
     job: jobs.Job, failure: stages.Failure, sink: sinks.Sink
 ) -> slots.Refusal:
     code = codes.FAILED
@@ -331,7 +336,7 @@
     )
 
 
-def _end(
+def _release_message(
     job: jobs.Job,
     grant: messages.Granted,
     measured: stages.Measured,
--- a/packages/daemon/foxtaildaled/attempt.py
+++ b/packages/daemon/foxtaildaled/attempt.py
@@ -1,7 +1,7 @@
-"""One request for a model engine while it is being served.
+"""The state of one request to a model engine while it is served.
 
-`Refused` ends it with an outcome, `Answer` is what its caller has so far, and
-`Spot` is where one attempt of it runs.
+`Refused` ends the request with an outcome, `Answer` is the state of the
+response to its caller, and `Spot` is the placement of one attempt.
 """
 
 import math
@@ -12,7 +12,7 @@
 
 
 class Refused(Exception):  # noqa: N818
-    """Ends a request with an outcome; never reaches the handler."""
+    """Ends a request with an outcome; is caught before the HTTP handler."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         **figures: float | str,
     ) -> None:
         super().__init__(code.name)
-        # When to come back, seconds; 0 if that is to be worked out.
+        # Delay before a retry, seconds; 0 if it is computed later.
         self.retry_after_s = retry_after_s
         if reason:
             figures['reason'] = reason
@@ -32,13 +32,14 @@
 
 
 def check_held(left_s: float) -> None:
-    """Ends a request that must be sent to no server.
+    """Refuses a quarantined request, which must not be sent to any server.
 
     Args:
-        left_s: For how long; 0 if it may be sent.
+        left_s: Remaining time of the quarantine, seconds; 0 if the request is
+            not quarantined.
 
     Raises:
-        Refused: It must not.
+        Refused: The request is quarantined.
     """
     if left_s:
         raise Refused(
@@ -47,7 +48,7 @@
 
 
 class Answer:
-    """What the caller has of its answer."""
+    """The state of the response to the caller, over all attempts."""
 
     __slots__ = (
         'may_have_run',
@@ -63,30 +64,30 @@
     def __init__(self, position: int | None) -> None:
         self.splitter = sse.Splitter(position)
         self.started = False
-        # Whether a decode worker may have begun to work on it.
+        # Whether a decode worker may have begun to run the request.
         self.may_have_run = False
-        # A prefilled prompt that no decode worker has taken yet, and since
-        # when its worker holds it.
+        # The prefilled prompt that no decode worker has fetched yet, and when
+        # its prefill worker finished it.
         self.prefilled: forwarding.Prefilled | None = None
         self.prefilled_at = 0.0
-        # How often its prompt was read.
+        # Number of prefills of the prompt.
         self.prefills = 0
         # Whether the last attempt ended before anything was sent to a decode
-        # worker, and how often connections did not open.
+        # worker, and the number of connections that could not be opened.
         self.unsent = False
         self.unopened = 0
 
     def unfinished(
-        self, reason: str = 'no further try is allowed'
+        self, reason: str = 'no further attempt is allowed'
     ) -> tuple[codes.Code, str]:
-        """Returns why it ends without another try, and the reason."""
+        """Returns the code and reason of a request that is not retried."""
         if self.may_have_run:
             return codes.BROKEN, ''
         return codes.BACKEND_REFUSED, reason
 
 
 class Spot:
-    """Where a request is to run, and what was measured there."""
+    """The placement of one attempt and its measurements."""
 
     __slots__ = (
         'decode_s',
@@ -107,14 +108,14 @@
         prefiller: forwarding.Backend | None = None,
     ) -> None:
         self.reserved = reserved
-        # Its name in the home's plan; empty without one.
+        # Name of the request in the coordinator's plan; empty without a plan.
         self.request = request
         self.prefiller = prefiller
-        # Whether the decode worker is to read the prompt.
+        # Whether the decode worker prefills the prompt itself.
         self.reads_itself = False
         self.prefill_s = 0.0
         self.decode_s = 0.0
         self.events = 0
         self.whole = False
-        # Whether the decode worker did not take what was read for it.
+        # Whether the decode worker refused the prefilled prompt.
         self.refused = False
--- a/packages/daemon/foxtaildaled/chats.py
+++ b/packages/daemon/foxtaildaled/chats.py
@@ -1,4 +1,4 @@
-"""Requests of model services: new answers, and answers read on."""
+"""Requests to model services: new completions and resumed streams."""
 
 import threading
 from typing import Final
@@ -25,12 +25,12 @@
 FIRST_ANSWER_HEADER: Final = 'foxtaildale-first-answer-ms'
 RESUME_HEADER: Final = 'foxtaildale-resume-within-s'
 EVENT_HEADER: Final = 'last-event-id'
-# Largest number taken from a header.
-_NUMBER_MAX: Final = 1e9
+# Upper bound of a number in a header.
+_MAX_HEADER_NUMBER: Final = 1e9
 
 
 class Chats:
-    """Serves requests of model services."""
+    """Serves requests to model services."""
 
     __slots__ = (
         '_answers',
@@ -74,7 +74,7 @@
         self._clock = clock
 
     def complete(self, visit: visits.Visit) -> None:
-        """Serves a new answer."""
+        """Serves a request for a new completion."""
         try:
             req = chat.decode(visit.ex.body)
         except errors.DecodeError as exc:
@@ -83,7 +83,7 @@
         service = self._gate.admit(visit, req.model, 'model')
         if service is None:
             return
-        job = self._job(visit, service, req)
+        job = self._make_job(visit, service, req)
         sink = sinks.make(
             visit.ex,
             visit.request,
@@ -93,7 +93,7 @@
         )
         visit.ex.watch(job.on_gone)
         if service.once == 'claim':
-            result = self._claimed(visit, job, sink)
+            result = self._run_claimed(visit, job, sink)
         else:
             result = self._answers.run(job, sink)
         sink.end(
@@ -108,7 +108,7 @@
         )
 
     def read_on(self, visit: visits.Visit) -> None:
-        """Reads on a stream that another connection, or VM, had begun."""
+        """Resumes a stream that began on another connection or VM."""
         try:
             event = streams.parse_id(visit.ex.headers.get(EVENT_HEADER, ''))
         except errors.DecodeError as exc:
@@ -118,20 +118,20 @@
         if server is None:
             self._replies.refuse(visit, '', codes.NO_STREAM)
             return
-        self._cancels.drop(_request_of(event))
+        self._cancels.drop(_request_identity(event))
         sink = sinks.EventSink(visit.ex, visit.request, server.service)
-        gone = self._watch(visit, server, event)
+        disconnected = self._cancel_on_disconnect(visit, server, event)
         code = self._answers.read_on(
-            server.address, event, self._incarnation, sink, gone
+            server.address, event, self._incarnation, sink, disconnected
         )
         sink.end(self._replies.outcome(visit, server.service, code))
 
-    def _job(
+    def _make_job(
         self, visit: visits.Visit, service: values.Service, req: chat.ChatReq
     ) -> jobs.Job:
         headers = visit.ex.headers
-        target = _number(headers.get(FIRST_ANSWER_HEADER, ''))
-        resume_s = _number(headers.get(RESUME_HEADER, ''))
+        target_ms = _parse_number(headers.get(FIRST_ANSWER_HEADER, ''))
+        resume_s = _parse_number(headers.get(RESUME_HEADER, ''))
         return jobs.Job(
             req=req,
             request=visit.request,
@@ -140,11 +140,11 @@
             holder=self._incarnation,
             cancel_queue=self._cancels,
             arrived_at=self._clock(),
-            first_answer_ms=round(target) or service.first_answer_ms,
+            first_answer_ms=round(target_ms) or service.first_answer_ms,
             resume_s=min(resume_s, self._cfg.grace_s),
         )
 
-    def _claimed(
+    def _run_claimed(
         self, visit: visits.Visit, job: jobs.Job, sink: sinks.Sink
     ) -> slots.Refusal:
         refusal = self._claiming.claim(visit, job.name, 'chat')
@@ -158,39 +158,39 @@
             job.snapshot,
             figures=result.figures,
         )
-        whole = sink.whole() if result.code is codes.OK else b''
-        self._claiming.end(job.name, visit.key, outcome, whole)
+        document = sink.whole() if result.code is codes.OK else b''
+        self._claiming.end(job.name, visit.key, outcome, document)
         return msgspec.structs.replace(result, code=visit.covering(result.code))
 
-    def _watch(
+    def _cancel_on_disconnect(
         self,
         visit: visits.Visit,
         server: values.BackendServer,
         event: streams.EventId,
     ) -> threading.Event:
-        """Cancels a resumed stream when its caller goes away again."""
-        gone = threading.Event()
+        """Cancels a resumed stream when its caller disconnects again."""
+        disconnected = threading.Event()
         req = backends.CancelReq(
-            request=_request_of(event), holder=self._incarnation
+            request=_request_identity(event), holder=self._incarnation
         )
 
-        def on_gone() -> None:
-            gone.set()
+        def on_disconnected() -> None:
+            disconnected.set()
             self._cancels.add(server.address, req)
 
-        visit.ex.watch(on_gone)
-        return gone
+        visit.ex.watch(on_disconnected)
+        return disconnected
 
 
-def _request_of(event: streams.EventId) -> str:
-    """Returns the request whose attempt a stream belongs to."""
+def _request_identity(event: streams.EventId) -> str:
+    """Returns the identity of the request that a stream belongs to."""
     return event.stream.rpartition('.')[0]
 
 
-def _number(text: str) -> float:
-    """Returns the number in a header; 0 for none or nonsense."""
+def _parse_number(text: str) -> float:
+    """Returns the number in a header; 0 if it is missing or invalid."""
     try:
         number = float(text)
     except ValueError:
         return 0.0
-    return number if 0 < number < _NUMBER_MAX else 0.0
+    return number if 0 < number < _MAX_HEADER_NUMBER else 0.0
--- a/packages/daemon/foxtaildaled/claiming.py
+++ b/packages/daemon/foxtaildaled/claiming.py
@@ -1,7 +1,8 @@
-"""Claims at an entry: may this request run, and what came of the others.
+"""Claims at an entry: whether a request may run, and outcomes of earlier ones.
 
-The keeper of this VM puts a claim into the platform's log and answers when it
-has read it back. Another's claim is looked up at the VM that owns it.
+The keeper of this VM appends a claim to the platform's log and replies when it
+has read the claim back. The outcome of another request's claim is requested
+from the VM that owns the claim.
 """
 
 from typing import Final
@@ -17,21 +18,21 @@
 from foxtaildaled import slots
 from foxtaildaled import visit as visits
 
-# Longest wait for the log to settle a claim, seconds.
-_CLAIM_S: Final = 6.0
-# Longest wait for another VM to tell what came of a claim, seconds.
-_OUTCOME_S: Final = 1.0
-# When to come back to ask again, seconds.
-_AGAIN_S: Final = 1.0
+# Timeout for the decision of a claim by the log, seconds.
+_CLAIM_TIMEOUT_S: Final = 6.0
+# Timeout of a message about the outcome of a claim, seconds.
+_OUTCOME_TIMEOUT_S: Final = 1.0
+# Delay before a retry, seconds.
+_RETRY_AFTER_S: Final = 1.0
 
 
 class Claiming:
-    """Makes claims and ends them."""
+    """Makes claims and reports their outcomes."""
 
     __slots__ = ('_cfg', '_holder', '_peers', '_replies')
 
     _cfg: options.Options
-    # Incarnation of this entry.
+    # Incarnation of this entry process.
     _holder: str
     _peers: ports.Peers
     _replies: visits.Replies
@@ -51,7 +52,7 @@
     def claim(
         self, visit: visits.Visit, name: str, call: str
     ) -> slots.Refusal | None:
-        """Claims a request's key; None means that it may run."""
+        """Claims a request's key; returns None if the request may run."""
         if not visit.key:
             return slots.Refusal(codes.KEY_NEEDED)
         msg = messages.AskClaim(
@@ -62,81 +63,88 @@
             holder=self._holder,
         )
         try:
-            reply = self._peers.ask(self._cfg.keeper, msg, _CLAIM_S)
+            reply = self._peers.ask(self._cfg.keeper, msg, _CLAIM_TIMEOUT_S)
         except errors.UnreachableError:
-            return _down(visit)
+            return _log_unavailable(visit)
         except errors.PortError:
-            # The claim may be in the log under this request, which will never
-            # run; but an earlier try of the same key may. Were the keeper not
-            # told, it would call the key's run in progress for ever.
-            self.end(name, visit.key, self._never(visit, name))
+            # The log may contain the claim of this request, which never runs;
+            # an earlier attempt with the same key may run. Without this report
+            # the keeper would treat the key as in progress forever.
+            self.end(name, visit.key, self._not_run_outcome(visit, name))
             return slots.Refusal(
-                claims.covering(codes.LOG_DOWN, visit.alone), (), _AGAIN_S
+                claims.covering(codes.LOG_DOWN, visit.alone), (), _RETRY_AFTER_S
             )
-        return self._judge(visit, name, reply)
+        return self._handle_reply(visit, name, reply)
 
     def end(
         self, name: str, key: str, outcome: values.Outcome, answer: bytes = b''
     ) -> None:
-        """Tells the keeper what came of a claim."""
+        """Reports the outcome of a claim to the keeper."""
         msg = messages.EndClaim(
             service=name, key=key, outcome=outcome, answer=answer
         )
         try:
-            self._peers.ask(self._cfg.keeper, msg, _OUTCOME_S)
+            self._peers.ask(self._cfg.keeper, msg, _OUTCOME_TIMEOUT_S)
         except errors.PortError:
-            # Askers are told "outcome unknown", which is true.
+            # The keeper replies "outcome unknown" to later requests, which is
+            # correct.
             return
 
-    def _never(self, visit: visits.Visit, name: str) -> values.Outcome:
+    def _not_run_outcome(
+        self, visit: visits.Visit, name: str
+    ) -> values.Outcome:
         return self._replies.stamp(
             codes.LOG_DOWN, visit.request, name, visit.snapshot
         )
 
-    def _judge(
+    def _handle_reply(
         self, visit: visits.Visit, name: str, reply: messages.Any
     ) -> slots.Refusal | None:
         if not isinstance(reply, messages.ClaimReply):
-            return _down(visit)
+            return _log_unavailable(visit)
         if reply.status == 'won':
             return None
         if reply.status == 'lost':
-            return self._look_up(name, visit.key, reply)
+            return self._request_outcome(name, visit.key, reply)
         code = claims.refusal(reply, visit.alone) or codes.CLAIM_UNSURE
         return slots.Refusal(code, (), reply.retry_after_ms / 1000)
 
-    def _look_up(
+    def _request_outcome(
         self, name: str, key: str, claim: messages.ClaimReply
     ) -> slots.Refusal:
         msg = messages.AskOutcome(service=name, key=key)
-        known = codes.UNKNOWN.name
+        known_code = codes.UNKNOWN.name
         if claim.outcome is not None:
-            known = claim.outcome.code
+            known_code = claim.outcome.code
         try:
-            reply = self._peers.ask(claim.owner_address, msg, _OUTCOME_S)
+            reply = self._peers.ask(
+                claim.owner_address, msg, _OUTCOME_TIMEOUT_S
+            )
         except errors.RejectedError as exc:
-            return _seen(claim, exc.code if claim.outcome is None else known)
+            return _earlier_result(
+                claim, exc.code if claim.outcome is None else known_code
+            )
         except errors.PortError:
-            return _seen(claim, known)
+            return _earlier_result(claim, known_code)
         if not isinstance(reply, messages.RunReply):
-            return _seen(claim, known)
-        return _seen(claim, reply.outcome.code, reply.answer)
+            return _earlier_result(claim, known_code)
+        return _earlier_result(claim, reply.outcome.code, reply.answer)
 
 
-def _down(visit: visits.Visit) -> slots.Refusal:
+def _log_unavailable(visit: visits.Visit) -> slots.Refusal:
     code = claims.covering(codes.LOG_DOWN, visit.alone)
-    return slots.Refusal(code, (), _AGAIN_S)
+    return slots.Refusal(code, (), _RETRY_AFTER_S)
 
 
-def _seen(
-    claim: messages.ClaimReply, found: str, answer: bytes = b''
+def _earlier_result(
+    claim: messages.ClaimReply, code_name: str, answer: bytes = b''
 ) -> slots.Refusal:
-    """Returns the answer to one who asks for what another request did."""
-    code = codes.ALL.get(found, codes.UNKNOWN)
+    """Returns the result for a request whose key another request claimed."""
+    code = codes.ALL.get(code_name, codes.UNKNOWN)
     if code is codes.OK:
         code = codes.DONE_BEFORE
     figures = (
         values.Figure('first_request', claim.request),
-        values.Figure('first_outcome', found),
+        values.Figure('first_outcome', code_name),
     )
-    return slots.Refusal(code, figures, _AGAIN_S, answer)
+    return slots.Refusal(code, figures, _RETRY_AFTER_S, answer)
--- a/packages/daemon/foxtaildaled/desk.py
+++ b/packages/daemon/foxtaildaled/desk.py
@@ -1,9 +1,9 @@
-"""Tickets at an entry: handing them out, running them, passing them on.
+"""Issues, runs and forwards tickets at an entry.
 
-The decisions are in `tickets.Executor`; this module carries its messages to
-the witness and to other entries. A request whose ticket names another
-incarnation is passed on to it; when that can't be reached, the witness voids
-the ticket or tells what came of it.
+`tickets.Executor` makes the decisions; this module sends its messages to the
+witness and to other entries. A request whose ticket names another incarnation
+is forwarded to it. If that incarnation is unreachable, the witness voids the
+ticket or reports the outcome of its request.
 """
 
 from typing import Final
@@ -22,19 +22,19 @@
 from foxtaildaled import plain
 from foxtaildaled import view
 
-# Tries of a message to the witness; each opens a new connection if the former
-# one went silent.
-_TRIES: Final = 2
-# Longest wait for one answer of the witness, seconds.
-_WITNESS_S: Final = 1.0
-# Tickets given out at once, at most.
+# Attempts to send a message to the witness. Each attempt opens a new connection
+# if the previous one stopped responding.
+_WITNESS_ATTEMPTS: Final = 2
+# Timeout of one reply of the witness, seconds.
+_WITNESS_TIMEOUT_S: Final = 1.0
+# Maximum number of tickets issued in one request.
 MAX_COUNT: Final = 32
-# When to come back after an outcome that another try may settle, seconds.
-_AGAIN_S: Final = 1.0
+# Delay before a retry that may obtain a definite outcome, seconds.
+_RETRY_AFTER_S: Final = 1.0
 
 
 class Stamp(Protocol):
-    """Makes outcomes that name this entry."""
+    """A function that makes outcomes that name this entry."""
 
     def __call__(
         self,
@@ -50,15 +50,15 @@
 
 
 class Desk:
-    """Hands out tickets and runs requests that come with one."""
+    """Issues tickets and runs requests that have one."""
 
     __slots__ = (
         '_cfg',
         '_incarnation',
+        '_make_outcome',
         '_owner',
         '_peers',
         '_plain',
-        '_stamp',
         '_view',
     )
 
@@ -68,7 +68,7 @@
     _peers: ports.Peers
     _plain: plain.Plain
     _view: view.View
-    _stamp: Stamp
+    _make_outcome: Stamp
 
     def __init__(
         self,
@@ -87,25 +87,25 @@
         self._peers = peers
         self._plain = calls
         self._view = seen
-        self._stamp = stamp
+        self._make_outcome = stamp
 
     def mint(self, service: str, count: int) -> tuple[str, ...]:
-        """Returns fresh tickets; fewer, or none, while no witness is there."""
+        """Returns new tickets; fewer or none while no witness is available."""
         witness = self._view.now.witness(self._cfg)
         if witness is None:
             return ()
-        minted = []
+        issued = []
         for _ in range(min(count, MAX_COUNT)):
-            ticket = self._mint_one(service, witness)
+            ticket = self._issue_ticket(service, witness)
             if ticket is None:
                 break
-            minted.append(tickets.to_text(ticket))
-        return tuple(minted)
+            issued.append(tickets.to_text(ticket))
+        return tuple(issued)
 
     def run(
         self, ticket: messages.Ticket, call: str, body: bytes, request: str
     ) -> messages.RunReply:
-        """Runs a checked ticket here or where it belongs."""
+        """Runs a valid ticket here, or at the incarnation that it names."""
         if ticket.executor == self._incarnation:
             return self._execute(ticket, call, body, request)
         msg = messages.RunTicket(
@@ -121,7 +121,7 @@
         return self.void(ticket, call, body, request)
 
     def serve(self, msg: messages.RunTicket) -> messages.Any:
-        """Runs a ticket that another entry passed on."""
+        """Runs a ticket that another entry forwarded."""
         if self.check(msg.ticket, msg.ticket.service) is not None:
             return messages.Fail(code='ticket-bad')
         if msg.ticket.executor != self._incarnation:
@@ -129,24 +129,27 @@
         return self._execute(msg.ticket, msg.call, msg.body, msg.request)
 
     def check(self, ticket: messages.Ticket, service: str) -> codes.Code | None:
-        """Returns what is wrong with a ticket; None if nothing."""
+        """Returns the code for an invalid ticket; None if it is valid."""
         return self._owner.run(lambda state, _now: state.check(ticket, service))
 
     def step(self) -> None:
-        """Keeps the witness's clock reading fresh, as a loop of the entry."""
+        """Updates the witness's clock reading and expires old tickets.
+
+        Runs periodically.
+        """
         witness = self._view.now.witness(self._cfg)
         if witness is not None:
             self._read_clock(witness)
         self._owner.run(lambda state, now: state.expire(now))
 
     def dump(self) -> object:
-        """Returns the state for people."""
+        """Returns the state for operators."""
         return self._owner.run(lambda state, _now: state.dump())
 
-    def _mint_one(
+    def _issue_ticket(
         self, service: str, witness: values.Keeper
     ) -> messages.Ticket | None:
-        for _ in range(_TRIES):
+        for _ in range(_WITNESS_ATTEMPTS):
             ticket = self._owner.run(
                 lambda state, now: state.mint(
                     now, service, witness.incarnation, witness.address
@@ -159,7 +162,7 @@
 
     def _read_clock(self, witness: values.Keeper) -> None:
         msg = messages.AskReading(witness=witness.incarnation)
-        reply = self._ask_witness(witness.address, msg)
+        reply = self._request_witness(witness.address, msg)
         if reply is not None:
             self._owner.run(
                 lambda state, now: state.on_reading(
@@ -178,30 +181,31 @@
                 outcome=admission.outcome, answer=admission.answer
             )
         if isinstance(admission, tickets.Refuse):
-            return self._reply(admission.code, ticket, request)
+            return self._make_reply(admission.code, ticket, request)
         if isinstance(admission, tickets.Stranger):
             return self.void(ticket, call, body, request)
-        reply = self._ask_witness(admission.address, admission.note)
+        reply = self._request_witness(admission.address, admission.note)
         decision = self._owner.run(
             lambda state, now: state.on_witness(now, ticket.identity, reply)
         )
         if isinstance(decision, tickets.GiveUp):
-            result = self._reply(decision.code, ticket, request)
+            result = self._make_reply(decision.code, ticket, request)
             if decision.code is codes.UNKNOWN:
-                # Another thread may be running it and knows its outcome.
+                # Another thread may be running the request and will record its
+                # outcome.
                 return result
         else:
-            result = self._call(ticket, call, body, request)
-        self._finish(ticket, result)
+            result = self._call_service(ticket, call, body, request)
+        self._record_result(ticket, result)
         return result
 
-    def _call(
+    def _call_service(
         self, ticket: messages.Ticket, call: str, body: bytes, request: str
     ) -> messages.RunReply:
         result = self._plain.call(
             self._view.now, ticket.service, call, body, request
         )
-        outcome = self._stamp(
+        outcome = self._make_outcome(
             result.code,
             request,
             ticket.service,
@@ -211,49 +215,49 @@
         )
         return messages.RunReply(outcome=outcome, answer=pack(result.reply))
 
-    def _finish(
+    def _record_result(
         self, ticket: messages.Ticket, result: messages.RunReply
     ) -> None:
-        tell = self._owner.run(
+        report = self._owner.run(
             lambda state, now: state.finish(
                 now, ticket.identity, result.outcome, result.answer
             )
         )
-        if tell is not None:
-            self._ask_witness(ticket.witness_address, tell)
+        if report is not None:
+            self._request_witness(ticket.witness_address, report)
 
     def void(
         self, ticket: messages.Ticket, call: str, body: bytes, request: str
     ) -> messages.RunReply:
-        """Voids a ticket, or returns what is known of it."""
+        """Voids a ticket, or returns the known outcome of its request."""
         msg = tickets.void(ticket, call, body)
         verdict = tickets.verdict(
-            self._ask_witness(ticket.witness_address, msg)
+            self._request_witness(ticket.witness_address, msg)
         )
         if verdict.outcome is not None:
             return messages.RunReply(
                 outcome=verdict.outcome, answer=verdict.answer
             )
-        return self._reply(verdict.code, ticket, request)
+        return self._make_reply(verdict.code, ticket, request)
 
-    def _reply(
+    def _make_reply(
         self, code: codes.Code, ticket: messages.Ticket, request: str
     ) -> messages.RunReply:
-        outcome = self._stamp(
+        outcome = self._make_outcome(
             code,
             request,
             ticket.service,
             self._view.now,
-            retry_after_s=_AGAIN_S,
+            retry_after_s=_RETRY_AFTER_S,
         )
         return messages.RunReply(outcome=outcome)
 
-    def _ask_witness(
+    def _request_witness(
         self, address: str, msg: messages.Any
     ) -> messages.WitnessReply | None:
-        for _ in range(_TRIES):
+        for _ in range(_WITNESS_ATTEMPTS):
             try:
-                reply = self._peers.ask(address, msg, _WITNESS_S)
+                reply = self._peers.ask(address, msg, _WITNESS_TIMEOUT_S)
             except errors.PortError:
                 continue
             if isinstance(reply, messages.WitnessReply):
@@ -263,17 +267,18 @@
     def _call_timeout_s(self, service: str) -> float:
         cfg = self._view.now.service(service)
         timeout_ms = 5_000 if cfg is None else cfg.call_timeout_ms
-        # The executor may have to ask its witness twice before it calls.
-        return timeout_ms / 1000 + _TRIES * _WITNESS_S
+        # The executor may need every attempt to reach its witness before it calls
+        # the service.
+        return timeout_ms / 1000 + _WITNESS_ATTEMPTS * _WITNESS_TIMEOUT_S
 
 
 def pack(reply: ports.Reply | None) -> bytes:
-    """Returns a service's answer in the form that a witness keeps."""
+    """Encodes a service's reply for storage at a witness."""
     return b'' if reply is None else msgspec.msgpack.encode(reply)
 
 
 def unpack(data: bytes) -> ports.Reply | None:
-    """Returns the service's answer that a witness kept; None if there is none."""
+    """Decodes a service's reply that a witness stored; None if it is empty."""
     if not data:
         return None
     return msgspec.msgpack.decode(data, type=ports.Reply)
--- a/packages/daemon/foxtaildaled/entry.py
+++ b/packages/daemon/foxtaildaled/entry.py
@@ -1,15 +1,15 @@
-"""The entry: what callers reach.
-
-    POST /v1/chat/completions     an answer of a model service
-    GET  /v1/streams              reads an answer on (Last-Event-ID)
-    POST /v1/services/NAME/CALL   a call of a plain service
-    POST /v1/tickets              tickets for services that take them
-    GET  /v1/keys                 how new idempotency keys begin
-    GET  /v1/outcomes/REQUEST     the outcome of a request decided here
-
-Each request gets an identity and ends in one outcome, which goes to the
-caller, to the log and to `records`. This module only routes; `gate` checks,
-`chats` and `calls` serve.
+"""HTTP API of an entry VM for callers.
+
+    POST /v1/chat/completions     requests a completion of a model service
+    GET  /v1/streams              resumes a response stream (Last-Event-ID)
+    POST /v1/services/NAME/CALL   calls a plain service
+    POST /v1/tickets              issues tickets for services that accept them
+    GET  /v1/keys                 returns the prefix of new idempotency keys
+    GET  /v1/outcomes/REQUEST     returns the outcome of a request decided here
+
+Each request gets an identity and ends in one outcome, which is sent to the
+caller, logged and added to `records`. This module only routes requests; `gate`
+checks them, and `chats` and `calls` serve them.
 """
 
 from collections.abc import Callable
@@ -29,17 +29,17 @@
 from foxtaildaled import view
 from foxtaildaled import visit as visits
 
-_OUTCOMES: Final = '/v1/outcomes/'
+_OUTCOMES_PATH: Final = '/v1/outcomes/'
 
 
 class KeysReply(msgspec.Struct, frozen=True):
-    """How new idempotency keys begin."""
+    """Response with the prefix of new idempotency keys."""
 
     prefix: str
 
 
 class Entry:
-    """Routes callers' requests."""
+    """Routes the requests of callers to their handlers."""
 
     __slots__ = (
         '_calls',
@@ -79,7 +79,7 @@
         self._records = kept
 
     def handle(self, exchange: callers.Exchange) -> None:
-        """Serves one request of a caller."""
+        """Handles one request of a caller."""
         request = f'{self._entry_vm}-{uuid.uuid4().hex[:16]}'
         visit = visits.Visit(exchange, request, self._view.now)
         route = self._route(exchange.method, exchange.path)
@@ -95,17 +95,17 @@
             ('POST', '/v1/chat/completions'): self._chats.complete,
             ('GET', '/v1/streams'): self._chats.read_on,
             ('POST', '/v1/tickets'): self._calls.mint,
-            ('GET', '/v1/keys'): self._keys,
+            ('GET', '/v1/keys'): self._send_key_prefix,
         }
         if (method, path) in exact:
             return exact[(method, path)]
         if method == 'POST' and path.startswith(calls.PREFIX):
             return self._calls.call
-        if method == 'GET' and path.startswith(_OUTCOMES):
-            return self._outcome
+        if method == 'GET' and path.startswith(_OUTCOMES_PATH):
+            return self._send_outcome
         return None
 
-    def _keys(self, visit: visits.Visit) -> None:
+    def _send_key_prefix(self, visit: visits.Visit) -> None:
         prefix = visit.snapshot.key_prefix
         if prefix:
             self._replies.tell(visit, KeysReply(prefix))
@@ -114,12 +114,12 @@
             visit, '', codes.LOG_DOWN, retry_after_s=visits.AGAIN_S
         )
 
-    def _outcome(self, visit: visits.Visit) -> None:
-        found = self._records.find(visit.ex.path.removeprefix(_OUTCOMES))
-        if found is None:
+    def _send_outcome(self, visit: visits.Visit) -> None:
+        outcome = self._records.find(visit.ex.path.removeprefix(_OUTCOMES_PATH))
+        if outcome is None:
             reason = values.Figure('reason', 'not decided here lately')
             self._replies.refuse(visit, '', codes.NO_OUTCOME, figures=(reason,))
             return
         visit.ex.respond(
-            200, {'Content-Type': outcomes.JSON}, outcomes.body(found)
+            200, {'Content-Type': outcomes.JSON}, outcomes.body(outcome)
         )
--- a/packages/daemon/foxtaildaled/gate.py
+++ b/packages/daemon/foxtaildaled/gate.py
@@ -1,10 +1,10 @@
-"""What every request passes first: account, preset, service, limit, size.
+"""Checks of each request: account, preset, service, limit and body size.
 
-A refusal here is made before anything was sent, so it would be "not run". But
-a caller that sends its request again takes "not run" for an answer to its
-earlier try too, which may be running at another VM. So a refused request with
-a key is answered by `Visit.covering`, and the ticket of one that has a ticket
-is voided first.
+A request refused here was not sent to any backend server, so its outcome would
+be "not run". A caller that retries a request, however, applies "not run" to its
+earlier attempts too, and one of them may be running at another VM. For a
+request with a key, `Visit.covering` therefore chooses the code of the refusal.
+The ticket of a request is voided before the request is refused.
 """
 
 import msgspec
@@ -18,41 +18,42 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """Why a request is not let in."""
+    """The reason why a request is not admitted."""
 
     code: codes.Code
     figures: tuple[values.Figure, ...] = ()
-    # When to come back, seconds; 0 where that makes no sense.
+    # Delay before a retry, seconds; 0 if a retry is of no use.
     again_s: float = 0.0
 
 
 class Gate:
-    """Lets requests in or answers why not."""
+    """Admits requests, or responds with a refusal."""
 
-    __slots__ = ('_desk', '_limits', '_replies', 'stopping')
+    __slots__ = ('_handler', '_limits', '_replies', 'stopping')
 
-    _desk: desk.Desk
+    _handler: desk.Desk
     _limits: limits.Shares
     _replies: visits.Replies
-    # Whether the entry is being stopped.
+    # Whether the entry is shutting down.
     stopping: bool
 
     def __init__(
         self,
-        ticket_desk: desk.Desk,
+        handler: desk.Desk,
         replies: visits.Replies,
-        parts: limits.Shares,
+        account_limits: limits.Shares,
     ) -> None:
-        self._desk = ticket_desk
+        self._handler = handler
         self._replies = replies
-        # Keeps client accounts to this VM's part of their limits.
-        self._limits = parts
+        # Limits each client account to this VM's share of its limit.
+        self._limits = account_limits
         self.stopping = False
 
     def knows(self, visit: visits.Visit) -> bool:
-        """Whether a client account has the caller's key; answers if none has.
+        """Returns whether a client account has the caller's key.
 
-        Without a preset nobody can say so; such a request is refused later.
+        If no account has the key, the request is refused. Without a preset the
+        accounts are unknown; `admit` refuses such a request later.
         """
         in_force = visit.snapshot.in_force
         if in_force is None or not in_force.preset.accounts:
@@ -78,31 +79,31 @@
         *,
         counts: bool = True,
     ) -> values.Service | None:
-        """Returns the service, or answers why there is none.
+        """Returns the service, or refuses the request and returns None.
 
         Args:
             visit: The request.
-            name: The service that it names.
-            kind: What that must be, `model` or `plain`.
-            call: What it calls there.
-            counts: Whether it counts against its account's limit.
+            name: Name of the requested service.
+            kind: Required kind of the service, `model` or `plain`.
+            call: Name of the call of the service.
+            counts: Whether the request counts against its account's limit.
         """
         service = visit.snapshot.service(name)
-        fault = self._fault(visit, service, name, kind)
-        if fault is None and counts:
-            fault = self._beyond_limit(visit)
-        if fault is None:
+        rejection = self._check_request(visit, service, name, kind)
+        if rejection is None and counts:
+            rejection = self._check_limit(visit)
+        if rejection is None:
             return service
-        if visit.ticket and not self._void(visit, call):
+        if visit.ticket and not self._void_ticket(visit, call):
             return None
-        code = visit.covering(fault.code)
-        again_s = visits.AGAIN_S if code.status == 503 else fault.again_s
+        code = visit.covering(rejection.code)
+        again_s = visits.AGAIN_S if code.status == 503 else rejection.again_s
         self._replies.refuse(
-            visit, name, code, figures=fault.figures, retry_after_s=again_s
+            visit, name, code, figures=rejection.figures, retry_after_s=again_s
         )
         return None
 
-    def _fault(
+    def _check_request(
         self,
         visit: visits.Visit,
         service: values.Service | None,
@@ -115,15 +116,15 @@
             return Fault(codes.NO_PRESET)
         if service is None or service.kind != kind:
             return Fault(codes.NO_SERVICE, (values.Figure('service', name),))
-        found, limit = len(visit.ex.body), service.max_body_bytes
-        if found <= limit:
+        body_bytes, limit = len(visit.ex.body), service.max_body_bytes
+        if body_bytes <= limit:
             return None
         return Fault(
             codes.TOO_LARGE,
-            (values.Figure('found', found), values.Figure('limit', limit)),
+            (values.Figure('found', body_bytes), values.Figure('limit', limit)),
         )
 
-    def _beyond_limit(self, visit: visits.Visit) -> Fault | None:
+    def _check_limit(self, visit: visits.Visit) -> Fault | None:
         account = visit.account
         if account is None or not account.limit.rate:
             return None
@@ -145,17 +146,17 @@
             verdict.wait_s,
         )
 
-    def _void(self, visit: visits.Visit, call: str) -> bool:
-        """Voids the ticket of a request that is refused.
+    def _void_ticket(self, visit: visits.Visit, call: str) -> bool:
+        """Voids the ticket of a refused request.
 
-        Returns whether it will surely never run; otherwise the request has
-        been answered with what is known of it.
+        Returns whether the request is certain never to run. Otherwise the
+        known outcome was sent to the caller.
         """
         ticket = tickets.from_text(visit.ticket)
-        if ticket is None or self._desk.check(ticket, ticket.service):
-            # Not one of ours: nobody runs it.
+        if ticket is None or self._handler.check(ticket, ticket.service):
+            # No entry accepts an invalid ticket, so the request never runs.
             return True
-        reply = self._desk.void(ticket, call, visit.ex.body, visit.request)
+        reply = self._handler.void(ticket, call, visit.ex.body, visit.request)
         if codes.ran(reply.outcome.code) == 'no':
             return True
         self._replies.record(reply.outcome)
--- a/packages/daemon/foxtaildaled/job.py
+++ b/packages/daemon/foxtaildaled/job.py
@@ -1,4 +1,4 @@
-"""One caller's request for a model's answer, while it is worked on."""
+"""The state of one request to a model service while it is served."""
 
 from collections.abc import Iterator
 import contextlib
@@ -13,14 +13,14 @@
 
 
 class Job:
-    """Everything about one request that its steps share."""
+    """The state that all stages and attempts of one request share."""
 
     __slots__ = (
         '_cancels',
-        '_held',
+        '_chunks',
         '_lock',
-        '_pieces',
-        '_resume_s',
+        '_reserved_at',
+        '_resume_window_s',
         'arrived_at',
         'attempt',
         'first_answer_ms',
@@ -40,36 +40,37 @@
 
     # Identifies the request for callers and operators.
     request: str
-    # Name of the service, and what the preset says of it.
+    # Name of the service, and its settings in the preset.
     name: str
     service: values.Service
-    # What was known when the request came; it works by it to its end.
+    # Configuration and servers at the arrival of the request. The request uses
+    # this snapshot until its end.
     snapshot: view.Snapshot
-    # Incarnation of this entry.
+    # Incarnation of this entry process.
     holder: str
     prompt: str
     prompt_tokens: int
     prefixes: tuple[str, ...]
     max_tokens: int
-    # Target for the first answer, milliseconds; 0 means none.
+    # Target time to the first token, milliseconds; 0 means none.
     first_answer_ms: int
-    # Seconds, monotonic.
+    # Arrival of the request; seconds, monotonic.
     arrived_at: float
-    # Counts tries at backend servers, from 1.
+    # Number of the current attempt, from 1; 0 before the first one.
     attempt: int
-    # Whether a backend server may have acted on it.
+    # Whether a backend server may have run the request.
     sent: bool
-    # When each piece of the answer was sent on; seconds, monotonic.
+    # When each chunk was sent to the caller; seconds, monotonic.
     times: list[float]
-    # Set when the caller has gone.
+    # Set when the caller has disconnected.
     gone: threading.Event
-    # Addresses of engines that hold something for this request.
-    _held: set[str]
-    # The stream that is being read, if any.
-    _pieces: ports.Pieces | None
+    # Addresses of engines that may hold resources for this request.
+    _reserved_at: set[str]
+    # The open stream, if any.
+    _chunks: ports.Pieces | None
     _cancels: cancels.Cancels
-    # How long a gone caller's stream is kept for its return, seconds.
-    _resume_s: float
+    # How long a caller may resume its stream after a disconnect, seconds.
+    _resume_window_s: float
     _lock: threading.Lock
 
     def __init__(
@@ -100,75 +101,77 @@
         self.sent = False
         self.times = []
         self.gone = threading.Event()
-        self._held = set()
-        self._pieces = None
+        self._reserved_at = set()
+        self._chunks = None
         self._cancels = cancel_queue
-        self._resume_s = resume_s
+        self._resume_window_s = resume_s
         self._lock = threading.Lock()
 
     @property
     def stream(self) -> str:
-        """Names the stream of this attempt at the engine."""
+        """The name of the stream of this attempt at the engine."""
         return f'{self.request}.{self.attempt}'
 
     def hold(self, address: str) -> bool:
-        """Notes that an engine is about to hold something.
+        """Records that an engine is about to hold resources for the request.
 
-        Returns False when the caller has gone: then nothing may be sent. The
-        check and the note are one step, since a caller that leaves between
-        them would leave work behind that nobody cancels.
+        Returns False if the caller has disconnected; then nothing may be sent.
+        The check and the record are atomic: if the caller disconnected between
+        them, the work at the engine would never be cancelled.
         """
         with self._lock:
             if self.gone.is_set():
                 return False
-            self._held.add(address)
+            self._reserved_at.add(address)
             return True
 
     def let_go(self, address: str) -> None:
-        """Notes that an engine holds nothing any more."""
+        """Records that an engine no longer holds resources."""
         with self._lock:
-            self._held.discard(address)
+            self._reserved_at.discard(address)
 
     def on_gone(self) -> None:
-        """The caller went away: cancels all that is held for it."""
+        """Cancels all work for the caller, which has disconnected."""
         with self._lock:
             self.gone.set()
-            held = list(self._held)
-            pieces = self._pieces
-        if pieces is not None:
-            pieces.close()
-        for address in held:
-            self._cancel(address, 0, self._resume_s)
+            addresses = list(self._reserved_at)
+            chunks = self._chunks
+        if chunks is not None:
+            chunks.close()
+        for address in addresses:
+            self._cancel(address, 0, self._resume_window_s)
 
     @contextlib.contextmanager
-    def reading(self, pieces: ports.Pieces) -> Iterator[None]:
-        """Closes a stream at the end, or at once when the caller goes.
+    def reading(self, chunks: ports.Pieces) -> Iterator[None]:
+        """Closes a stream at its end, or when the caller disconnects.
 
-        A thread that waits for the next piece would otherwise learn of the
-        caller only with that piece, and hold its slot until then.
+        Otherwise a thread that waits for the next chunk would notice the
+        disconnect only when that chunk arrives, and keep its slot until then.
         """
         with self._lock:
-            self._pieces = pieces
-            gone = self.gone.is_set()
-        if gone:
-            pieces.close()
+            self._chunks = chunks
+            disconnected = self.gone.is_set()
+        if disconnected:
+            chunks.close()
         try:
             yield
         finally:
             with self._lock:
-                self._pieces = None
-            pieces.close()
+                self._chunks = None
+            chunks.close()
 
     def abandon(self, kept: str = '') -> None:
-        """Cancels this attempt at every engine that holds a part of it.
+        """Cancels this attempt at all engines that hold resources for it.
 
         Args:
-            kept: Address of an engine whose part is still wanted; or ''.
+            kept: Address of an engine whose result is still needed; or ''.
         """
         with self._lock:
-            held = [address for address in self._held if address != kept]
-            self._held.difference_update(held)
-        for address in held:
+            addresses = [
+                address for address in self._reserved_at if address != kept
+            ]
+            self._reserved_at.difference_update(addresses)
+        for address in addresses:
             self._cancel(address, self.attempt, 0.0)
 
     def _cancel(self, address: str, attempt: int, after_s: float) -> None:
--- a/packages/daemon/foxtaildaled/line.py
+++ b/packages/daemon/foxtaildaled/line.py
@@ -1,7 +1,8 @@
-"""Requests of one entry VM that wait for a place at a decode worker.
+"""Requests of one entry VM that wait for a placement at a decode worker.
 
-One of them asks the workers at a time, the most urgent first, so that a burst
-neither asks for the same place many times over nor overtakes itself.
+Only the most urgent waiting request of a service contacts the workers. Thus the
+requests of a burst do not all request the same placement, and they are served
+in order.
 """
 
 import threading
@@ -10,13 +11,13 @@
 from foxtaildale import room
 from foxtaildaled import passage
 
-# Time between two tries while every worker is full, seconds. A place comes
-# free about every 0.2 s at a full site of five workers.
+# Time between two attempts while every worker is full, seconds. At a full site
+# of five workers, a placement is released about every 0.2 s.
 TRY_S: Final = 0.06
 
 
 class Line:
-    """Waiting requests, by service."""
+    """The waiting requests of each service."""
 
     __slots__ = ('_changed', '_waiting')
 
@@ -25,32 +26,32 @@
         self._waiting: dict[str, list[passage.Passage]] = {}
 
     def join(self, req: passage.Passage) -> None:
-        """Adds a request."""
+        """Adds a request to the queue of its service."""
         with self._changed:
             self._waiting.setdefault(req.service.name, []).append(req)
 
     def leave(self, req: passage.Passage) -> None:
-        """Removes a request; the next may try at once."""
+        """Removes a request and wakes the waiting ones."""
         with self._changed:
             self._waiting[req.service.name].remove(req)
             self._changed.notify_all()
 
     def place_freed(self) -> None:
-        """Lets the first try at once."""
+        """Wakes the waiting requests, so that the first one retries."""
         with self._changed:
             self._changed.notify_all()
 
     def is_first(self, req: passage.Passage) -> bool:
-        """Whether no waiting request of the service goes before this one."""
+        """Returns whether this request is the most urgent of its service."""
         with self._changed:
-            return min(self._waiting[req.service.name], key=_rank) is req
+            return min(self._waiting[req.service.name], key=_sort_key) is req
 
     def pause(self) -> None:
-        """Waits until something changed or it is time to try again."""
+        """Waits until the queue changes or the next attempt is due."""
         with self._changed:
             self._changed.wait(TRY_S)
 
 
-def _rank(req: passage.Passage) -> tuple[bool, int, float]:
+def _sort_key(req: passage.Passage) -> tuple[bool, int, float]:
     late = room.too_late(req.age_s(), req.route.target_s)
     return late, req.route.priority, req.started_at
--- a/packages/daemon/foxtaildaled/sinks.py
+++ b/packages/daemon/foxtaildaled/sinks.py
@@ -1,8 +1,8 @@
-"""Where the pieces of an answer go: a stream of events, or one document.
+"""Sends a response to the caller, as an event stream or as one document.
 
-A caller that asked for a stream gets each piece as it comes. One that did not
-gets the whole answer or an error, never a part of it. In both forms an answer
-that is not whole ends in an error and never in `[DONE]`.
+A caller that requested a stream receives each chunk when it arrives. Another
+caller receives the complete response or an error, never a part of the response.
+In both forms an incomplete response ends in an error and never in `[DONE]`.
 """
 
 import time
@@ -25,42 +25,43 @@
 
 
 class Sink(Protocol):
-    """Takes the pieces of one answer."""
+    """Receives the chunks of one response."""
 
     @property
     def started(self) -> bool:
-        """Whether the caller may have been sent a part of the answer."""
+        """Whether a part of the response may have been sent to the caller."""
 
     def begin(self, worker: str, stream: str) -> None:
-        """A decode worker begins the answer, perhaps anew."""
+        """Starts the response of a decode worker; may be called again."""
 
     def piece(self, piece: backends.Piece) -> None:
-        """Takes the next piece."""
+        """Handles the next chunk."""
 
     def last(self, last: backends.Last) -> None:
-        """Takes the end of a whole answer."""
+        """Handles the end of a complete response."""
 
     def end(self, outcome: values.Outcome, earlier: bytes = b'') -> None:
         """Ends the exchange with the outcome.
 
         Args:
-            outcome: What came of the request.
-            earlier: The whole answer of an earlier run of it, if it is kept.
+            outcome: Outcome of the request.
+            earlier: Complete response of an earlier run of the request, if it
+                is stored.
         """
 
     def whole(self) -> bytes:
-        """Returns the whole answer as a document; empty if it is not whole."""
+        """Returns the complete response as a document, otherwise nothing."""
 
 
 class Message(msgspec.Struct, frozen=True):
-    """The answer's text in a whole completion."""
+    """The text of a complete response."""
 
     role: str
     content: str
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The one choice of a whole completion."""
+    """The only choice of a complete response."""
 
     index: int
     message: Message
@@ -68,14 +69,14 @@
 
 
 class Whole(msgspec.Struct, frozen=True):
-    """Count of pieces and digest of the text."""
+    """Number of chunks and digest of the text of a complete response."""
 
     count: int
     digest: str
 
 
 class Completion(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole answer in one document."""
+    """A complete response as one document."""
 
     id: str
     object: str = 'chat.completion'
@@ -86,7 +87,7 @@
 
 
 class EventSink:
-    """Sends each piece as an event."""
+    """Sends each chunk as an event."""
 
     __slots__ = ('_created', '_ex', '_model', '_request', 'framer')
 
@@ -94,7 +95,7 @@
     _request: str
     _model: str
     _created: int
-    # Frames the pieces of the decode worker that answers now.
+    # Frames the chunks of the current decode worker.
     framer: streams.Framer
 
     def __init__(self, ex: incoming.Exchange, request: str, model: str) -> None:
@@ -105,40 +106,40 @@
 
     @property
     def started(self) -> bool:
-        """Whether the caller may have been sent a part of the answer."""
+        """Whether a part of the response may have been sent to the caller."""
         return self._ex.started
 
     def begin(self, worker: str, stream: str) -> None:
-        """A decode worker begins the answer."""
+        """Starts the response of a decode worker."""
         self.framer = streams.Framer(
             self._request, worker, stream, self._model, self._created
         )
 
     def piece(self, piece: backends.Piece) -> None:
-        """Sends the next piece."""
+        """Sends the next chunk."""
         self._start()
         self._ex.send(self.framer.piece(piece.position, piece.text))
 
     def last(self, last: backends.Last) -> None:
-        """Sends the end of a whole answer."""
+        """Sends the end of a complete response."""
         self._start()
         self._ex.send(self.framer.last(last))
 
     def whole(self) -> bytes:
-        """Returns nothing: the pieces were sent on and not kept."""
+        """Returns nothing, since this sink does not store the chunks."""
         return b''
 
     def end(self, outcome: values.Outcome, earlier: bytes = b'') -> None:
-        """Ends the exchange."""
+        """Ends the exchange with the outcome."""
         if not self._ex.started:
-            _respond(self._ex, outcome, earlier)
+            _respond_outcome(self._ex, outcome, earlier)
             return
         if outcome.code != codes.OK.name:
             self._ex.send(b'data: %b\n\n' % outcomes.body(outcome))
         self._ex.finish()
 
     def open(self) -> incoming.Exchange:
-        """Starts the answer, unless it was, and returns its exchange."""
+        """Starts the response if necessary, and returns its exchange."""
         self._start()
         return self._ex
 
@@ -149,48 +150,48 @@
 
 
 class KeptSink:
-    """Sends each piece as an event, and keeps the whole for later askers."""
+    """Sends each chunk as an event, and stores the response for retries."""
 
-    __slots__ = ('_events', '_whole')
+    __slots__ = ('_document', '_events')
 
     _events: EventSink
-    _whole: 'WholeSink'
+    _document: 'WholeSink'
 
     def __init__(self, ex: incoming.Exchange, request: str, model: str) -> None:
         self._events = EventSink(ex, request, model)
-        self._whole = WholeSink(ex, request, model)
+        self._document = WholeSink(ex, request, model)
 
     @property
     def started(self) -> bool:
-        """Whether the caller may have been sent a part of the answer."""
+        """Whether a part of the response may have been sent to the caller."""
         return self._events.started
 
     def begin(self, worker: str, stream: str) -> None:
-        """A decode worker begins the answer."""
+        """Starts the response of a decode worker."""
         self._events.begin(worker, stream)
-        self._whole.begin(worker, stream)
+        self._document.begin(worker, stream)
 
     def piece(self, piece: backends.Piece) -> None:
-        """Sends and keeps the next piece."""
+        """Sends and stores the next chunk."""
         self._events.piece(piece)
-        self._whole.piece(piece)
+        self._document.piece(piece)
 
     def last(self, last: backends.Last) -> None:
-        """Sends and keeps the end of a whole answer."""
+        """Sends and stores the end of a complete response."""
         self._events.last(last)
-        self._whole.last(last)
+        self._document.last(last)
 
     def end(self, outcome: values.Outcome, earlier: bytes = b'') -> None:
-        """Ends the exchange."""
+        """Ends the exchange with the outcome."""
         self._events.end(outcome, earlier)
 
     def whole(self) -> bytes:
-        """Returns the whole answer as a document; empty if it is not whole."""
-        return self._whole.whole()
+        """Returns the complete response as a document, otherwise nothing."""
+        return self._document.whole()
 
 
 class WholeSink:
-    """Gathers the pieces and answers with one document."""
+    """Collects the chunks and responds with one document."""
 
     __slots__ = ('_ex', '_last', '_model', '_request', '_texts')
 
@@ -209,32 +210,32 @@
 
     @property
     def started(self) -> bool:
-        """Nothing is sent before the whole answer is there."""
+        """False, since nothing is sent before the response is complete."""
         return False
 
     def begin(self, worker: str, stream: str) -> None:
-        """A decode worker begins the answer; what another had sent is void."""
+        """Starts a response; discards the chunks of earlier workers."""
         del worker, stream
         self._texts.clear()
 
     def piece(self, piece: backends.Piece) -> None:
-        """Keeps the next piece."""
+        """Stores the next chunk."""
         self._texts.append(piece.text)
 
     def last(self, last: backends.Last) -> None:
-        """Keeps the end of a whole answer."""
+        """Stores the end of a complete response."""
         self._last = last
 
     def end(self, outcome: values.Outcome, earlier: bytes = b'') -> None:
-        """Answers with the document, or with the error."""
+        """Responds with the document or with the error."""
         document = self.whole()
         if outcome.code != codes.OK.name or not document:
-            _respond(self._ex, outcome, earlier)
+            _respond_outcome(self._ex, outcome, earlier)
             return
         self._ex.respond(200, outcomes.headers(outcome), document)
 
     def whole(self) -> bytes:
-        """Returns the whole answer as a document; empty if it is not whole."""
+        """Returns the complete response as a document, otherwise nothing."""
         if self._last is None:
             return b''
         document = Completion(
@@ -252,14 +253,14 @@
 def make(
     ex: incoming.Exchange, request: str, model: str, *, stream: bool, keep: bool
 ) -> Sink:
-    """Returns the sink that a caller asked for.
+    """Returns the sink for the form of response that a caller requested.
 
     Args:
         ex: The caller's exchange.
         request: Identity of the request.
-        model: What the caller asked for.
-        stream: Whether it wants the answer as a stream.
-        keep: Whether the whole answer is wanted later.
+        model: Model that the caller requested.
+        stream: Whether the caller requested a stream.
+        keep: Whether the complete response is needed after it was sent.
     """
     if not stream:
         return WholeSink(ex, request, model)
@@ -268,11 +269,12 @@
     return EventSink(ex, request, model)
 
 
-def _respond(
+def _respond_outcome(
     ex: incoming.Exchange, outcome: values.Outcome, earlier: bytes
 ) -> None:
     if earlier:
-        # The text of the one run, to a caller that had lost it.
+        # The caller did not receive the response of the only run, so it is
+        # sent again.
         ex.respond(200, outcomes.headers(outcome), earlier)
         return
     ex.respond(
--- a/packages/daemon/foxtaildaled/slots.py
+++ b/packages/daemon/foxtaildaled/slots.py
@@ -1,9 +1,10 @@
-"""Gets a decode slot for a request, from the home of the service's pool.
+"""Acquires decode slots from the coordinator of a service's pool.
 
-The home answers at once: granted, asked to come again, or refused. A home that
-can't be reached must not stop the service, so the entry then falls back to its
-own share of the workers by their lagged reports; a wrong count costs time, and
-the engine's own refusal corrects it.
+The coordinator replies without waiting: it grants a slot, queues the request
+or refuses it. A coordinator that is unreachable must not stop the service. The
+entry then uses its own share of the workers, computed from their delayed
+reports. A wrong count costs time, and is corrected when the engine refuses the
+request.
 """
 
 import threading
@@ -21,47 +22,50 @@
 from foxtaildaled import job as jobs
 from foxtaildaled import view
 
-# Longest wait for the home's answer, seconds; it decides without waiting.
-_HOME_S: Final = 1.0
+# Timeout of a reply of the coordinator, seconds; it decides without waiting.
+_REPLY_TIMEOUT_S: Final = 1.0
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """No slot; nothing was sent to a backend server."""
+    """The final result of a request, with its code and figures.
+
+    Without a slot it is a refusal: nothing was sent to a backend server.
+    """
 
     code: codes.Code
     figures: tuple[values.Figure, ...] = ()
     retry_after_s: float = 0.0
-    # The answer of an earlier run, where there was one and it is kept.
+    # Response of an earlier run of the request, if it is stored.
     answer: bytes = b''
 
 
 class Slots:
-    """Asks for slots and gives them back."""
+    """Acquires, renews and releases slots."""
 
     __slots__ = (
+        '_applied_listings',
         '_clock',
         '_entry_vm',
-        '_held',
+        '_fallbacks',
+        '_grants',
         '_holder',
-        '_listed',
         '_lock',
         '_peers',
-        '_shares',
         '_view',
     )
 
     _peers: ports.Peers
     _view: view.View
     _entry_vm: str
-    # Incarnation of this entry.
+    # Incarnation of this entry process.
     _holder: str
     _clock: ports.Clock
-    # Grants in use: service and decode worker, by grant.
-    _held: dict[str, tuple[str, str]]
-    # Fallbacks, by service.
-    _shares: dict[str, share.Share]
-    # List that each of them has taken last, by service.
-    _listed: dict[str, values.Listing]
+    # Service and decode worker of each grant in use, by name of the grant.
+    _grants: dict[str, tuple[str, str]]
+    # Share of the workers for an unreachable coordinator, by service.
+    _fallbacks: dict[str, share.Share]
+    # The listing that each share applied last, by service.
+    _applied_listings: dict[str, values.Listing]
     _lock: threading.Lock
 
     def __init__(
@@ -75,28 +79,28 @@
         self._peers = peers
         self._view = seen
         self._holder = holder
-        self._held = {}
+        self._grants = {}
         self._entry_vm = entry_vm
         self._clock = clock
-        self._shares = {}
-        self._listed = {}
+        self._fallbacks = {}
+        self._applied_listings = {}
         self._lock = threading.Lock()
 
     def get(
         self, job: jobs.Job, ready_at: str, avoid: str
     ) -> messages.Granted | Refusal:
-        """Waits until there is a slot or a refusal, or the caller has gone.
+        """Waits for a slot or a refusal, or until the caller disconnects.
 
         Args:
             job: The request.
             ready_at: Prefill worker that holds a finished prefill; or ''.
-            avoid: Decode worker that an earlier attempt failed at; or ''.
+            avoid: Decode worker at which an earlier attempt failed; or ''.
         """
         while not job.gone.is_set():
-            reply = self._ask(job, ready_at, avoid)
+            reply = self._request_slot(job, ready_at, avoid)
             if isinstance(reply, messages.Granted):
                 with self._lock:
-                    self._held[reply.grant] = (job.name, reply.decode)
+                    self._grants[reply.grant] = (job.name, reply.decode)
             if isinstance(reply, messages.Granted | Refusal):
                 return reply
             job.gone.wait(reply.again_in_ms / 1000)
@@ -104,53 +108,53 @@
         return Refusal(codes.GONE)
 
     def end(self, job: jobs.Job, msg: messages.EndSlot) -> None:
-        """Gives a slot back, with what was measured on the way."""
+        """Releases a slot and reports the measurements of the attempt."""
         with self._lock:
-            self._held.pop(msg.grant, None)
-            self._share(job).end(self._clock(), msg)
-        self._tell_home(job.name, msg)
+            self._grants.pop(msg.grant, None)
+            self._fallback(job).end(self._clock(), msg)
+        self._notify_coordinator(job.name, msg)
 
     def step(self) -> None:
-        """Repeats to each home what this entry holds, as a loop.
+        """Reports the grants in use to each coordinator; runs periodically.
 
-        A home that was lost and made anew elsewhere knows nothing of earlier
-        grants and would give the same slots again; one would see engines
-        refuse as full. The repeat rebuilds its ledger within a beat. It also
-        keeps grants of long streams from lapsing.
+        A coordinator that replaces a lost one has no record of earlier grants
+        and would grant the same slots again, so that engines would refuse
+        requests as full. The reports rebuild its ledger within one heartbeat.
+        They also renew the grants of long streams, which would expire.
         """
         with self._lock:
-            held = list(self._held.items())
+            in_use = list(self._grants.items())
         services: dict[str, list[tuple[str, str]]] = {}
-        for grant, (service, decode) in held:
+        for grant, (service, decode) in in_use:
             services.setdefault(service, []).append((grant, decode))
         for service, grants in services.items():
             msg = messages.KeepSlots(
                 service=service, holder=self._holder, grants=tuple(grants)
             )
-            self._tell_home(service, msg)
+            self._notify_coordinator(service, msg)
 
     def _leave_queue(self, job: jobs.Job) -> None:
-        """Gives up the place of a caller that went away while it waited."""
+        """Removes the request of a disconnected caller from the queue."""
         msg = messages.EndSlot(
             service=job.name,
             grant=ledger.name(job.request, job.attempt),
             result='cancelled',
         )
-        self._tell_home(job.name, msg)
+        self._notify_coordinator(job.name, msg)
 
-    def _tell_home(
+    def _notify_coordinator(
         self, service: str, msg: messages.EndSlot | messages.KeepSlots
     ) -> None:
         address = self._view.now.home(service)
         if address is None:
             return
         try:
-            self._peers.ask(address, msg, _HOME_S)
+            self._peers.ask(address, msg, _REPLY_TIMEOUT_S)
         except errors.PortError:
-            # The grant lapses at the home by itself.
+            # The grant expires at the coordinator.
             return
 
-    def _ask(
+    def _request_slot(
         self, job: jobs.Job, ready_at: str, avoid: str
     ) -> messages.Granted | messages.Queued | Refusal:
         now = self._clock()
@@ -166,13 +170,13 @@
             ready_at=ready_at,
             avoid=avoid,
         )
-        reply = self._ask_home(job.snapshot, msg)
+        reply = self._request_from_coordinator(job.snapshot, msg)
         with self._lock:
-            own = self._share(job)
+            fallback = self._fallback(job)
             if reply is None:
-                reply = own.ask(now, msg)
+                reply = fallback.ask(now, msg)
             elif isinstance(reply, messages.Granted):
-                own.granted(now, msg, reply)
+                fallback.granted(now, msg, reply)
         if isinstance(reply, messages.Refused):
             return Refusal(
                 codes.ALL.get(reply.code, codes.NO_CAPACITY),
@@ -181,14 +185,14 @@
             )
         return reply
 
-    def _ask_home(
+    def _request_from_coordinator(
         self, snapshot: view.Snapshot, msg: messages.AskSlot
     ) -> messages.Granted | messages.Queued | messages.Refused | None:
         address = snapshot.home(msg.service)
         if address is None:
             return None
         try:
-            reply = self._peers.ask(address, msg, _HOME_S)
+            reply = self._peers.ask(address, msg, _REPLY_TIMEOUT_S)
         except errors.PortError:
             return None
         if isinstance(
@@ -197,14 +201,16 @@
             return reply
         return None
 
-    def _share(self, job: jobs.Job) -> share.Share:
-        own = self._shares.get(job.name)
-        if own is None:
-            own = self._shares[job.name] = share.Share(job.name, self._entry_vm)
-        own.on_service(job.service)
-        # A share works its servers out anew from each list; that need not be
-        # done for every ask and end by the same one.
-        if self._listed.get(job.name) is not job.snapshot.listing:
-            own.on_listing(job.snapshot.listing)
-            self._listed[job.name] = job.snapshot.listing
-        return own
+    def _fallback(self, job: jobs.Job) -> share.Share:
+        fallback = self._fallbacks.get(job.name)
+        if fallback is None:
+            fallback = self._fallbacks[job.name] = share.Share(
+                job.name, self._entry_vm
+            )
+        fallback.on_service(job.service)
+        # A share recomputes its servers from each listing. This is skipped when
+        # the listing has not changed since the last request or release.
+        if self._applied_listings.get(job.name) is not job.snapshot.listing:
+            fallback.on_listing(job.snapshot.listing)
+            self._applied_listings[job.name] = job.snapshot.listing
+        return fallback
--- a/packages/daemon/foxtaildaled/stages.py
+++ b/packages/daemon/foxtaildaled/stages.py
@@ -1,8 +1,9 @@
 """The stages of an attempt before its stream: prefill and transfer.
 
-A prefill's result is evicted within a second, and making it costs as much as
-many tokens. So a transfer that stalls is given up while the result may still
-live, and a result that finds no free slot moves to whichever worker has one.
+An engine evicts the result of a prefill within a second, and a prefill costs as
+much as the decoding of many tokens. A stalled transfer is therefore aborted
+while the result may still be available, and if the chosen decode worker has no
+free slot, the result is transferred to another worker that has one.
 """
 
 from typing import Final
@@ -19,17 +20,17 @@
 from foxtaildaled import job as jobs
 from foxtaildaled import slots
 
-# Bound on one prefill, seconds.
-_PREFILL_S: Final = 60.0
-# Time before a finished prefill asks again for a slot, seconds.
-_FULL_WAIT_S: Final = 0.025
-# The engines' words for no slot free, and for what they hold no more.
+# Timeout of one prefill, seconds.
+_PREFILL_TIMEOUT_S: Final = 60.0
+# Time between two slot requests for a finished prefill, seconds.
+_SLOT_RETRY_S: Final = 0.025
+# Error codes of the engines: no slot is free; the prefill was evicted.
 _FULL: Final = 'full'
-_GONE: Final = 'gone'
+_EVICTED: Final = 'gone'
 
 
 class Ready(msgspec.Struct, frozen=True):
-    """A finished prefill and where it lies."""
+    """A finished prefill and the worker that holds its result."""
 
     worker: str
     address: str
@@ -39,25 +40,25 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """An attempt that did not end in a whole answer."""
+    """An attempt that did not end in a complete response."""
 
-    # prefill-failed, transfer-failed, decode-failed
+    # One of prefill-failed, transfer-failed, decode-failed and evicted.
     stage: str
     reason: str
-    # Decode worker that it failed at, for the next attempt to avoid.
+    # Decode worker that the next attempt is to avoid; or ''.
     decode: str = ''
-    # Backend server that it failed at.
+    # Backend server that the attempt failed at; or ''.
     at: str = ''
-    # Whether the engine may have begun the answer itself.
+    # Whether the engine may have begun to decode.
     begun: bool = False
-    # The engine's own word where it said that it did not act.
+    # Error code of an engine that rejected the request without acting on it.
     rejected: str = ''
-    # A finished prefill that may be fetched again.
+    # A finished prefill that the next attempt may transfer.
     ready: 'Ready | None' = None
 
 
 class Measured:
-    """How long the stages of one attempt took, milliseconds."""
+    """Durations (milliseconds) and token counts of one attempt."""
 
     __slots__ = (
         'cached_tokens',
@@ -71,7 +72,7 @@
     transfer_ms: int
     decode_ms: int
     output_tokens: int
-    # Prompt tokens that the prefix cache had.
+    # Prompt tokens that were in the prefix cache.
     cached_tokens: int
 
     def __init__(self) -> None:
@@ -96,13 +97,13 @@
     def __init__(
         self,
         engines: ports.Engines,
-        getter: slots.Slots,
-        counts: metrics.Metrics,
+        acquirer: slots.Slots,
+        request_metrics: metrics.Metrics,
         clock: ports.Clock,
     ) -> None:
         self._engines = engines
-        self._slots = getter
-        self._metrics = counts
+        self._slots = acquirer
+        self._metrics = request_metrics
         self._clock = clock
         self._pace = pace.Pace()
 
@@ -123,14 +124,14 @@
         )
         try:
             reply = self._engines.prefill(
-                grant.prefill_address, req, _PREFILL_S
+                grant.prefill_address, req, _PREFILL_TIMEOUT_S
             )
         except errors.PortError as exc:
             return self.failed(job, 'prefill-failed', exc, grant.prefill)
         measured.prefill_ms = self.since(began_at)
         self._metrics.prefill_tokens.add(reply.tokens - reply.cached, job.name)
         if (reply.request, reply.attempt) != (job.request, job.attempt):
-            return Failure('prefill-failed', 'answer of another request')
+            return Failure('prefill-failed', 'reply to another request')
         measured.cached_tokens = reply.cached
         job.sent = True
         return Ready(
@@ -147,7 +148,7 @@
         ready: Ready,
         measured: Measured,
     ) -> messages.Granted | Failure | slots.Refusal:
-        """Has a decode worker fetch the KV cache; returns its grant."""
+        """Transfers the KV cache to a decode worker and returns its grant."""
         while True:
             failure = self._fetch(job, grant, ready, measured)
             if failure is None:
@@ -155,13 +156,13 @@
                 return grant
             if failure.rejected != _FULL or self._clock() >= ready.until:
                 return failure
-            # The slot that was to be free is not yet. Nothing was lost: the
-            # result may go to whichever worker has a slot now.
-            job.gone.wait(_FULL_WAIT_S)
-            moved = self._slots.get(job, ready.worker, '')
-            if isinstance(moved, slots.Refusal):
-                return moved
-            grant = moved
+            # The granted slot is not free yet. The result of the prefill is
+            # still available and may go to any worker that has a free slot.
+            job.gone.wait(_SLOT_RETRY_S)
+            reply = self._slots.get(job, ready.worker, '')
+            if isinstance(reply, slots.Refusal):
+                return reply
+            grant = reply
 
     def _fetch(
         self,
@@ -171,7 +172,7 @@
         measured: Measured,
     ) -> Failure | None:
         if not job.hold(grant.decode_address):
-            return Failure('transfer-failed', 'the caller went away')
+            return Failure('transfer-failed', 'the caller disconnected')
         began_at = self._clock()
         req = backends.ImportReq(
             request=job.request,
@@ -180,21 +181,21 @@
             source=ready.address,
             kv=ready.reply.kv,
         )
-        bound_s = self._pace.bound_s(
+        timeout_s = self._pace.bound_s(
             ready.reply.tokens, ready.reply.lives_ms / 1000
         )
         try:
-            reply = self._engines.fetch(grant.decode_address, req, bound_s)
+            reply = self._engines.fetch(grant.decode_address, req, timeout_s)
         except errors.PortError as exc:
             measured.transfer_ms = self.since(began_at)
-            return self._lost_transfer(job, grant, ready, exc)
+            return self._transfer_failure(job, grant, ready, exc)
         measured.transfer_ms = self.since(began_at)
         self._pace.learn(ready.reply.tokens, self._clock() - began_at)
         if (reply.request, reply.attempt) != (job.request, job.attempt):
-            return Failure('transfer-failed', 'answer of another request')
+            return Failure('transfer-failed', 'reply to another request')
         return None
 
-    def _lost_transfer(
+    def _transfer_failure(
         self,
         job: jobs.Job,
         grant: messages.Granted,
@@ -202,19 +203,20 @@
         exc: errors.PortError,
     ) -> Failure:
         failure = self.failed(job, 'transfer-failed', exc, grant.decode)
-        if failure.rejected == _GONE:
-            # Evicted before its transfer began: nobody is to blame.
+        if failure.rejected == _EVICTED:
+            # The prefill was evicted before its transfer began, which is not a
+            # failure of the decode worker.
             return msgspec.structs.replace(failure, stage='evicted', decode='')
         if self._clock() < ready.until:
             return msgspec.structs.replace(failure, ready=ready)
         return failure
 
     def since(self, began_at: float) -> int:
-        """Returns the milliseconds since a time."""
+        """Returns the time since `began_at`, milliseconds."""
         return round((self._clock() - began_at) * 1000)
 
     def still_ready(self, last: Failure | None) -> Ready | None:
-        """Returns the last attempt's prefill if it can still be fetched."""
+        """Returns the last attempt's prefill if it can still be transferred."""
         if last is None or last.ready is None:
             return None
         return last.ready if self._clock() < last.ready.until else None
@@ -222,7 +224,10 @@
     def failed(
         self, job: jobs.Job, stage: str, exc: errors.PortError, at: str
     ) -> Failure:
-        """Returns what an engine's error means; notes what may have run."""
+        """Returns the failure for an engine's error.
+
+        Also records in `job` whether the request may have run.
+        """
         rejected = exc.code if isinstance(exc, errors.RejectedError) else ''
         if not rejected and not isinstance(exc, errors.UnreachableError):
             job.sent = True
@@ -236,7 +241,7 @@
 
 
 def kept(result: slots.Refusal | Failure | None) -> str:
-    """Returns the address whose prefill the next attempt fetches."""
+    """Returns the address of a prefill that the next attempt may transfer."""
     if isinstance(result, Failure) and result.ready is not None:
         return result.ready.address
     return ''
--- a/packages/daemon/foxtaildaled/visit.py
+++ b/packages/daemon/foxtaildaled/visit.py
@@ -1,4 +1,4 @@
-"""One HTTP request of a caller, and the answers that end it."""
+"""The context of one HTTP request of a caller, and its final responses."""
 
 import time
 from typing import Final
@@ -17,22 +17,23 @@
 
 KEY_HEADER: Final = 'idempotency-key'
 TICKET_HEADER: Final = 'foxtaildale-ticket'
-# Says that no earlier try under this key is open.
+# Header that states that no earlier attempt with this key is open.
 FIRST_TRY_HEADER: Final = 'foxtaildale-first-try'
 _TRUE: Final = 'true'
-# When to come back where nothing better is known, seconds.
+# Default delay before a retry, seconds.
 AGAIN_S: Final = 1.0
 
 
 class Visit:
-    """What the steps of one request share."""
+    """The state that all handlers of one request share."""
 
     __slots__ = ('ex', 'request', 'snapshot')
 
     ex: incoming.Exchange
     # Identifies the request for callers and operators.
     request: str
-    # What was known when it came; it is served by it to its end.
+    # Configuration and servers at the arrival of the request. The request uses
+    # this snapshot until its end.
     snapshot: view.Snapshot
 
     def __init__(
@@ -60,20 +61,20 @@
 
     @property
     def alone(self) -> bool:
-        """Whether the caller says that no earlier try is open."""
+        """Whether the caller states that no earlier attempt is open."""
         return self.ex.headers.get(FIRST_TRY_HEADER, '').lower() == _TRUE
 
     def covering(self, code: codes.Code) -> codes.Code:
-        """Returns the code that this caller may be refused with.
+        """Returns the code with which the request may be refused.
 
-        A caller takes "not run" for an answer to all that it sent under a key;
-        an earlier try may still be running at another VM.
+        A caller applies "not run" to all attempts that it sent with a key, and
+        an earlier attempt may still be running at another VM.
         """
         return claims.covering(code, self.alone) if self.key else code
 
 
 class Replies:
-    """Makes outcomes, records them, and answers with them."""
+    """Makes and records outcomes, and sends them as responses."""
 
     __slots__ = ('_entry_vm', '_records')
 
@@ -113,7 +114,7 @@
         figures: tuple[values.Figure, ...] = (),
         retry_after_s: float = 0.0,
     ) -> values.Outcome:
-        """Returns the final outcome of a request, recorded."""
+        """Records and returns the final outcome of a request."""
         outcome = self.stamp(
             code,
             visit.request,
@@ -135,7 +136,7 @@
         retry_after_s: float = 0.0,
         fresh: tuple[str, ...] = (),
     ) -> None:
-        """Ends a request with a code, and fresh tickets if there are any."""
+        """Ends a request with a code and, if given, new tickets."""
         outcome = self.outcome(
             visit,
             service,
@@ -146,7 +147,7 @@
         self.end(visit, outcome, fresh)
 
     def reject(self, visit: Visit, service: str, reason: str) -> None:
-        """Ends a request that makes no sense."""
+        """Refuses a malformed request."""
         figures = (values.Figure('reason', reason),)
         code = visit.covering(codes.BAD_REQUEST)
         self.refuse(visit, service, code, figures=figures)
@@ -157,7 +158,7 @@
         outcome: values.Outcome,
         fresh: tuple[str, ...] = (),
     ) -> None:
-        """Answers with an outcome that is no plain success."""
+        """Responds with an outcome other than a plain success."""
         visit.ex.respond(
             codes.ALL[outcome.code].status,
             outcomes.headers(outcome),
@@ -165,17 +166,17 @@
         )
 
     def record(self, outcome: values.Outcome) -> None:
-        """Takes an outcome that was made elsewhere."""
+        """Records an outcome that another process made."""
         self._records.add(outcome)
 
     def pass_on(
         self, visit: Visit, outcome: values.Outcome, reply: ports.Reply
     ) -> None:
-        """Answers with what a plain service said."""
+        """Responds with the reply of a plain service."""
         visit.ex.respond(reply.status, outcomes.headers(outcome), reply.body)
 
     def tell(self, visit: Visit, document: msgspec.Struct) -> None:
-        """Answers with a document of this entry's own."""
+        """Responds with a document of the entry itself."""
         visit.ex.respond(
             200, {'Content-Type': outcomes.JSON}, msgspec.json.encode(document)
         )
