--- a/packages/daemon/foxtaildaled/attempt.py
+++ b/packages/daemon/foxtaildaled/attempt.py
@@ -66,8 +66,8 @@
         self.started = False
         # Whether a decode worker may have begun to run the request.
         self.may_have_run = False
-        # The prefilled prompt that no decode worker has fetched yet, and when
-        # its prefill worker finished it.
+        # A prefilled prompt that no decode worker has fetched yet, and the time
+        # since which its prefill worker holds it.
         self.prefilled: forwarding.Prefilled | None = None
         self.prefilled_at = 0.0
         # Number of prefills of the prompt.
@@ -117,5 +117,5 @@
         self.decode_s = 0.0
         self.events = 0
         self.whole = False
-        # Whether the decode worker refused the prefilled prompt.
+        # Whether the decode worker did not accept the prefilled prompt.
         self.refused = False
--- a/packages/daemon/foxtaildaled/chats.py
+++ b/packages/daemon/foxtaildaled/chats.py
@@ -20,7 +20,7 @@
 from foxtaildaled import job as jobs
 from foxtaildaled import sinks
 from foxtaildaled import slots
-from foxtaildaled import visit as visits
+from foxtaildaled import visit as contexts
 
 FIRST_ANSWER_HEADER: Final = 'foxtaildale-first-answer-ms'
 RESUME_HEADER: Final = 'foxtaildale-resume-within-s'
@@ -33,11 +33,11 @@
     """Serves requests to model services."""
 
     __slots__ = (
-        '_answers',
         '_cancels',
         '_cfg',
         '_claiming',
         '_clock',
+        '_completions',
         '_gate',
         '_incarnation',
         '_replies',
@@ -46,8 +46,8 @@
     _cfg: options.Options
     _incarnation: str
     _gate: gate.Gate
-    _replies: visits.Replies
-    _answers: answers.Answers
+    _replies: contexts.Replies
+    _completions: answers.Answers
     _claiming: claiming.Claiming
     _cancels: cancels.Cancels
     _clock: ports.Clock
@@ -58,7 +58,7 @@
         cfg: options.Options,
         incarnation: str,
         admission: gate.Gate,
-        replies: visits.Replies,
+        replies: contexts.Replies,
         model: answers.Answers,
         claim_desk: claiming.Claiming,
         cancel_queue: cancels.Cancels,
@@ -68,37 +68,37 @@
         self._incarnation = incarnation
         self._gate = admission
         self._replies = replies
-        self._answers = model
+        self._completions = model
         self._claiming = claim_desk
         self._cancels = cancel_queue
         self._clock = clock
 
-    def complete(self, visit: visits.Visit) -> None:
+    def complete(self, context: contexts.Visit) -> None:
         """Serves a request for a new completion."""
         try:
-            req = chat.decode(visit.ex.body)
+            req = chat.decode(context.ex.body)
         except errors.DecodeError as exc:
-            self._replies.reject(visit, '', str(exc))
+            self._replies.reject(context, '', str(exc))
             return
-        service = self._gate.admit(visit, req.model, 'model')
+        service = self._gate.admit(context, req.model, 'model')
         if service is None:
             return
-        job = self._make_job(visit, service, req)
+        job = self._make_job(context, service, req)
         sink = sinks.make(
-            visit.ex,
-            visit.request,
+            context.ex,
+            context.request,
             req.model,
             stream=req.stream,
             keep=service.once == 'claim',
         )
-        visit.ex.watch(job.on_gone)
+        context.ex.watch(job.on_gone)
         if service.once == 'claim':
-            result = self._run_claimed(visit, job, sink)
+            result = self._run_claimed(context, job, sink)
         else:
-            result = self._answers.run(job, sink)
+            result = self._completions.run(job, sink)
         sink.end(
             self._replies.outcome(
-                visit,
+                context,
                 job.name,
                 result.code,
                 figures=result.figures,
@@ -107,36 +107,39 @@
             result.answer,
         )
 
-    def read_on(self, visit: visits.Visit) -> None:
+    def read_on(self, context: contexts.Visit) -> None:
         """Resumes a stream that began on another connection or VM."""
         try:
-            event = streams.parse_id(visit.ex.headers.get(EVENT_HEADER, ''))
+            event = streams.parse_id(context.ex.headers.get(EVENT_HEADER, ''))
         except errors.DecodeError as exc:
-            self._replies.reject(visit, '', str(exc))
+            self._replies.reject(context, '', str(exc))
             return
-        server = visit.snapshot.server(event.worker)
+        server = context.snapshot.server(event.worker)
         if server is None:
-            self._replies.refuse(visit, '', codes.NO_STREAM)
+            self._replies.refuse(context, '', codes.NO_STREAM)
             return
         self._cancels.drop(_request_identity(event))
-        sink = sinks.EventSink(visit.ex, visit.request, server.service)
-        disconnected = self._cancel_on_disconnect(visit, server, event)
-        code = self._answers.read_on(
+        sink = sinks.EventSink(context.ex, context.request, server.service)
+        disconnected = self._cancel_on_disconnect(context, server, event)
+        code = self._completions.read_on(
             server.address, event, self._incarnation, sink, disconnected
         )
-        sink.end(self._replies.outcome(visit, server.service, code))
+        sink.end(self._replies.outcome(context, server.service, code))
 
     def _make_job(
-        self, visit: visits.Visit, service: values.Service, req: chat.ChatReq
+        self,
+        context: contexts.Visit,
+        service: values.Service,
+        req: chat.ChatReq,
     ) -> jobs.Job:
-        headers = visit.ex.headers
+        headers = context.ex.headers
         target_ms = _parse_number(headers.get(FIRST_ANSWER_HEADER, ''))
         resume_s = _parse_number(headers.get(RESUME_HEADER, ''))
         return jobs.Job(
             req=req,
-            request=visit.request,
+            request=context.request,
             service=service,
-            snapshot=visit.snapshot,
+            snapshot=context.snapshot,
             holder=self._incarnation,
             cancel_queue=self._cancels,
             arrived_at=self._clock(),
@@ -145,12 +148,12 @@
         )
 
     def _run_claimed(
-        self, visit: visits.Visit, job: jobs.Job, sink: sinks.Sink
+        self, context: contexts.Visit, job: jobs.Job, sink: sinks.Sink
     ) -> slots.Refusal:
-        refusal = self._claiming.claim(visit, job.name, 'chat')
+        refusal = self._claiming.claim(context, job.name, 'chat')
         if refusal is not None:
             return refusal
-        result = self._answers.run(job, sink)
+        result = self._completions.run(job, sink)
         outcome = self._replies.stamp(
             result.code,
             job.request,
@@ -159,12 +162,14 @@
             figures=result.figures,
         )
         document = sink.whole() if result.code is codes.OK else b''
-        self._claiming.end(job.name, visit.key, outcome, document)
-        return msgspec.structs.replace(result, code=visit.covering(result.code))
+        self._claiming.end(job.name, context.key, outcome, document)
+        return msgspec.structs.replace(
+            result, code=context.covering(result.code)
+        )
 
     def _cancel_on_disconnect(
         self,
-        visit: visits.Visit,
+        context: contexts.Visit,
         server: values.BackendServer,
         event: streams.EventId,
     ) -> threading.Event:
@@ -178,7 +183,7 @@
             disconnected.set()
             self._cancels.add(server.address, req)
 
-        visit.ex.watch(on_disconnected)
+        context.ex.watch(on_disconnected)
         return disconnected
 
 
--- a/packages/daemon/foxtaildaled/claiming.py
+++ b/packages/daemon/foxtaildaled/claiming.py
@@ -16,7 +16,7 @@
 from foxtaildale import tickets
 from foxtaildale import values
 from foxtaildaled import slots
-from foxtaildaled import visit as visits
+from foxtaildaled import visit as contexts
 
 # Timeout for the decision of a claim by the log, seconds.
 _CLAIM_TIMEOUT_S: Final = 6.0
@@ -35,14 +35,14 @@
     # Incarnation of this entry process.
     _holder: str
     _peers: ports.Peers
-    _replies: visits.Replies
+    _replies: contexts.Replies
 
     def __init__(
         self,
         cfg: options.Options,
         holder: str,
         peers: ports.Peers,
-        replies: visits.Replies,
+        replies: contexts.Replies,
     ) -> None:
         self._cfg = cfg
         self._replies = replies
@@ -50,31 +50,33 @@
         self._peers = peers
 
     def claim(
-        self, visit: visits.Visit, name: str, call: str
+        self, context: contexts.Visit, name: str, call: str
     ) -> slots.Refusal | None:
         """Claims a request's key; returns None if the request may run."""
-        if not visit.key:
+        if not context.key:
             return slots.Refusal(codes.KEY_NEEDED)
         msg = messages.AskClaim(
             service=name,
-            key=visit.key,
-            body=tickets.digest(call, visit.ex.body),
-            request=visit.request,
+            key=context.key,
+            body=tickets.digest(call, context.ex.body),
+            request=context.request,
             holder=self._holder,
         )
         try:
             reply = self._peers.ask(self._cfg.keeper, msg, _CLAIM_TIMEOUT_S)
         except errors.UnreachableError:
-            return _log_unavailable(visit)
+            return _log_unavailable(context)
         except errors.PortError:
             # The log may contain the claim of this request, which never runs;
             # an earlier attempt with the same key may run. Without this report
             # the keeper would treat the key as in progress forever.
-            self.end(name, visit.key, self._not_run_outcome(visit, name))
+            self.end(name, context.key, self._not_run_outcome(context, name))
             return slots.Refusal(
-                claims.covering(codes.LOG_DOWN, visit.alone), (), _RETRY_AFTER_S
+                claims.covering(codes.LOG_DOWN, context.alone),
+                (),
+                _RETRY_AFTER_S,
             )
-        return self._handle_reply(visit, name, reply)
+        return self._handle_reply(context, name, reply)
 
     def end(
         self, name: str, key: str, outcome: values.Outcome, answer: bytes = b''
@@ -91,22 +93,22 @@
             return
 
     def _not_run_outcome(
-        self, visit: visits.Visit, name: str
+        self, context: contexts.Visit, name: str
     ) -> values.Outcome:
         return self._replies.stamp(
-            codes.LOG_DOWN, visit.request, name, visit.snapshot
+            codes.LOG_DOWN, context.request, name, context.snapshot
         )
 
     def _handle_reply(
-        self, visit: visits.Visit, name: str, reply: messages.Any
+        self, context: contexts.Visit, name: str, reply: messages.Any
     ) -> slots.Refusal | None:
         if not isinstance(reply, messages.ClaimReply):
-            return _log_unavailable(visit)
+            return _log_unavailable(context)
         if reply.status == 'won':
             return None
         if reply.status == 'lost':
-            return self._request_outcome(name, visit.key, reply)
-        code = claims.refusal(reply, visit.alone) or codes.CLAIM_UNSURE
+            return self._request_outcome(name, context.key, reply)
+        code = claims.refusal(reply, context.alone) or codes.CLAIM_UNSURE
         return slots.Refusal(code, (), reply.retry_after_ms / 1000)
 
     def _request_outcome(
@@ -131,8 +133,8 @@
         return _earlier_result(claim, reply.outcome.code, reply.answer)
 
 
-def _log_unavailable(visit: visits.Visit) -> slots.Refusal:
-    code = claims.covering(codes.LOG_DOWN, visit.alone)
+def _log_unavailable(context: contexts.Visit) -> slots.Refusal:
+    code = claims.covering(codes.LOG_DOWN, context.alone)
     return slots.Refusal(code, (), _RETRY_AFTER_S)
 
 
--- a/packages/daemon/foxtaildaled/entry.py
+++ b/packages/daemon/foxtaildaled/entry.py
@@ -27,7 +27,7 @@
 from foxtaildaled import gate
 from foxtaildaled import records
 from foxtaildaled import view
-from foxtaildaled import visit as visits
+from foxtaildaled import visit as contexts
 
 _OUTCOMES_PATH: Final = '/v1/outcomes/'
 
@@ -56,7 +56,7 @@
     _gate: gate.Gate
     _chats: chats.Chats
     _calls: calls.Calls
-    _replies: visits.Replies
+    _replies: contexts.Replies
     _records: records.Records
 
     def __init__(
@@ -67,7 +67,7 @@
         admission: gate.Gate,
         model: chats.Chats,
         services: calls.Calls,
-        replies: visits.Replies,
+        replies: contexts.Replies,
         kept: records.Records,
     ) -> None:
         self._entry_vm = entry_vm
@@ -81,16 +81,16 @@
     def handle(self, exchange: callers.Exchange) -> None:
         """Handles one request of a caller."""
         request = f'{self._entry_vm}-{uuid.uuid4().hex[:16]}'
-        visit = visits.Visit(exchange, request, self._view.now)
+        context = contexts.Visit(exchange, request, self._view.now)
         route = self._route(exchange.method, exchange.path)
         if route is None:
-            self._replies.reject(visit, '', 'no such path')
-        elif self._gate.knows(visit):
-            route(visit)
+            self._replies.reject(context, '', 'no such path')
+        elif self._gate.knows(context):
+            route(context)
 
     def _route(
         self, method: str, path: str
-    ) -> Callable[[visits.Visit], None] | None:
+    ) -> Callable[[contexts.Visit], None] | None:
         exact = {
             ('POST', '/v1/chat/completions'): self._chats.complete,
             ('GET', '/v1/streams'): self._chats.read_on,
@@ -105,21 +105,25 @@
             return self._send_outcome
         return None
 
-    def _send_key_prefix(self, visit: visits.Visit) -> None:
-        prefix = visit.snapshot.key_prefix
+    def _send_key_prefix(self, context: contexts.Visit) -> None:
+        prefix = context.snapshot.key_prefix
         if prefix:
-            self._replies.tell(visit, KeysReply(prefix))
+            self._replies.tell(context, KeysReply(prefix))
             return
         self._replies.refuse(
-            visit, '', codes.LOG_DOWN, retry_after_s=visits.AGAIN_S
+            context, '', codes.LOG_DOWN, retry_after_s=contexts.AGAIN_S
         )
 
-    def _send_outcome(self, visit: visits.Visit) -> None:
-        outcome = self._records.find(visit.ex.path.removeprefix(_OUTCOMES_PATH))
+    def _send_outcome(self, context: contexts.Visit) -> None:
+        outcome = self._records.find(
+            context.ex.path.removeprefix(_OUTCOMES_PATH)
+        )
         if outcome is None:
             reason = values.Figure('reason', 'not decided here lately')
-            self._replies.refuse(visit, '', codes.NO_OUTCOME, figures=(reason,))
+            self._replies.refuse(
+                context, '', codes.NO_OUTCOME, figures=(reason,)
+            )
             return
-        visit.ex.respond(
+        context.ex.respond(
             200, {'Content-Type': outcomes.JSON}, outcomes.body(outcome)
         )
--- a/packages/daemon/foxtaildaled/gate.py
+++ b/packages/daemon/foxtaildaled/gate.py
@@ -14,7 +14,7 @@
 from foxtaildale import values
 from foxtaildaled import desk
 from foxtaildaled import limits
-from foxtaildaled import visit as visits
+from foxtaildaled import visit as contexts
 
 
 class Fault(msgspec.Struct, frozen=True):
@@ -33,14 +33,14 @@
 
     _handler: desk.Desk
     _limits: limits.Shares
-    _replies: visits.Replies
+    _replies: contexts.Replies
     # Whether the entry is shutting down.
     stopping: bool
 
     def __init__(
         self,
         handler: desk.Desk,
-        replies: visits.Replies,
+        replies: contexts.Replies,
         account_limits: limits.Shares,
     ) -> None:
         self._handler = handler
@@ -49,21 +49,21 @@
         self._limits = account_limits
         self.stopping = False
 
-    def knows(self, visit: visits.Visit) -> bool:
+    def knows(self, context: contexts.Visit) -> bool:
         """Returns whether a client account has the caller's key.
 
         If no account has the key, the request is refused. Without a preset the
         accounts are unknown; `admit` refuses such a request later.
         """
-        in_force = visit.snapshot.in_force
+        in_force = context.snapshot.in_force
         if in_force is None or not in_force.preset.accounts:
             return True
-        if visit.account is not None:
+        if context.account is not None:
             return True
-        sent = 'authorization' in visit.ex.headers
+        sent = 'authorization' in context.ex.headers
         reason = 'no client account has its key' if sent else 'it has no key'
         self._replies.refuse(
-            visit,
+            context,
             '',
             codes.ACCOUNT_UNKNOWN,
             figures=(values.Figure('reason', reason),),
@@ -72,7 +72,7 @@
 
     def admit(
         self,
-        visit: visits.Visit,
+        context: contexts.Visit,
         name: str,
         kind: str,
         call: str = '',
@@ -82,41 +82,45 @@
         """Returns the service, or refuses the request and returns None.
 
         Args:
-            visit: The request.
+            context: The request.
             name: Name of the requested service.
             kind: Required kind of the service, `model` or `plain`.
             call: Name of the call of the service.
             counts: Whether the request counts against its account's limit.
         """
-        service = visit.snapshot.service(name)
-        rejection = self._check_request(visit, service, name, kind)
+        service = context.snapshot.service(name)
+        rejection = self._check_request(context, service, name, kind)
         if rejection is None and counts:
-            rejection = self._check_limit(visit)
+            rejection = self._check_limit(context)
         if rejection is None:
             return service
-        if visit.ticket and not self._void_ticket(visit, call):
+        if context.ticket and not self._void_ticket(context, call):
             return None
-        code = visit.covering(rejection.code)
-        again_s = visits.AGAIN_S if code.status == 503 else rejection.again_s
+        code = context.covering(rejection.code)
+        again_s = contexts.AGAIN_S if code.status == 503 else rejection.again_s
         self._replies.refuse(
-            visit, name, code, figures=rejection.figures, retry_after_s=again_s
+            context,
+            name,
+            code,
+            figures=rejection.figures,
+            retry_after_s=again_s,
         )
         return None
 
     def _check_request(
         self,
-        visit: visits.Visit,
+        context: contexts.Visit,
         service: values.Service | None,
         name: str,
         kind: str,
     ) -> Fault | None:
         if self.stopping:
             return Fault(codes.STOPPING)
-        if visit.snapshot.in_force is None:
+        if context.snapshot.in_force is None:
             return Fault(codes.NO_PRESET)
         if service is None or service.kind != kind:
             return Fault(codes.NO_SERVICE, (values.Figure('service', name),))
-        body_bytes, limit = len(visit.ex.body), service.max_body_bytes
+        body_bytes, limit = len(context.ex.body), service.max_body_bytes
         if body_bytes <= limit:
             return None
         return Fault(
@@ -124,8 +128,8 @@
             (values.Figure('found', body_bytes), values.Figure('limit', limit)),
         )
 
-    def _check_limit(self, visit: visits.Visit) -> Fault | None:
-        account = visit.account
+    def _check_limit(self, context: contexts.Visit) -> Fault | None:
+        account = context.account
         if account is None or not account.limit.rate:
             return None
         verdict = self._limits.admit(account, 1)
@@ -146,19 +150,21 @@
             verdict.wait_s,
         )
 
-    def _void_ticket(self, visit: visits.Visit, call: str) -> bool:
+    def _void_ticket(self, context: contexts.Visit, call: str) -> bool:
         """Voids the ticket of a refused request.
 
         Returns whether the request is certain never to run. Otherwise the
         known outcome was sent to the caller.
         """
-        ticket = tickets.from_text(visit.ticket)
+        ticket = tickets.from_text(context.ticket)
         if ticket is None or self._handler.check(ticket, ticket.service):
-            # No entry accepts an invalid ticket, so the request never runs.
+            # No entry runs a request with an invalid ticket.
             return True
-        reply = self._handler.void(ticket, call, visit.ex.body, visit.request)
+        reply = self._handler.void(
+            ticket, call, context.ex.body, context.request
+        )
         if codes.ran(reply.outcome.code) == 'no':
             return True
         self._replies.record(reply.outcome)
-        self._replies.end(visit, reply.outcome)
+        self._replies.end(context, reply.outcome)
         return False
--- a/packages/daemon/foxtaildaled/line.py
+++ b/packages/daemon/foxtaildaled/line.py
@@ -1,8 +1,8 @@
 """Requests of one entry VM that wait for a placement at a decode worker.
 
 Only the most urgent waiting request of a service contacts the workers. Thus the
-requests of a burst do not all request the same placement, and they are served
-in order.
+requests of a burst do not all request the same placement, and none of them
+overtakes a more urgent one.
 """
 
 import threading
--- a/packages/daemon/foxtaildaled/sinks.py
+++ b/packages/daemon/foxtaildaled/sinks.py
@@ -34,7 +34,7 @@
     def begin(self, worker: str, stream: str) -> None:
         """Starts the response of a decode worker; may be called again."""
 
-    def piece(self, piece: backends.Piece) -> None:
+    def piece(self, chunk: backends.Piece) -> None:
         """Handles the next chunk."""
 
     def last(self, last: backends.Last) -> None:
@@ -115,10 +115,10 @@
             self._request, worker, stream, self._model, self._created
         )
 
-    def piece(self, piece: backends.Piece) -> None:
+    def piece(self, chunk: backends.Piece) -> None:
         """Sends the next chunk."""
         self._start()
-        self._ex.send(self.framer.piece(piece.position, piece.text))
+        self._ex.send(self.framer.piece(chunk.position, chunk.text))
 
     def last(self, last: backends.Last) -> None:
         """Sends the end of a complete response."""
@@ -171,10 +171,10 @@
         self._events.begin(worker, stream)
         self._document.begin(worker, stream)
 
-    def piece(self, piece: backends.Piece) -> None:
+    def piece(self, chunk: backends.Piece) -> None:
         """Sends and stores the next chunk."""
-        self._events.piece(piece)
-        self._document.piece(piece)
+        self._events.piece(chunk)
+        self._document.piece(chunk)
 
     def last(self, last: backends.Last) -> None:
         """Sends and stores the end of a complete response."""
@@ -218,9 +218,9 @@
         del worker, stream
         self._texts.clear()
 
-    def piece(self, piece: backends.Piece) -> None:
+    def piece(self, chunk: backends.Piece) -> None:
         """Stores the next chunk."""
-        self._texts.append(piece.text)
+        self._texts.append(chunk.text)
 
     def last(self, last: backends.Last) -> None:
         """Stores the end of a complete response."""
--- a/packages/daemon/foxtaildaled/slots.py
+++ b/packages/daemon/foxtaildaled/slots.py
@@ -120,7 +120,8 @@
         A coordinator that replaces a lost one has no record of earlier grants
         and would grant the same slots again, so that engines would refuse
         requests as full. The reports rebuild its ledger within one heartbeat.
-        They also renew the grants of long streams, which would expire.
+        They also renew the grants of long streams, which would otherwise
+        expire.
         """
         with self._lock:
             in_use = list(self._grants.items())
--- a/packages/daemon/foxtaildaled/visit.py
+++ b/packages/daemon/foxtaildaled/visit.py
@@ -107,7 +107,7 @@
 
     def outcome(
         self,
-        visit: Visit,
+        context: Visit,
         service: str,
         code: codes.Code,
         *,
@@ -117,9 +117,9 @@
         """Records and returns the final outcome of a request."""
         outcome = self.stamp(
             code,
-            visit.request,
+            context.request,
             service,
-            visit.snapshot,
+            context.snapshot,
             figures=figures,
             retry_after_s=retry_after_s,
         )
@@ -128,7 +128,7 @@
 
     def refuse(
         self,
-        visit: Visit,
+        context: Visit,
         service: str,
         code: codes.Code,
         *,
@@ -138,28 +138,28 @@
     ) -> None:
         """Ends a request with a code and, if given, new tickets."""
         outcome = self.outcome(
-            visit,
+            context,
             service,
             code,
             figures=figures,
             retry_after_s=retry_after_s,
         )
-        self.end(visit, outcome, fresh)
+        self.end(context, outcome, fresh)
 
-    def reject(self, visit: Visit, service: str, reason: str) -> None:
+    def reject(self, context: Visit, service: str, reason: str) -> None:
         """Refuses a malformed request."""
         figures = (values.Figure('reason', reason),)
-        code = visit.covering(codes.BAD_REQUEST)
-        self.refuse(visit, service, code, figures=figures)
+        code = context.covering(codes.BAD_REQUEST)
+        self.refuse(context, service, code, figures=figures)
 
     def end(
         self,
-        visit: Visit,
+        context: Visit,
         outcome: values.Outcome,
         fresh: tuple[str, ...] = (),
     ) -> None:
         """Responds with an outcome other than a plain success."""
-        visit.ex.respond(
+        context.ex.respond(
             codes.ALL[outcome.code].status,
             outcomes.headers(outcome),
             outcomes.body(outcome, fresh),
@@ -170,13 +170,13 @@
         self._records.add(outcome)
 
     def pass_on(
-        self, visit: Visit, outcome: values.Outcome, reply: ports.Reply
+        self, context: Visit, outcome: values.Outcome, reply: ports.Reply
     ) -> None:
         """Responds with the reply of a plain service."""
-        visit.ex.respond(reply.status, outcomes.headers(outcome), reply.body)
+        context.ex.respond(reply.status, outcomes.headers(outcome), reply.body)
 
-    def tell(self, visit: Visit, document: msgspec.Struct) -> None:
+    def tell(self, context: Visit, document: msgspec.Struct) -> None:
         """Responds with a document of the entry itself."""
-        visit.ex.respond(
+        context.ex.respond(
             200, {'Content-Type': outcomes.JSON}, msgspec.json.encode(document)
         )
