--- a/packages/daemon/foxtaildaled/job.py
+++ b/packages/daemon/foxtaildaled/job.py
@@ -17,9 +17,9 @@
 
     __slots__ = (
         '_cancels',
-        '_chunks',
+        '_engine_addresses',
         '_lock',
-        '_reserved_at',
+        '_open_stream',
         '_resume_window_s',
         'arrived_at',
         'attempt',
@@ -65,9 +65,9 @@
     # Set when the caller has disconnected.
     gone: threading.Event
     # Addresses of engines that may hold resources for this request.
-    _reserved_at: set[str]
+    _engine_addresses: set[str]
     # The open stream, if any.
-    _chunks: ports.Pieces | None
+    _open_stream: ports.Pieces | None
     _cancels: cancels.Cancels
     # How long a caller may resume its stream after a disconnect, seconds.
     _resume_window_s: float
@@ -101,8 +101,8 @@
         self.sent = False
         self.times = []
         self.gone = threading.Event()
-        self._reserved_at = set()
-        self._chunks = None
+        self._engine_addresses = set()
+        self._open_stream = None
         self._cancels = cancel_queue
         self._resume_window_s = resume_s
         self._lock = threading.Lock()
@@ -122,43 +122,43 @@
         with self._lock:
             if self.gone.is_set():
                 return False
-            self._reserved_at.add(address)
+            self._engine_addresses.add(address)
             return True
 
     def let_go(self, address: str) -> None:
         """Records that an engine no longer holds resources."""
         with self._lock:
-            self._reserved_at.discard(address)
+            self._engine_addresses.discard(address)
 
     def on_gone(self) -> None:
         """Cancels all work for the caller, which has disconnected."""
         with self._lock:
             self.gone.set()
-            addresses = list(self._reserved_at)
-            chunks = self._chunks
-        if chunks is not None:
-            chunks.close()
+            addresses = list(self._engine_addresses)
+            stream = self._open_stream
+        if stream is not None:
+            stream.close()
         for address in addresses:
             self._cancel(address, 0, self._resume_window_s)
 
     @contextlib.contextmanager
-    def reading(self, chunks: ports.Pieces) -> Iterator[None]:
+    def reading(self, stream: ports.Pieces) -> Iterator[None]:
         """Closes a stream at its end, or when the caller disconnects.
 
         Otherwise a thread that waits for the next chunk would notice the
         disconnect only when that chunk arrives, and keep its slot until then.
         """
         with self._lock:
-            self._chunks = chunks
+            self._open_stream = stream
             disconnected = self.gone.is_set()
         if disconnected:
-            chunks.close()
+            stream.close()
         try:
             yield
         finally:
             with self._lock:
-                self._chunks = None
-            chunks.close()
+                self._open_stream = None
+            stream.close()
 
     def abandon(self, kept: str = '') -> None:
         """Cancels this attempt at all engines that hold resources for it.
@@ -168,9 +168,9 @@
         """
         with self._lock:
             addresses = [
-                address for address in self._reserved_at if address != kept
+                address for address in self._engine_addresses if address != kept
             ]
-            self._reserved_at.difference_update(addresses)
+            self._engine_addresses.difference_update(addresses)
         for address in addresses:
             self._cancel(address, self.attempt, 0.0)
 
--- a/packages/daemon/foxtaildaled/sinks.py
+++ b/packages/daemon/foxtaildaled/sinks.py
@@ -50,7 +50,7 @@
         """
 
     def whole(self) -> bytes:
-        """Returns the complete response as a document, otherwise nothing."""
+        """Returns the response as a document; empty if it is incomplete."""
 
 
 class Message(msgspec.Struct, frozen=True):
@@ -186,7 +186,7 @@
         self._events.end(outcome, earlier)
 
     def whole(self) -> bytes:
-        """Returns the complete response as a document, otherwise nothing."""
+        """Returns the response as a document; empty if it is incomplete."""
         return self._document.whole()
 
 
@@ -235,7 +235,7 @@
         self._ex.respond(200, outcomes.headers(outcome), document)
 
     def whole(self) -> bytes:
-        """Returns the complete response as a document, otherwise nothing."""
+        """Returns the response as a document; empty if it is incomplete."""
         if self._last is None:
             return b''
         document = Completion(
