--- a/tests/fakelog.py
+++ b/tests/fakelog.py
@@ -1,11 +1,11 @@
-"""A fake of one stream of the platform's log, driven by hand."""
+"""An in-memory fake of one stream of the platform log."""
 
 from foxtaildale import claims
 from foxtaildale import ports
 
 
 class FakeLog:
-    """Keeps records; `keep` lets the oldest ones lapse."""
+    """Holds the appended records; `keep` makes the oldest ones expire."""
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
@@ -22,8 +22,8 @@
     def read(self, offset: int) -> ports.Batch:
         start = max(offset, self.first)
         records = tuple(
-            ports.Record(start + n, data)
-            for n, data in enumerate(self.records[start:])
+            ports.Record(start + index, data)
+            for index, data in enumerate(self.records[start:])
         )
         return ports.Batch(self.first, len(self.records), records)
 
@@ -31,7 +31,7 @@
 def step(
     log: FakeLog, keeper: claims.Claims, now: float
 ) -> list[claims.Settled]:
-    """Appends what a keeper has to say and lets it read."""
+    """Appends the pending records of a `Claims` object and reads the log."""
     records = keeper.batch(now)
     if records:
         log.append(records)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,7 @@
-"""Who takes part, merged from lagging lists, refusals and beats."""
+"""Membership, merged from listings, refusals and heartbeats.
+
+Listings may lag behind the actual state of the servers.
+"""
 
 import msgspec
 
@@ -8,7 +11,9 @@
 from foxtaildale import values
 
 
-def server(name: str, state: values.State = 'live') -> values.BackendServer:
+def make_server(
+    name: str, state: values.State = 'live'
+) -> values.BackendServer:
     return values.BackendServer(
         name=name,
         address='127.0.0.1:7',
@@ -19,7 +24,9 @@
     )
 
 
-def listing(version: int, *servers: values.BackendServer) -> values.Listing:
+def make_listing(
+    version: int, *servers: values.BackendServer
+) -> values.Listing:
     vms = tuple(
         values.EntryVm(name=name, data_centre='d', keeper=f'127.0.0.1:{port}')
         for port, name in enumerate(('a', 'b', 'c'), 1)
@@ -27,7 +34,7 @@
     return values.Listing(version, vms, servers)
 
 
-def beat(
+def make_heartbeat(
     name: str, incarnation: str = '1', leaving: tuple[str, ...] = ()
 ) -> messages.Beat:
     return messages.Beat(
@@ -42,115 +49,136 @@
     )
 
 
-def names(found: members.Members) -> list[str]:
-    return [one.name for one in found.servers('queue-app', 'plain')]
+def server_names(view: members.Members) -> list[str]:
+    return [server.name for server in view.servers('queue-app', 'plain')]
 
 
-def test_an_older_list_does_not_bring_a_leaving_server_back() -> None:
-    """A peer, or a copy of the list that lags, still calls it live.
+def test_an_older_listing_does_not_restore_a_leaving_server() -> None:
+    """Guards against new work for a server that is about to stop.
 
-    New work would go to a server that is about to stop.
+    A peer, or a copy of the listing that lags, still reports it as live.
     """
-    found = members.Members('a', 3)
-    assert found.on_listing(0, listing(2, server('x', 'leaving'), server('y')))
-    assert not found.on_listing(0, listing(1, server('x'), server('y')))
-    assert names(found) == ['y']
-
-
-def test_a_newer_list_that_calls_it_live_does_not_either() -> None:
-    """The list changes for another reason before it learns that one leaves."""
-    found = members.Members('a', 3)
-    found.on_listing(0, listing(1, server('x'), server('y')))
-    assert found.on_leaving('x@127.0.0.1:7')
-    assert names(found) == ['y']
-    found.on_listing(0, listing(2, server('x'), server('y')))
-    assert names(found) == ['y']
-
-
-def test_a_name_is_free_again_once_a_list_has_dropped_it() -> None:
-    """A VM is replaced and the new one gets the old one's name."""
-    found = members.Members('a', 3)
-    found.on_listing(0, listing(1, server('x', 'leaving')))
-    found.on_listing(0, listing(2))
-    found.on_listing(0, listing(3, server('x')))
-    assert names(found) == ['x']
-
-
-def test_a_refusal_at_one_entry_vm_reaches_the_others() -> None:
-    """One entry VM's request is refused as leaving; the list lags."""
-    one, two = members.Members('a', 3), members.Members('b', 3)
-    for found in (one, two):
-        found.on_listing(0, listing(1, server('x'), server('y')))
-    one.on_leaving('x@127.0.0.1:7')
-    two.on_beat(0, beat('a', leaving=one.leaving))
-    assert names(two) == ['y']
-    merged = two.merged()
+    view = members.Members('a', 3)
+    assert view.on_listing(
+        0, make_listing(2, make_server('x', 'leaving'), make_server('y'))
+    )
+    assert not view.on_listing(
+        0, make_listing(1, make_server('x'), make_server('y'))
+    )
+    assert server_names(view) == ['y']
+
+
+def test_a_newer_listing_does_not_restore_a_leaving_server() -> None:
+    """Guards against a restored server after an unrelated listing change.
+
+    The listing changes before it includes that the server is leaving.
+    """
+    view = members.Members('a', 3)
+    view.on_listing(0, make_listing(1, make_server('x'), make_server('y')))
+    assert view.on_leaving('x@127.0.0.1:7')
+    assert server_names(view) == ['y']
+    view.on_listing(0, make_listing(2, make_server('x'), make_server('y')))
+    assert server_names(view) == ['y']
+
+
+def test_a_name_can_be_reused_after_a_listing_without_it() -> None:
+    """Guards against excluding a new VM that has the name of a replaced one."""
+    view = members.Members('a', 3)
+    view.on_listing(0, make_listing(1, make_server('x', 'leaving')))
+    view.on_listing(0, make_listing(2))
+    view.on_listing(0, make_listing(3, make_server('x')))
+    assert server_names(view) == ['x']
+
+
+def test_a_refusal_at_one_entry_vm_is_propagated_to_others() -> None:
+    """Guards against new work from entry VMs that have seen no refusal.
+
+    A server refuses one entry VM's request since it is leaving; the listing
+    still reports it as live.
+    """
+    first, second = members.Members('a', 3), members.Members('b', 3)
+    for view in (first, second):
+        view.on_listing(0, make_listing(1, make_server('x'), make_server('y')))
+    first.on_leaving('x@127.0.0.1:7')
+    second.on_beat(0, make_heartbeat('a', leaving=first.leaving))
+    assert server_names(second) == ['y']
+    merged = second.merged()
     assert merged and merged.backend_servers[0].state == 'leaving'
-    two.on_listing(0, listing(2, server('x', 'leaving'), server('y')))
-    assert two.leaving == ()
+    second.on_listing(
+        0, make_listing(2, make_server('x', 'leaving'), make_server('y'))
+    )
+    assert second.leaving == ()
 
 
-def test_a_silent_keeper_is_not_there() -> None:
-    """A VM dies; work that it is home of must be looked for elsewhere."""
-    found = members.Members('a', 3)
-    found.on_listing(0, listing(1))
-    found.on_beat(0, beat('b'))
-    found.on_beat(2, beat('c'))
-    assert [peer.entry_vm for peer in found.keepers(3)] == ['b', 'c']
-    assert [peer.entry_vm for peer in found.keepers(4)] == ['c']
+def test_a_silent_keeper_is_excluded() -> None:
+    """Guards against a crashed VM that still counts as a coordinator."""
+    view = members.Members('a', 3)
+    view.on_listing(0, make_listing(1))
+    view.on_beat(0, make_heartbeat('b'))
+    view.on_beat(2, make_heartbeat('c'))
+    assert [peer.entry_vm for peer in view.keepers(3)] == ['b', 'c']
+    assert [peer.entry_vm for peer in view.keepers(4)] == ['c']
 
 
-def test_a_leaving_entry_vm_takes_nothing_new_on() -> None:
-    """Its keeper still beats while it drains, and an older list calls it live.
+def test_a_leaving_entry_vm_accepts_no_new_work() -> None:
+    """Guards against tickets that lose their witness within a minute.
 
-    Tickets that it witnessed would lose their witness within the minute.
+    The keeper of a leaving VM still sends heartbeats while it drains, and an
+    older listing reports the VM as live.
+    """
+    view = members.Members('a', 3)
+    current = make_listing(5)
+    leaving_vm = msgspec.structs.replace(current.entry_vms[1], state='leaving')
+    vms = (current.entry_vms[0], leaving_vm, current.entry_vms[2])
+    view.on_listing(0, msgspec.structs.replace(current, entry_vms=vms))
+    view.on_beat(0, make_heartbeat('b'))
+    assert view.keepers(0) == ()
+    view.on_listing(0, make_listing(6))
+    assert view.keepers(0) == ()
+    assert [vm.name for vm in view.peers()] == ['b', 'c']
+
+
+def test_without_a_listing_the_senders_of_heartbeats_are_peers() -> None:
+    """Guards against an isolated VM that is replaced during an outage.
+
+    While the platform is down, the listing is not available either.
     """
-    found = members.Members('a', 3)
-    now = listing(5)
-    left = msgspec.structs.replace(now.entry_vms[1], state='leaving')
-    vms = (now.entry_vms[0], left, now.entry_vms[2])
-    found.on_listing(0, msgspec.structs.replace(now, entry_vms=vms))
-    found.on_beat(0, beat('b'))
-    assert found.keepers(0) == ()
-    found.on_listing(0, listing(6))
-    assert found.keepers(0) == ()
-    assert [vm.name for vm in found.peers()] == ['b', 'c']
-
-
-def test_one_that_starts_without_a_list_beats_back_to_whom_it_hears() -> None:
-    """A VM is replaced while the platform, and with it the list, is down."""
-    found = members.Members('a', 3)
-    found.on_beat(0, beat('b'))
-    assert [vm.keeper for vm in found.peers()] == ['127.0.0.1:2']
-    found.on_listing(1, listing(1))
-    assert [vm.name for vm in found.peers()] == ['b', 'c']
-
-
-def test_a_late_beat_of_a_replaced_process_is_not_taken() -> None:
-    """A keeper is restarted; a beat of its former life arrives afterwards."""
-    found = members.Members('a', 3)
-    found.on_listing(0, listing(1))
+    view = members.Members('a', 3)
+    view.on_beat(0, make_heartbeat('b'))
+    assert [vm.keeper for vm in view.peers()] == ['127.0.0.1:2']
+    view.on_listing(1, make_listing(1))
+    assert [vm.name for vm in view.peers()] == ['b', 'c']
+
+
+def test_a_late_heartbeat_of_a_replaced_process_is_ignored() -> None:
+    """Guards against a late heartbeat of a restarted keeper's old process."""
+    view = members.Members('a', 3)
+    view.on_listing(0, make_listing(1))
     for incarnation in ('1', '2', '1'):
-        found.on_beat(0, beat('b', incarnation))
-    assert [peer.incarnation for peer in found.keepers(0)] == ['2']
+        view.on_beat(0, make_heartbeat('b', incarnation))
+    assert [peer.incarnation for peer in view.keepers(0)] == ['2']
 
 
-def test_beats_of_vms_that_are_gone_are_forgotten() -> None:
-    """VMs are replaced for years while one keeper runs on."""
-    found = members.Members('a', 3)
-    found.on_beat(0, beat('b'))
-    found.forget(30)
-    assert found.keepers(0)
-    found.forget(31)
-    assert not found.keepers(0)
+def test_heartbeats_of_removed_vms_are_deleted() -> None:
+    """Guards against unbounded memory when VMs are replaced for years."""
+    view = members.Members('a', 3)
+    view.on_beat(0, make_heartbeat('b'))
+    view.forget(30)
+    assert view.keepers(0)
+    view.forget(31)
+    assert not view.keepers(0)
 
 
-def test_each_round_of_beats_meets_every_peer_once() -> None:
+def test_each_round_of_heartbeats_reaches_every_peer() -> None:
     peers = [f'127.0.0.1:{port}' for port in range(50)]
-    turns = gossip.Gossip('a')
-    beats = gossip.round_beats(51)
-    met = {address for _ in range(beats) for address in turns.targets(peers)}
-    assert met == set(peers)
-    assert set(turns.targets(peers[:8])) == set(peers[:8])
-    assert len(turns.targets(peers[:9])) == gossip.FANOUT
-    assert turns.targets([]) == ()
+    selector = gossip.Gossip('a')
+    max_heartbeats = gossip.round_beats(51)
+    reached = {
+        address
+        for _ in range(max_heartbeats)
+        for address in selector.targets(peers)
+    }
+    assert reached == set(peers)
+    assert set(selector.targets(peers[:8])) == set(peers[:8])
+    assert len(selector.targets(peers[:9])) == gossip.FANOUT
+    assert selector.targets([]) == ()
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between processes survive any bytes."""
+"""Encoding and decoding of messages between processes."""
 
 import hypothesis
 from hypothesis import strategies
@@ -8,17 +8,18 @@
 from foxtaildale import messages
 
 
-def test_a_message_comes_back_as_it_was_sent() -> None:
+def test_decode_returns_the_encoded_message() -> None:
     msg = messages.Note(identity='i', witness='w', body='b', witness_at=1.5)
     assert messages.decode(messages.encode(msg)) == msg
 
 
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(strategies.binary(max_size=200))
-def test_garbage_is_a_decode_error_and_nothing_else(data: bytes) -> None:
-    """Something else than our processes writes to the port between them.
+def test_invalid_bytes_raise_only_decode_error(data: bytes) -> None:
+    """Guards against a process that crashes on bytes it cannot decode.
 
-    A process that died of it would refuse every caller behind it.
+    Another program may send data to the port between processes. After a
+    crash, all callers of that process would be refused.
     """
     try:
         messages.decode(data)
@@ -26,7 +27,7 @@
         pass
 
 
-def test_an_oversized_message_is_not_looked_at() -> None:
-    """A peer gone wrong sends a message too large to hold in memory."""
+def test_an_oversized_message_is_rejected() -> None:
+    """Guards against a faulty peer whose message is too large for memory."""
     with pytest.raises(errors.DecodeError):
         messages.decode(b'\x00' * (messages.MAX_BYTES + 1))
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -1,4 +1,4 @@
-"""Mirrors of keyed topics, fed by the store and by peers."""
+"""Mirrors of keyed topics, updated from the store and from peers."""
 
 import random
 
@@ -15,57 +15,58 @@
 
 
 def test_a_stale_record_changes_nothing() -> None:
-    """A store that is seconds behind, or a peer, shows an older record.
+    """Guards against reverting an accepted configuration.
 
-    Taken for news, an accepted configuration would revert.
+    A peer, or a store that is seconds behind, returns an older record.
     """
-    known = mirror.Mirror()
-    known.apply([_entry('config', 7, b'new')], 8)
-    assert not known.apply([_entry('config', 4, b'old')], 5)
-    assert known.values() == {'config': b'new'}
-    assert known.end == 8
+    topic_mirror = mirror.Mirror()
+    topic_mirror.apply([_entry('config', 7, b'new')], 8)
+    assert not topic_mirror.apply([_entry('config', 4, b'old')], 5)
+    assert topic_mirror.values() == {'config': b'new'}
+    assert topic_mirror.end == 8
 
 
-def test_what_a_whole_snapshot_lacks_is_gone() -> None:
-    """Records were dropped unread, the removal of a server among them.
+def test_keys_missing_from_a_complete_snapshot_are_removed() -> None:
+    """Guards against sending callers to a removed server until a VM restart.
 
-    Only the snapshot can show that the server is gone; a caller would else be
-    sent to a dead address until the VM is restarted.
+    The record of the server's removal expired unread, so only the snapshot
+    shows that the server was removed.
     """
-    known = mirror.Mirror()
-    known.apply([_entry('a', 1), _entry('b', 2)], 3)
-    news = known.snapshot([_entry('b', 2)], 9)
-    assert [(entry.key, entry.value) for entry in news] == [('a', b'')]
-    assert set(known.values()) == {'b'}
+    topic_mirror = mirror.Mirror()
+    topic_mirror.apply([_entry('a', 1), _entry('b', 2)], 3)
+    changed = topic_mirror.snapshot([_entry('b', 2)], 9)
+    assert [(entry.key, entry.value) for entry in changed] == [('a', b'')]
+    assert set(topic_mirror.values()) == {'b'}
 
 
 def test_a_stale_snapshot_removes_nothing() -> None:
-    """After its history was dropped the store answers some seconds behind.
+    """Guards against removing a server that has registered recently.
 
-    A server that registered since is not in the answer and must stay.
+    After its history has expired, the store's reply is seconds old and lacks
+    the server.
     """
-    known = mirror.Mirror()
-    known.apply([_entry('a', 1), _entry('new', 8)], 9)
-    assert not known.snapshot([_entry('a', 1)], 4)
-    assert set(known.values()) == {'a', 'new'}
+    topic_mirror = mirror.Mirror()
+    topic_mirror.apply([_entry('a', 1), _entry('new', 8)], 9)
+    assert not topic_mirror.snapshot([_entry('a', 1)], 4)
+    assert set(topic_mirror.values()) == {'a', 'new'}
 
 
-def test_a_removed_key_does_not_come_back_by_a_peer() -> None:
-    """A peer that missed the removal of a server tells of it.
+def test_a_peer_does_not_restore_a_removed_key() -> None:
+    """Guards against requests to a removed server.
 
-    One would see requests go to a server that left.
+    A peer that missed the removal sends the server's older record.
     """
-    known = mirror.Mirror()
-    known.apply([_entry('a', 1), _entry('a', 5, b'')], 6)
-    assert not known.apply([_entry('a', 3)], 4)
-    assert not known.values()
+    topic_mirror = mirror.Mirror()
+    topic_mirror.apply([_entry('a', 1), _entry('a', 5, b'')], 6)
+    assert not topic_mirror.apply([_entry('a', 3)], 4)
+    assert not topic_mirror.values()
 
 
-def test_removed_keys_are_forgotten_beyond_the_limit() -> None:
-    known = mirror.Mirror()
+def test_the_number_of_remembered_removals_is_limited() -> None:
+    topic_mirror = mirror.Mirror()
     count = mirror.MAX_REMOVED + 10
-    known.apply([_entry(f'k{n}', n, b'') for n in range(count)], count)
-    assert len(known.since(0)) == mirror.MAX_REMOVED
+    topic_mirror.apply([_entry(f'k{n}', n, b'') for n in range(count)], count)
+    assert len(topic_mirror.since(0)) == mirror.MAX_REMOVED
 
 
 @hypothesis.given(
@@ -77,20 +78,20 @@
     ),
     strategies.randoms(use_true_random=False),
 )
-def test_any_order_of_arrival_gives_the_same(
-    written: list[tuple[str, bytes]], order: random.Random
+def test_the_order_of_arrival_does_not_matter(
+    writes: list[tuple[str, bytes]], rng: random.Random
 ) -> None:
-    entries = [_entry(key, n, value) for n, (key, value) in enumerate(written)]
-    straight, mixed = mirror.Mirror(), mirror.Mirror()
-    straight.apply(entries, len(entries))
-    shuffled = list(entries)
-    order.shuffle(shuffled)
-    for entry in shuffled:
-        mixed.apply([entry], entry.offset + 1)
-    assert mixed.values() == straight.values()
+    entries = [_entry(key, n, value) for n, (key, value) in enumerate(writes)]
+    in_order, out_of_order = mirror.Mirror(), mirror.Mirror()
+    in_order.apply(entries, len(entries))
+    shuffled_entries = list(entries)
+    rng.shuffle(shuffled_entries)
+    for entry in shuffled_entries:
+        out_of_order.apply([entry], entry.offset + 1)
+    assert out_of_order.values() == in_order.values()
 
 
-def test_a_peer_gets_what_it_lacks() -> None:
+def test_a_peer_receives_the_records_it_lacks() -> None:
     ahead, behind = mirror.Mirror(), mirror.Mirror()
     ahead.apply([_entry('a', 1), _entry('b', 2), _entry('a', 6, b'')], 7)
     behind.apply([_entry('a', 1), _entry('b', 2)], 3)
@@ -99,8 +100,8 @@
     assert behind.end == ahead.end
 
 
-def _ranked(offset: int, count: int, epoch: int = 1) -> mirror.Entry:
-    """Returns a server's record that tells how often it has written."""
+def _ranked_entry(offset: int, count: int, epoch: int = 1) -> mirror.Entry:
+    """Returns a server's record with the number of its writes as the value."""
     position = positions.make(epoch, offset)
     return mirror.Entry(key='s', offset=position, value=b'%d' % count)
 
@@ -109,40 +110,44 @@
     return (0, int(value))
 
 
-def _later(keeps: bool = False) -> mirror.Mirror:
-    """Returns a mirror whose store came back from a copy, with an older record."""
-    known = mirror.Mirror(_rank, keeps=keeps)
-    known.apply([_ranked(95, 7)], positions.make(1, 100))
-    known.snapshot([_ranked(40, 4, epoch=2)], positions.make(2, 90))
-    return known
+def _restored_mirror(retain_carried: bool = False) -> mirror.Mirror:
+    """Returns a mirror whose store was restored from an older copy."""
+    topic_mirror = mirror.Mirror(_rank, keeps=retain_carried)
+    topic_mirror.apply([_ranked_entry(95, 7)], positions.make(1, 100))
+    topic_mirror.snapshot(
+        [_ranked_entry(40, 4, epoch=2)], positions.make(2, 90)
+    )
+    return topic_mirror
 
 
 def test_an_older_record_of_a_copy_changes_nothing() -> None:
-    """Guards against a copy that is taken for newer, since its position is."""
-    known = _later()
-    assert known.values() == {'s': b'7'}
-    assert known.end == positions.make(2, 90)
-    assert known.is_carried('s')
+    """Guards against preferring a restored record for its higher position."""
+    topic_mirror = _restored_mirror()
+    assert topic_mirror.values() == {'s': b'7'}
+    assert topic_mirror.end == positions.make(2, 90)
+    assert topic_mirror.is_carried('s')
 
 
-def test_what_a_copy_lacks_is_told_to_peers_that_read_it() -> None:
-    """Guards against VMs of one epoch that know different versions."""
-    known = _later()
+def test_records_missing_from_a_copy_are_sent_to_peers_that_read_it() -> None:
+    """Guards against VMs of one epoch that have different versions."""
+    topic_mirror = _restored_mirror()
     peer = mirror.Mirror(_rank)
-    peer.snapshot([_ranked(40, 4, epoch=2)], positions.make(2, 90))
-    peer.apply(known.since(peer.end), known.end)
+    peer.snapshot([_ranked_entry(40, 4, epoch=2)], positions.make(2, 90))
+    peer.apply(topic_mirror.since(peer.end), topic_mirror.end)
     assert peer.values() == {'s': b'7'}
-    news = known.apply([_ranked(91, 8, epoch=2)], positions.make(2, 92))
-    assert [entry.value for entry in news] == [b'8']
-    assert not known.since(positions.make(2, 92))
+    changed = topic_mirror.apply(
+        [_ranked_entry(91, 8, epoch=2)], positions.make(2, 92)
+    )
+    assert [entry.value for entry in changed] == [b'8']
+    assert not topic_mirror.since(positions.make(2, 92))
 
 
-def test_a_mirror_that_is_behind_does_not_hold_others_back() -> None:
-    """Guards against one VM of the old epoch that infects those of the new."""
+def test_a_mirror_of_the_old_epoch_does_not_revert_a_newer_one() -> None:
+    """Guards against a VM of the old epoch that reverts VMs of the new one."""
     behind = mirror.Mirror(_rank)
-    behind.apply([_ranked(95, 7)], positions.make(1, 100))
+    behind.apply([_ranked_entry(95, 7)], positions.make(1, 100))
     ahead = mirror.Mirror(_rank)
-    ahead.apply([_ranked(93, 9, epoch=2)], positions.make(2, 94))
+    ahead.apply([_ranked_entry(93, 9, epoch=2)], positions.make(2, 94))
     assert not behind.since(ahead.end)
     ahead.apply(behind.since(0), behind.end)
     assert ahead.values() == {'s': b'9'}
@@ -151,50 +156,62 @@
     assert behind.end == ahead.end
 
 
-def test_peers_are_not_told_what_the_copy_says_as_well() -> None:
-    """Guards against a list of all servers in each reply after a return."""
-    known = mirror.Mirror(_rank)
-    newest = _ranked(95, 7)
-    known.apply([newest], positions.make(1, 100))
-    known.repeats(newest, positions.make(1, 30))
-    known.snapshot([_ranked(40, 4, epoch=2)], positions.make(2, 90))
-    assert known.values() == {'s': b'7'}
-    assert not known.since(known.end)
-
-
-@pytest.mark.parametrize('keeps', [True, False])
-def test_what_is_not_written_again_is_given_up(keeps: bool) -> None:
-    """Guards against what is known on for good, since nobody removes it."""
-    known = mirror.Mirror(_rank, keeps=keeps)
-    known.apply([_ranked(95, 7)], positions.make(1, 100))
-    known.snapshot([], positions.make(2, 90))
-    assert bool(known.values()) == keeps
-    known.drop_carried()
-    assert not known.values()
-    assert known.apply([_ranked(91, 7, epoch=2)], positions.make(2, 92))
-
-
-def test_a_removal_outlives_the_copy() -> None:
-    """Guards against a server that left, and is in the copy still."""
-    known = mirror.Mirror(_rank)
-    known.apply([_ranked(95, 7)], positions.make(1, 96))
-    gone = mirror.Entry('s', positions.make(1, 97), b'')
-    known.apply([gone], positions.make(1, 98))
-    known.snapshot([_ranked(40, 4, epoch=2)], positions.make(2, 90))
-    assert not known.values()
-    assert not known.apply([_ranked(91, 7, epoch=2)], positions.make(2, 92))
-    assert known.apply([_ranked(92, 8, epoch=2)], positions.make(2, 93))
-
-
-def test_heartbeats_after_a_return_are_not_all_told_again() -> None:
-    """Guards against the whole list being sent to every VM at each return."""
-    known = _later()
-    before = positions.make(1, 20)
-    again = _ranked(91, 8, epoch=2)
-    known.apply([again], positions.make(2, 92))
-    known.repeats(again, before)
-    assert not known.since(positions.make(1, 100))
-    assert known.since(positions.make(2, 90))
+def test_records_that_the_copy_contains_are_not_sent_to_peers() -> None:
+    """Guards against replies that list all servers after a restore."""
+    topic_mirror = mirror.Mirror(_rank)
+    newest = _ranked_entry(95, 7)
+    topic_mirror.apply([newest], positions.make(1, 100))
+    topic_mirror.repeats(newest, positions.make(1, 30))
+    topic_mirror.snapshot(
+        [_ranked_entry(40, 4, epoch=2)], positions.make(2, 90)
+    )
+    assert topic_mirror.values() == {'s': b'7'}
+    assert not topic_mirror.since(topic_mirror.end)
+
+
+@pytest.mark.parametrize('retain_carried', [True, False])
+def test_carried_records_that_are_not_rewritten_are_removed(
+    retain_carried: bool,
+) -> None:
+    """Guards against records that stay forever since nobody removes them."""
+    topic_mirror = mirror.Mirror(_rank, keeps=retain_carried)
+    topic_mirror.apply([_ranked_entry(95, 7)], positions.make(1, 100))
+    topic_mirror.snapshot([], positions.make(2, 90))
+    assert bool(topic_mirror.values()) == retain_carried
+    topic_mirror.drop_carried()
+    assert not topic_mirror.values()
+    assert topic_mirror.apply(
+        [_ranked_entry(91, 7, epoch=2)], positions.make(2, 92)
+    )
+
+
+def test_a_removal_stays_in_effect_after_a_restore() -> None:
+    """Guards against restoring a removed server that the copy contains."""
+    topic_mirror = mirror.Mirror(_rank)
+    topic_mirror.apply([_ranked_entry(95, 7)], positions.make(1, 96))
+    removal = mirror.Entry('s', positions.make(1, 97), b'')
+    topic_mirror.apply([removal], positions.make(1, 98))
+    topic_mirror.snapshot(
+        [_ranked_entry(40, 4, epoch=2)], positions.make(2, 90)
+    )
+    assert not topic_mirror.values()
+    assert not topic_mirror.apply(
+        [_ranked_entry(91, 7, epoch=2)], positions.make(2, 92)
+    )
+    assert topic_mirror.apply(
+        [_ranked_entry(92, 8, epoch=2)], positions.make(2, 93)
+    )
+
+
+def test_unchanged_records_after_a_restore_are_not_sent_again() -> None:
+    """Guards against sending the whole list to every VM at each restore."""
+    topic_mirror = _restored_mirror()
+    previous_position = positions.make(1, 20)
+    rewritten = _ranked_entry(91, 8, epoch=2)
+    topic_mirror.apply([rewritten], positions.make(2, 92))
+    topic_mirror.repeats(rewritten, previous_position)
+    assert not topic_mirror.since(positions.make(1, 100))
+    assert topic_mirror.since(positions.make(2, 90))
 
 
 @hypothesis.given(
@@ -209,26 +226,26 @@
     ),
     strategies.randoms(use_true_random=False),
 )
-def test_histories_merge_to_no_older_record_than_the_newest_written(
-    written: list[tuple[int, int, int]], order: random.Random
+def test_merged_histories_contain_the_newest_written_record(
+    writes: list[tuple[int, int, int]], rng: random.Random
 ) -> None:
     """Guards against an order of arrival that leaves a VM on an older state."""
-    # Within one epoch the writer counts up with the offsets.
-    counted = {
+    # Within one epoch the write count increases with the offset.
+    counts = {
         (epoch, offset): sum(
             other[2]
-            for other in written
+            for other in writes
             if other[0] == epoch and other[1] <= offset
         )
-        for epoch, offset, _ in written
+        for epoch, offset, _ in writes
     }
     records = [
-        _ranked(offset, count, epoch)
-        for (epoch, offset), count in counted.items()
+        _ranked_entry(offset, count, epoch)
+        for (epoch, offset), count in counts.items()
     ]
-    order.shuffle(records)
-    known = mirror.Mirror(_rank)
+    rng.shuffle(records)
+    topic_mirror = mirror.Mirror(_rank)
     for record in records:
-        known.apply([record], record.offset + 1)
-    newest = max(counted.values(), default=0)
-    assert known.values() == ({'s': b'%d' % newest} if newest else {})
+        topic_mirror.apply([record], record.offset + 1)
+    newest = max(counts.values(), default=0)
+    assert topic_mirror.values() == ({'s': b'%d' % newest} if newest else {})
