--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -1,4 +1,4 @@
-"""The fold of the configuration stream gives one answer to all readers."""
+"""The fold of the configuration stream gives all readers the same state."""
 
 import hypothesis
 from hypothesis import strategies
@@ -11,25 +11,25 @@
 from foxtaildale import values
 
 
-def preset(name: str, burst: int = 3) -> values.Preset:
+def make_preset(name: str, burst: int = 3) -> values.Preset:
     services = {'queue-app': values.Service(kind='plain')}
     return values.Preset(name=name, services=services, retry_burst=burst)
 
 
 class Writer:
-    """Applies changes one after another to a fold, as a log would."""
+    """Applies changes to a fold in order, as a reader of the log does."""
 
     def __init__(self) -> None:
         self.fold = fold.Fold()
 
-    def put(self, change: changes.Change | bytes) -> None:
+    def append(self, change: changes.Change | bytes) -> None:
         data = change if isinstance(change, bytes) else changes.encode(change)
         self.fold.apply(ports.Record(self.fold.offset, data))
 
     def publish(self, name: str, burst: int = 3) -> str:
-        at = self.fold.offset
-        change = changes.publish(f'p{at}', at, preset(name, burst))
-        self.put(change)
+        offset = self.fold.offset
+        change = changes.publish(f'p{offset}', offset, make_preset(name, burst))
+        self.append(change)
         return change.digest
 
     def switch(
@@ -42,131 +42,130 @@
             digest=digest,
             expects=expects,
         )
-        self.put(change)
+        self.append(change)
         verdict = self.fold.verdict(change_id)
         assert verdict is not None
         return verdict.reason
 
 
 def test_a_switch_puts_a_published_preset_in_force() -> None:
-    log = Writer()
-    digest = log.publish('ordinary')
-    assert log.fold.in_force is None
-    assert log.switch('s', 'ordinary', digest, 0) == ''
-    assert log.fold.in_force == values.InForce(1, 1, digest, preset('ordinary'))
+    writer = Writer()
+    digest = writer.publish('ordinary')
+    assert writer.fold.in_force is None
+    assert writer.switch('s', 'ordinary', digest, 0) == ''
+    assert writer.fold.in_force == values.InForce(
+        1, 1, digest, make_preset('ordinary')
+    )
 
 
 def test_of_two_racing_switches_the_second_is_rejected() -> None:
-    """Two operators look at revision 0 and each switch to a preset of theirs.
+    """Guards against two operators who both believe their preset is in force.
 
-    If both took effect, the first would believe their preset to be in force
-    while the second one's is.
+    Both read revision 0, and each switches to a different preset.
     """
-    log = Writer()
-    peak, calm = log.publish('peak'), log.publish('calm')
-    assert log.switch('a', 'peak', peak, 0) == ''
-    assert log.switch('b', 'calm', calm, 0) == 'other-revision'
-    assert log.fold.in_force and log.fold.in_force.preset.name == 'peak'
+    writer = Writer()
+    peak_digest, calm_digest = writer.publish('peak'), writer.publish('calm')
+    assert writer.switch('a', 'peak', peak_digest, 0) == ''
+    assert writer.switch('b', 'calm', calm_digest, 0) == 'other-revision'
+    assert writer.fold.in_force and writer.fold.in_force.preset.name == 'peak'
 
 
-def test_a_repeated_append_counts_once() -> None:
-    """The answer to an append is lost, so the same record comes twice.
+def test_a_repeated_append_is_applied_once() -> None:
+    """Guards against a rejected switch that comes into force later.
 
-    The first copy is rejected and its writer told so; the second must not
-    come into force once the revision that it expects is there.
+    The reply to an append is lost, so the record is appended again. The
+    revision that it expects exists by the time of the second copy.
     """
-    log = Writer()
-    peak, calm = log.publish('peak'), log.publish('calm')
-    late = changes.Switch(
-        id='late', base=2, name='peak', digest=peak, expects=1
+    writer = Writer()
+    peak_digest, calm_digest = writer.publish('peak'), writer.publish('calm')
+    late_switch = changes.Switch(
+        id='late', base=2, name='peak', digest=peak_digest, expects=1
     )
-    log.put(late)
-    assert log.switch('b', 'calm', calm, 0) == ''
-    log.put(late)
-    assert log.fold.in_force and log.fold.in_force.preset.name == 'calm'
-
-
-def test_a_copy_later_than_the_memory_of_ids_is_stale() -> None:
-    """A copy of a rejected switch arrives after its id has been forgotten."""
-    log = Writer()
-    peak, calm = log.publish('peak'), log.publish('calm')
-    late = changes.Switch(
-        id='late', base=2, name='peak', digest=peak, expects=1
+    writer.append(late_switch)
+    assert writer.switch('b', 'calm', calm_digest, 0) == ''
+    writer.append(late_switch)
+    assert writer.fold.in_force and writer.fold.in_force.preset.name == 'calm'
+
+
+def test_a_copy_is_stale_after_its_id_was_removed() -> None:
+    """Guards against applying a rejected switch after its id has expired."""
+    writer = Writer()
+    peak_digest, calm_digest = writer.publish('peak'), writer.publish('calm')
+    late_switch = changes.Switch(
+        id='late', base=2, name='peak', digest=peak_digest, expects=1
     )
-    log.put(late)
-    assert log.switch('b', 'calm', calm, 0) == ''
+    writer.append(late_switch)
+    assert writer.switch('b', 'calm', calm_digest, 0) == ''
     for _ in range(fold.WINDOW):
-        log.put(b'')
-    assert log.fold.verdict('late') is None
-    log.put(late)
-    assert log.fold.in_force and log.fold.in_force.preset.name == 'calm'
+        writer.append(b'')
+    assert writer.fold.verdict('late') is None
+    writer.append(late_switch)
+    assert writer.fold.in_force and writer.fold.in_force.preset.name == 'calm'
 
 
 @pytest.mark.parametrize(
     ('digest', 'data'),
     [
-        ('', changes.canonical(preset('a'))),
+        ('', changes.canonical(make_preset('a'))),
         (changes.digest_of(b'{}'), b'{}'),
         (changes.digest_of(b'\xff'), b'\xff'),
         (changes.digest_of(b' ' * 40_000), b' ' * 40_000),
     ],
-    ids=['foreign digest', 'not whole', 'not text', 'too large'],
+    ids=['foreign digest', 'incomplete', 'not text', 'too large'],
 )
-def test_a_preset_that_is_not_whole_is_rejected(
-    digest: str, data: bytes
-) -> None:
-    """Something else than our program appends to the stream."""
-    log = Writer()
-    log.put(changes.Publish(id='p', base=0, digest=digest, preset=data))
-    assert log.fold.verdict('p') == fold.Verdict(0, 'bad-preset', 0)
-    assert not log.fold.published
+def test_an_incomplete_preset_is_rejected(digest: str, data: bytes) -> None:
+    """Guards against records that another program appends to the stream."""
+    writer = Writer()
+    writer.append(changes.Publish(id='p', base=0, digest=digest, preset=data))
+    assert writer.fold.verdict('p') == fold.Verdict(0, 'bad-preset', 0)
+    assert not writer.fold.published
 
 
-def test_what_was_never_published_can_not_come_into_force() -> None:
-    log = Writer()
-    digest = log.publish('peak')
-    assert log.switch('a', 'peak', 'no-such', 0) == 'not-published'
-    assert log.switch('b', 'calm', digest, 0) == 'not-published'
+def test_an_unpublished_preset_cannot_come_into_force() -> None:
+    writer = Writer()
+    digest = writer.publish('peak')
+    assert writer.switch('a', 'peak', 'no-such', 0) == 'not-published'
+    assert writer.switch('b', 'calm', digest, 0) == 'not-published'
 
 
 def test_the_state_stays_bounded_and_keeps_the_preset_in_force() -> None:
-    """Presets are published for years without a restart of the log."""
-    log = Writer()
-    digest = log.publish('peak')
-    assert log.switch('a', 'peak', digest, 0) == ''
+    """Guards against unbounded growth when presets are published for years."""
+    writer = Writer()
+    digest = writer.publish('peak')
+    assert writer.switch('a', 'peak', digest, 0) == ''
     for burst in range(2 * fold.MAX_PUBLISHED):
-        log.publish('other', burst)
-    assert len(log.fold.published) == fold.MAX_PUBLISHED
-    assert log.fold.published[0].digest == digest
+        writer.publish('other', burst)
+    assert len(writer.fold.published) == fold.MAX_PUBLISHED
+    assert writer.fold.published[0].digest == digest
 
 
-def test_a_record_out_of_order_is_a_broken_invariant() -> None:
+def test_a_record_out_of_order_violates_an_invariant() -> None:
     with pytest.raises(errors.InvariantError):
         fold.Fold().apply(ports.Record(3, b''))
 
 
 _IDS = strategies.sampled_from(['a', 'b', 'c'])
-_SMALL = strategies.integers(0, 4)
-_PRESETS = [preset('x'), preset('y'), preset('x', 9)]
+_SMALL_INTS = strategies.integers(0, 4)
+_PRESETS = [make_preset('x'), make_preset('y'), make_preset('x', 9)]
 _CHANGES = strategies.one_of(
     strategies.binary(max_size=12),
     strategies.builds(
-        changes.publish, _IDS, _SMALL, strategies.sampled_from(_PRESETS)
+        changes.publish, _IDS, _SMALL_INTS, strategies.sampled_from(_PRESETS)
     ),
     strategies.builds(
         changes.Switch,
         id=_IDS,
-        base=_SMALL,
+        base=_SMALL_INTS,
         name=strategies.sampled_from(['x', 'y']),
         digest=strategies.sampled_from(
             [changes.digest_of(changes.canonical(p)) for p in _PRESETS]
         ),
-        expects=_SMALL,
+        expects=_SMALL_INTS,
     ),
     strategies.builds(
         changes.Checkpoint,
         id=_IDS,
-        offset=_SMALL,
+        offset=_SMALL_INTS,
         digest=strategies.just(''),
         state=strategies.binary(max_size=4),
     ),
@@ -175,31 +174,34 @@
 
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(strategies.lists(_CHANGES, max_size=30), strategies.data())
-def test_a_reader_from_a_checkpoint_agrees_with_one_from_the_start(
+def test_reading_from_a_checkpoint_gives_the_same_state(
     history: list[changes.Change | bytes], data: strategies.DataObject
 ) -> None:
-    """A VM is replaced and its keeper starts from a checkpoint.
+    """Guards against two presets in force after a VM is replaced.
 
-    Were it to fold the rest to another state, two presets would be in force.
+    Its keeper starts from a checkpoint and could fold the remaining records
+    to a different state.
     """
-    whole = Writer()
-    cut = data.draw(strategies.integers(0, len(history)))
-    for change in history[:cut]:
-        whole.put(change)
-    part = Writer()
-    loaded = fold.from_bytes(whole.fold.to_bytes(), whole.fold.digest)
-    assert loaded is not None
-    part.fold = loaded
-    for change in history[cut:]:
-        whole.put(change)
-        part.put(change)
-    assert part.fold.digest == whole.fold.digest
-    assert part.fold.in_force == whole.fold.in_force
+    full_reader = Writer()
+    checkpoint_at = data.draw(strategies.integers(0, len(history)))
+    for change in history[:checkpoint_at]:
+        full_reader.append(change)
+    checkpoint_reader = Writer()
+    loaded_fold = fold.from_bytes(
+        full_reader.fold.to_bytes(), full_reader.fold.digest
+    )
+    assert loaded_fold is not None
+    checkpoint_reader.fold = loaded_fold
+    for change in history[checkpoint_at:]:
+        full_reader.append(change)
+        checkpoint_reader.append(change)
+    assert checkpoint_reader.fold.digest == full_reader.fold.digest
+    assert checkpoint_reader.fold.in_force == full_reader.fold.in_force
 
 
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(strategies.binary(max_size=80))
-def test_any_bytes_are_a_state_or_none(data: bytes) -> None:
-    """A checkpoint in the log is damaged, with a digest that fits."""
+def test_decoding_any_bytes_raises_no_error(data: bytes) -> None:
+    """Guards against a crash on a damaged checkpoint whose digest matches."""
     fold.from_bytes(data, changes.digest_of(data))
     assert fold.from_bytes(data, 'other') is None
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""One keeper's follower, event by event."""
+"""Unit tests of the follower of the configuration stream."""
 
 import pytest
 
@@ -12,25 +12,27 @@
 
 
 class Stream:
-    """The configuration stream as one list of records."""
+    """An in-memory configuration stream."""
 
     def __init__(self) -> None:
         self.first = 0
         self.data: list[bytes] = []
 
-    def put(self, change: changes.Change) -> None:
+    def append(self, change: changes.Change) -> None:
         self.data.append(changes.encode(change))
 
     def publish(self, name: str) -> str:
         change = changes.publish(
-            f'p{len(self.data)}', len(self.data), test_fold.preset(name)
+            f'p{len(self.data)}', len(self.data), test_fold.make_preset(name)
         )
-        self.put(change)
+        self.append(change)
         return change.digest
 
     def switch(self, name: str, expects: int) -> None:
-        digest = changes.digest_of(changes.canonical(test_fold.preset(name)))
-        self.put(
+        digest = changes.digest_of(
+            changes.canonical(test_fold.make_preset(name))
+        )
+        self.append(
             changes.Switch(
                 id=f's{len(self.data)}',
                 base=len(self.data),
@@ -42,8 +44,8 @@
 
     def read(self, offset: int) -> ports.Batch:
         records = tuple(
-            ports.Record(at, self.data[at])
-            for at in range(offset, len(self.data))
+            ports.Record(index, self.data[index])
+            for index in range(offset, len(self.data))
         )
         return ports.Batch(self.first, len(self.data), records)
 
@@ -55,7 +57,7 @@
     return stream
 
 
-def beat(follower: spread.Follower) -> messages.Beat:
+def make_heartbeat(follower: spread.Follower) -> messages.Beat:
     return messages.Beat(
         entry_vm=follower.entry_vm,
         incarnation='i',
@@ -73,84 +75,89 @@
     return follower.on_batch(now, stream.read(follower.next_offset))
 
 
-def name_in_force(follower: spread.Follower) -> str | None:
+def preset_name_in_force(follower: spread.Follower) -> str | None:
     return follower.in_force.preset.name if follower.in_force else None
 
 
-def test_the_log_brings_the_preset_in_force() -> None:
+def test_the_preset_in_force_is_read_from_the_log() -> None:
     follower = spread.Follower('a')
     assert not follower.vouched(0)
     assert poll(0, follower, peak_stream())
-    assert name_in_force(follower) == 'peak'
+    assert preset_name_in_force(follower) == 'peak'
     assert follower.vouched(0)
 
 
-def test_one_that_hears_nobody_stops_vouching() -> None:
-    """A VM is cut off from the log and from all peers, and a switch is made.
+def test_an_isolated_keeper_stops_vouching() -> None:
+    """Guards against serving callers by rules that are no longer in force.
 
-    Its callers would be served by rules that are not in force any more.
+    The VM loses its connections to the log and to all peers, and a switch is
+    made meanwhile.
     """
     follower = spread.Follower('a', freshness_s=30)
     poll(0, follower, peak_stream())
     assert follower.vouched(30)
     assert not follower.vouched(31)
-    assert name_in_force(follower) == 'peak'
+    assert preset_name_in_force(follower) == 'peak'
 
 
-def test_through_an_outage_of_the_log_peers_vouch_for_each_other() -> None:
-    """The log is down for hours; nothing can be switched meanwhile.
+def test_during_a_log_outage_peers_confirm_each_other() -> None:
+    """Guards against a log outage of hours that stops the whole system.
 
-    If each keeper stopped vouching, the outage would stop the whole system.
+    Nothing can be switched during the outage, so an up-to-date peer is
+    sufficient confirmation.
     """
-    one, two = spread.Follower('a'), spread.Follower('b')
-    for follower in (one, two):
+    first, second = spread.Follower('a'), spread.Follower('b')
+    for follower in (first, second):
         poll(0, follower, peak_stream())
-    assert not one.on_peer(7200, beat(two))
-    assert one.vouched(7200)
+    assert not first.on_peer(7200, make_heartbeat(second))
+    assert first.vouched(7200)
+
 
+def test_a_peer_that_is_behind_confirms_nothing() -> None:
+    """Guards against confirmation by a peer that has just been started.
 
-def test_a_peer_that_is_behind_vouches_for_nothing() -> None:
-    """An isolated keeper still hears a peer that has just been started."""
-    one, two = spread.Follower('a'), spread.Follower('b')
-    poll(0, one, peak_stream())
-    one.on_peer(100, beat(two))
-    assert not one.vouched(100)
-    assert not one.divergences
+    The keeper is isolated from the log.
+    """
+    first, second = spread.Follower('a'), spread.Follower('b')
+    poll(0, first, peak_stream())
+    first.on_peer(100, make_heartbeat(second))
+    assert not first.vouched(100)
+    assert not first.divergences
 
 
-def test_one_started_in_an_outage_learns_from_a_peer() -> None:
-    """A VM is replaced while the log is down."""
+def test_a_keeper_started_in_an_outage_pulls_from_a_peer() -> None:
+    """Guards against a VM replaced in a log outage that has no preset."""
     old, new = spread.Follower('a'), spread.Follower('b')
     poll(0, old, peak_stream())
     new.on_log_failed(5)
-    assert new.on_peer(5, beat(old))
+    assert new.on_peer(5, make_heartbeat(old))
     assert new.on_pull(5, old.pull_reply())
-    assert name_in_force(new) == 'peak'
+    assert preset_name_in_force(new) == 'peak'
     assert new.vouched(5)
 
 
-def test_a_restarted_keeper_does_not_take_its_entries_back() -> None:
-    """A keeper is restarted while the log is down.
+def test_a_restarted_keeper_does_not_revert_its_entries() -> None:
+    """Guards against reverting the entries of a VM to a replaced preset.
 
-    The peer that it learns from was cut off before the last switch; the
-    entries of its VM work by that switch already.
+    A keeper restarts while the log is down. The peer that it pulls from missed
+    the last switch; the entries of the keeper's VM already use the new preset.
     """
     stream = peak_stream()
-    behind, again = spread.Follower('a'), spread.Follower('b')
+    behind, restarted = spread.Follower('a'), spread.Follower('b')
     poll(0, behind, stream)
     stream.publish('calm')
     stream.switch('calm', 1)
-    again.on_revision(2)
-    again.on_peer(1, beat(behind))
-    again.on_pull(1, behind.pull_reply())
-    assert name_in_force(again) == 'peak'
-    assert not again.vouched(1)
-    poll(2, again, stream)
-    assert again.vouched(2)
+    restarted.on_revision(2)
+    restarted.on_peer(1, make_heartbeat(behind))
+    restarted.on_pull(1, behind.pull_reply())
+    assert preset_name_in_force(restarted) == 'peak'
+    assert not restarted.vouched(1)
+    poll(2, restarted, stream)
+    assert restarted.vouched(2)
 
 
-def test_an_older_state_is_not_taken() -> None:
-    """A peer that was cut off answers a pull late, with what was replaced."""
+def test_an_older_state_is_ignored() -> None:
+    """Guards against reverting to the state in a peer's late pull reply."""
     stream = peak_stream()
     old, new = spread.Follower('a'), spread.Follower('b')
     poll(0, old, stream)
@@ -159,8 +166,8 @@
     stream.switch('calm', 1)
     poll(0, new, stream)
     assert not new.on_pull(1, stale)
-    assert name_in_force(new) == 'calm'
-    # The same revision, but the state before another preset was published.
+    assert preset_name_in_force(new) == 'calm'
+    # This state has the same revision but precedes another publication.
     stale = new.pull_reply()
     stream.publish('more')
     poll(2, new, stream)
@@ -168,8 +175,8 @@
     assert new.offset == 5
 
 
-def test_a_state_that_was_altered_on_its_way_is_not_taken() -> None:
-    """A message is damaged but still decodes."""
+def test_a_state_damaged_in_transit_is_ignored() -> None:
+    """Guards against a damaged message that still decodes."""
     old, new = spread.Follower('a'), spread.Follower('b')
     poll(0, old, peak_stream())
     reply = old.pull_reply()
@@ -180,20 +187,22 @@
     assert new.offset == 0
 
 
-def test_a_log_that_was_begun_anew_is_not_followed() -> None:
-    """The platform loses the stream and starts it again at offset 0.
+def test_a_log_that_restarts_at_offset_0_is_not_followed() -> None:
+    """Guards against putting an old preset, or none, in force again.
 
-    Folding it would put an old preset, or none, back in force.
+    The platform loses the stream and restarts it at offset 0.
     """
     follower = spread.Follower('a', freshness_s=30)
     poll(0, follower, peak_stream())
     poll(20, follower, Stream())
     assert follower.log_behind
-    assert name_in_force(follower) == 'peak'
+    assert preset_name_in_force(follower) == 'peak'
     assert not follower.vouched(40)
 
 
-def checkpoint(now: float, follower: spread.Follower, stream: Stream) -> bytes:
+def wait_for_checkpoint(
+    now: float, follower: spread.Follower, stream: Stream
+) -> bytes:
     for second in range(60):
         data = follower.checkpoint_due(now + second / 10, stream.first)
         if data is not None:
@@ -202,28 +211,29 @@
     raise AssertionError('no checkpoint')
 
 
-def test_a_late_starter_finds_a_checkpoint() -> None:
-    """The oldest records have lapsed when a VM is replaced."""
+def test_a_keeper_started_late_finds_a_checkpoint() -> None:
+    """Guards against a replaced VM that cannot start from expired records."""
     stream = peak_stream()
     old, new = spread.Follower('a'), spread.Follower('b')
     poll(0, old, stream)
     stream.first = 1
-    stream.data.append(checkpoint(0, old, stream))
+    stream.data.append(wait_for_checkpoint(0, old, stream))
     stream.publish('calm')
     stream.switch('calm', 1)
     stream.first = 2
     poll(9, new, stream)
     poll(9, new, stream)
-    assert name_in_force(new) == 'calm'
+    assert preset_name_in_force(new) == 'calm'
     assert new.vouched(9)
     poll(9, old, stream)
     assert new.digest == old.digest
 
 
-def test_without_a_checkpoint_a_late_starter_vouches_for_nothing() -> None:
-    """Everything but the last switch has lapsed when a VM is replaced.
+def test_without_a_checkpoint_a_keeper_started_late_does_not_vouch() -> None:
+    """Guards against a wrong revision and preset in a replaced VM.
 
-    Folding the rest alone would give a revision and a preset of its own.
+    All records except those of the last switch have expired; folding only
+    these would give a different state.
     """
     stream = peak_stream()
     stream.publish('calm')
@@ -235,48 +245,53 @@
         poll(now, new, stream)
     assert new.in_force is None
     assert not new.vouched(2)
-    assert new.on_peer(2, beat(old))
+    assert new.on_peer(2, make_heartbeat(old))
     assert new.on_pull(2, old.pull_reply())
-    assert name_in_force(new) == 'calm'
+    assert preset_name_in_force(new) == 'calm'
     assert new.vouched(2)
 
 
-def test_two_late_starters_do_not_vouch_for_each_other() -> None:
-    """All records have lapsed when all VMs are replaced together.
+def test_two_keepers_started_late_do_not_confirm_each_other() -> None:
+    """Guards against mutual confirmation by two keepers that have no state.
 
-    Both know nothing, at the same offset and with the same digest.
+    All VMs are replaced together after all records have expired. Both keepers
+    then have the same offset and digest.
     """
-    one, two = spread.Follower('a'), spread.Follower('b')
-    for follower in (one, two):
+    first, second = spread.Follower('a'), spread.Follower('b')
+    for follower in (first, second):
         follower.on_batch(0, ports.Batch(5, 5, ()))
-    assert not one.on_peer(0, beat(two))
-    assert not one.vouched(0)
-    assert one.next_offset == 5
+    assert not first.on_peer(0, make_heartbeat(second))
+    assert not first.vouched(0)
+    assert first.next_offset == 5
 
 
-def test_one_cut_off_past_the_retention_does_not_vouch_until_it_catches_up() -> (
-    None
-):
-    """A VM loses the log for longer than records are kept."""
+def test_a_keeper_cut_off_past_the_retention_must_catch_up_first() -> None:
+    """Guards against use of an old preset after records expired unread.
+
+    The VM loses the log for longer than the retention time.
+    """
     stream = peak_stream()
-    old, late = spread.Follower('a'), spread.Follower('b')
-    poll(0, late, stream)
+    old, reconnected = spread.Follower('a'), spread.Follower('b')
+    poll(0, reconnected, stream)
     stream.publish('calm')
     stream.switch('calm', 1)
     poll(0, old, stream)
     stream.first = 4
-    poll(1, late, stream)
-    assert not late.vouched(1)
-    assert name_in_force(late) == 'peak'
-    stream.data.append(checkpoint(1, old, stream))
-    poll(2, late, stream)
-    poll(2, late, stream)
-    assert name_in_force(late) == 'calm'
-    assert late.vouched(2)
-
-
-def test_a_checkpoint_is_due_again_before_the_last_one_lapses() -> None:
-    """Nothing is published for days, while records are kept for one."""
+    poll(1, reconnected, stream)
+    assert not reconnected.vouched(1)
+    assert preset_name_in_force(reconnected) == 'peak'
+    stream.data.append(wait_for_checkpoint(1, old, stream))
+    poll(2, reconnected, stream)
+    poll(2, reconnected, stream)
+    assert preset_name_in_force(reconnected) == 'calm'
+    assert reconnected.vouched(2)
+
+
+def test_a_checkpoint_is_due_before_the_last_one_expires() -> None:
+    """Guards against the expiry of the only checkpoint.
+
+    Nothing is published for days, and records are retained for one day.
+    """
     stream = peak_stream()
     follower = spread.Follower('a', checkpoint_s=600)
     poll(0, follower, stream)
@@ -284,34 +299,34 @@
     poll(599, follower, stream)
     assert follower.checkpoint_due(599, 0) is None
     poll(600, follower, stream)
-    stream.data.append(checkpoint(600, follower, stream))
+    stream.data.append(wait_for_checkpoint(600, follower, stream))
     poll(610, follower, stream)
     assert follower.checkpoint_due(610, 0) is None
 
 
 def test_of_many_keepers_few_write_a_due_checkpoint() -> None:
-    """All keepers find a checkpoint due with the same poll."""
+    """Guards against a checkpoint from every keeper after the same poll."""
     stream = peak_stream()
-    many = [spread.Follower(f'vm-{number}') for number in range(60)]
-    for follower in many:
+    followers = [spread.Follower(f'vm-{number}') for number in range(60)]
+    for follower in followers:
         poll(0, follower, stream)
     stream.first = 1
     for step in range(1, 120):
         now = step / 2
-        for follower in many:
+        for follower in followers:
             poll(now, follower, stream)
-        for follower in many:
-            data = follower.checkpoint_due(now, stream.first, len(many))
+        for follower in followers:
+            data = follower.checkpoint_due(now, stream.first, len(followers))
             if data is not None:
                 stream.data.append(data)
     assert 1 <= len(stream.data) - 2 <= 3
 
 
 def test_divergence_is_reported_and_not_repaired() -> None:
-    """One process is broken and folds to another state at the same offset.
+    """Guards against a faulty state that replaces correct ones.
 
-    Which one it is can't be told; if its state could replace good ones or
-    become a checkpoint, it would be in force everywhere.
+    A faulty process has a different state at the same offset. No keeper can
+    determine which state is wrong, so neither is pulled or checkpointed.
     """
     stream, other = peak_stream(), Stream()
     other.publish('calm')
@@ -319,27 +334,27 @@
     good, bad = spread.Follower('a'), spread.Follower('b')
     poll(0, good, stream)
     poll(0, bad, other)
-    assert not good.on_peer(0, beat(bad))
-    assert [found.source for found in good.divergences.all] == ['b']
+    assert not good.on_peer(0, make_heartbeat(bad))
+    assert [divergence.source for divergence in good.divergences.all] == ['b']
     assert good.dump(0)['divergences'] == good.divergences.all
     for second in range(30):
         poll(second, good, stream)
         assert good.checkpoint_due(second, 1) is None
     other.publish('more')
     poll(1, bad, other)
-    assert not good.on_peer(100, beat(bad))
-    assert name_in_force(good) == 'peak'
+    assert not good.on_peer(100, make_heartbeat(bad))
+    assert preset_name_in_force(good) == 'peak'
 
 
-def test_two_checkpoints_that_differ_are_both_left() -> None:
-    """A broken keeper has written a checkpoint beside a good one."""
+def test_two_different_checkpoints_are_both_ignored() -> None:
+    """Guards against use of a faulty checkpoint beside a correct one."""
     stream = peak_stream()
     other = test_fold.Writer()
     for _ in range(2):
-        other.put(b'')
+        other.append(b'')
     good = spread.Follower('a')
     poll(0, good, stream)
-    stream.put(
+    stream.append(
         changes.Checkpoint(
             id='bad',
             offset=2,
@@ -347,7 +362,7 @@
             state=other.fold.to_bytes(),
         )
     )
-    stream.put(
+    stream.append(
         changes.Checkpoint(
             id='good',
             offset=2,
@@ -365,9 +380,9 @@
     assert good.divergences
 
 
-def test_a_damaged_checkpoint_is_passed_over() -> None:
+def test_a_damaged_checkpoint_is_skipped() -> None:
     stream = peak_stream()
-    stream.put(
+    stream.append(
         changes.Checkpoint(id='x', offset=2, digest='', state=b'\x93\x01')
     )
     stream.first = 2
@@ -379,17 +394,18 @@
 
 
 @pytest.mark.parametrize(
-    ('keepers', 'beats', 'payload'),
+    ('keepers', 'max_heartbeats', 'max_payload_bytes'),
     [(8, 1, 6200), (64, 4, 2000), (690, 6, 2000)],
 )
-def test_what_one_keeper_has_read_spreads_within_a_few_beats(
-    keepers: int, beats: int, payload: int
+def test_a_switch_read_by_one_keeper_spreads_in_a_few_heartbeats(
+    keepers: int, max_heartbeats: int, max_payload_bytes: int
 ) -> None:
-    """The log goes down, or is cut off, when one keeper has read a switch.
+    """Guards against slow or costly propagation of a switch.
 
-    Bounds are those of docs/design/presets.md: beats, all keepers beating at
-    the same moment, and bytes of a beat sent and received by one keeper.
+    The log is down and one keeper has read the switch. The bounds are those
+    of docs/design/presets.md: heartbeats, if all keepers send simultaneously,
+    and heartbeat bytes that one keeper sends and receives.
     """
-    found = spread_bench.run(keepers)
-    assert found.beats_in_step <= beats
-    assert found.beat_bytes <= payload
+    result = spread_bench.run(keepers)
+    assert result.beats_in_step <= max_heartbeats
+    assert result.beat_bytes <= max_payload_bytes
