--- a/tests/config_world.py
+++ b/tests/config_world.py
@@ -1,9 +1,9 @@
 """A log, keepers and operators of one configuration stream, for histories.
 
-Everything runs in one process and one turn at a time: an operator runs in a
-thread of its own and stops before each call to the log, so that a history
-decides whose call comes next. The log keeps all records for the oracle, also
-those that readers can't get any more.
+Everything runs in one process and takes turns: an operator runs in its own
+thread and pauses before each call to the log, so that a history decides whose
+call is next. The log retains all records for the oracle, including those that
+have expired for readers.
 """
 
 from collections.abc import Callable
@@ -25,15 +25,16 @@
 from foxtaildale_client import submit
 
 FRESHNESS_S = 30.0
-# What becomes of the next append: answered; effect but no answer; neither;
-# or no answer, and the effect only when the history says so.
-Fate = Literal['answered', 'lost', 'dropped', 'late']
+# Outcome of the next append. `answered`: it takes effect and is confirmed.
+# `lost`: it takes effect without a reply. `dropped`: no effect and no reply.
+# `late`: no reply, and it takes effect when the history calls `land`.
+AppendOutcome = Literal['answered', 'lost', 'dropped', 'late']
 
 # CI runs the same histories each time; FOXTAILDALE_LONG=N runs N new ones.
-_LONG = int(os.environ.get('FOXTAILDALE_LONG', '0'))
+_LONG_EXAMPLES = int(os.environ.get('FOXTAILDALE_LONG', '0'))
 SETTINGS = hypothesis.settings(
-    derandomize=not _LONG,
-    max_examples=_LONG or 200,
+    derandomize=not _LONG_EXAMPLES,
+    max_examples=_LONG_EXAMPLES or 200,
     deadline=None,
     database=None,
     suppress_health_check=list(hypothesis.HealthCheck),
@@ -41,27 +42,27 @@
 
 
 class Log:
-    """Implements `ports.Log` for one stream."""
+    """Implements `ports.Log` for one stream, with injected faults."""
 
     def __init__(self) -> None:
         self.data: list[bytes] = []
         self.first = 0
         self.down = False
-        self.fates: list[Fate] = []
-        self.late: list[bytes] = []
+        self.fates: list[AppendOutcome] = []
+        self.delayed_records: list[bytes] = []
 
     def append(self, stream: str, records: Sequence[bytes]) -> int:
         assert stream == changes.STREAM
         if self.down:
             raise errors.RejectedError('down')
-        fate = self.fates.pop(0) if self.fates else 'answered'
-        if fate == 'late':
-            self.late += records
-        if fate in ('late', 'dropped'):
+        outcome = self.fates.pop(0) if self.fates else 'answered'
+        if outcome == 'late':
+            self.delayed_records += records
+        if outcome in ('late', 'dropped'):
             raise errors.AnswerLostError('silence')
         first = len(self.data)
         self.data += records
-        if fate == 'lost':
+        if outcome == 'lost':
             raise errors.AnswerLostError('silence')
         return first
 
@@ -71,40 +72,43 @@
             raise errors.RejectedError('down')
         if offset < self.first:
             raise errors.LapsedError(self.first)
-        shown = self.data[offset : offset + limit]
+        selected = self.data[offset : offset + limit]
         return ports.Batch(
             self.first,
             len(self.data),
-            tuple(ports.Record(offset + i, d) for i, d in enumerate(shown)),
+            tuple(
+                ports.Record(offset + index, data)
+                for index, data in enumerate(selected)
+            ),
         )
 
     def land(self) -> None:
-        """Lets appends whose answer was lost have their effect now."""
-        self.data += self.late
-        self.late = []
+        """Makes delayed appends, whose replies were lost, take effect now."""
+        self.data += self.delayed_records
+        self.delayed_records = []
 
 
 class Keeper:
-    """What a keeper does with its follower, without the sockets."""
+    """The behaviour of a keeper with its follower, without the sockets."""
 
     def __init__(self, name: str, log: Log) -> None:
         self.name = name
         self.log = log
-        self.starts = 0
-        # Whether the log, and other keepers, can be reached.
-        self.log_cut = False
-        self.peers_cut = False
-        self.bytes = 0
+        self.start_count = 0
+        # Whether the log, and the other keepers, are unreachable.
+        self.log_unreachable = False
+        self.peers_unreachable = False
+        self.sent_bytes = 0
         self.restart()
 
     def restart(self) -> None:
-        self.starts += 1
+        self.start_count += 1
         self.follower = spread.Follower(
             self.name, freshness_s=FRESHNESS_S, checkpoint_s=20.0
         )
 
     def poll(self, now: float) -> None:
-        if self.log_cut:
+        if self.log_unreachable:
             self.follower.on_log_failed(now)
             return
         try:
@@ -126,7 +130,7 @@
     def beat(self) -> messages.Beat:
         return messages.Beat(
             entry_vm=self.name,
-            incarnation=f'{self.name}-{self.starts}',
+            incarnation=f'{self.name}-{self.start_count}',
             data_centre='halle-nord',
             address='10.0.0.1:7000',
             offset=self.follower.offset,
@@ -135,79 +139,84 @@
         )
 
     def meet(self, now: float, other: 'Keeper') -> None:
-        """Exchanges beats, and pulls from the one that is ahead."""
-        if self.peers_cut or other.peers_cut:
+        """Exchanges heartbeats; the keeper that is behind pulls the state."""
+        if self.peers_unreachable or other.peers_unreachable:
             return
         mine, theirs = self.beat(), other.beat()
-        for one, two, beat in ((other, self, mine), (self, other, theirs)):
-            self.bytes += len(messages.encode(beat))
-            if one.follower.on_peer(now, beat):
-                reply = two.follower.pull_reply()
-                self.bytes += len(messages.encode(reply))
-                one.follower.on_pull(now, reply)
+        for receiver, sender, heartbeat in (
+            (other, self, mine),
+            (self, other, theirs),
+        ):
+            self.sent_bytes += len(messages.encode(heartbeat))
+            if receiver.follower.on_peer(now, heartbeat):
+                reply = sender.follower.pull_reply()
+                self.sent_bytes += len(messages.encode(reply))
+                receiver.follower.on_pull(now, reply)
 
 
 class Operator:
-    """An operator at work: one change, a call to the log at a time."""
+    """An operator who makes one change, one call to the log at a time."""
 
     def __init__(
         self,
         world: 'World',
         name: str,
-        act: Callable[[submit.Submitter], submit.Learnt],
+        action: Callable[[submit.Submitter], submit.Learnt],
         patience_s: float,
     ) -> None:
-        self.done = False
-        self.learnt: submit.Learnt | None = None
-        self.ids: list[str] = []
+        self.is_done = False
+        self.outcome: submit.Learnt | None = None
+        self.change_ids: list[str] = []
         self.error: Exception | None = None
         self._world = world
         self._name = name
-        self._go = threading.Semaphore(0)
-        self._stopped = threading.Semaphore(0)
+        self._resume = threading.Semaphore(0)
+        self._paused = threading.Semaphore(0)
         submitter = submit.Submitter(
             self,
             clock=lambda: world.now,
-            pause=lambda _: self._turn(),
+            pause=lambda _: self._wait_for_turn(),
             new_id=self._new_id,
             patience_s=patience_s,
         )
-        self._thread = threading.Thread(target=self._run, args=(act, submitter))
+        self._thread = threading.Thread(
+            target=self._run, args=(action, submitter)
+        )
         self._thread.start()
 
-    def step(self) -> None:
-        """Runs up to the next call to the log."""
-        self._go.release()
-        self._stopped.acquire()
+    def run_to_next_call(self) -> None:
+        """Runs until just before the next call to the log."""
+        self._resume.release()
+        self._paused.acquire()
 
     def append(self, stream: str, records: Sequence[bytes]) -> int:
-        self._turn()
+        self._wait_for_turn()
         return self._world.log.append(stream, records)
 
     def read(self, stream: str, offset: int, limit: int = 1000) -> ports.Batch:
-        self._turn()
+        self._wait_for_turn()
         return self._world.log.read(stream, offset, limit)
 
     def _run(
         self,
-        act: Callable[[submit.Submitter], submit.Learnt],
+        action: Callable[[submit.Submitter], submit.Learnt],
         submitter: submit.Submitter,
     ) -> None:
-        self._go.acquire()
+        self._resume.acquire()
         try:
-            self.learnt = act(submitter)
+            self.outcome = action(submitter)
         except errors.FoxtaildaleError as exc:
             self.error = exc
-        self.done = True
-        self._stopped.release()
+        self.is_done = True
+        self._paused.release()
 
-    def _turn(self) -> None:
-        self._stopped.release()
-        self._go.acquire()
+    def _wait_for_turn(self) -> None:
+        self._paused.release()
+        self._resume.acquire()
 
     def _new_id(self) -> str:
-        self.ids.append(f'{self._name}-{len(self.ids)}')
-        return self.ids[-1]
+        self.change_ids.append(f'{self._name}-{len(self.change_ids)}')
+        return self.change_ids[-1]
 
 
 def preset(number: int) -> values.Preset:
@@ -223,7 +232,7 @@
 
 
 class World:
-    """All of it, with a clock that only a history moves."""
+    """The log, keepers and operators, with a clock that the history sets."""
 
     def __init__(self, keepers: int) -> None:
         self.now = 0.0
@@ -232,87 +241,96 @@
         self.operators: list[Operator] = []
 
     def publish(self, number: int, patience_s: float) -> None:
-        self._start(lambda sub: sub.publish(preset(number)), patience_s)
+        self._start_operator(
+            lambda submitter: submitter.publish(preset(number)), patience_s
+        )
 
     def switch(
         self, number: int, expects: int | None, patience_s: float
     ) -> None:
         name = preset(number).name
-        self._start(
-            lambda sub: sub.switch(name, digest(number), expects), patience_s
+        self._start_operator(
+            lambda submitter: submitter.switch(name, digest(number), expects),
+            patience_s,
         )
 
-    def _start(
+    def _start_operator(
         self,
-        act: Callable[[submit.Submitter], submit.Learnt],
+        action: Callable[[submit.Submitter], submit.Learnt],
         patience_s: float,
     ) -> None:
         name = f'op{len(self.operators)}'
-        self.operators.append(Operator(self, name, act, patience_s))
+        self.operators.append(Operator(self, name, action, patience_s))
 
-    def step(self, number: int) -> None:
-        running = [one for one in self.operators if not one.done]
+    def step_operator(self, number: int) -> None:
+        running = [
+            operator for operator in self.operators if not operator.is_done
+        ]
         if running:
-            running[number % len(running)].step()
+            running[number % len(running)].run_to_next_call()
 
     def finish(self) -> None:
-        """Lets every operator come to its end."""
-        for one in self.operators:
-            while not one.done:
+        """Runs every operator until it is done."""
+        for operator in self.operators:
+            while not operator.is_done:
                 self.now += 1.0
-                one.step()
+                operator.run_to_next_call()
 
 
-class Truth(msgspec.Struct):
-    """What the whole stream means, by a rule of its own.
+class ExpectedState(msgspec.Struct):
+    """The state that the complete stream defines, computed independently.
 
-    Ids are remembered without end here, and nothing lapses; of lateness only
-    the stated rule is used.
+    Ids are remembered without limit and no record expires. Whether a record is
+    stale depends only on its base offset and the window.
     """
 
-    # Digest of the preset and offset, by revision from 1.
+    # Digest of the preset and offset of each switch, by revision from 1.
     switches: list[tuple[str, int]]
-    # Ids of records that took effect, and of all that were judged.
+    # Ids of records that were accepted, and of all that have a verdict.
     accepted: set[str]
-    judged: set[str]
-    # Revision after each offset.
+    decided: set[str]
+    # Revision before each offset, and at the end of the stream.
     revisions: list[int]
 
 
-def truth(data: Sequence[bytes], window: int, keep: int) -> Truth:
-    found = Truth([], set(), set(), [0])
+def expected_state(
+    data: Sequence[bytes], window: int, max_published: int
+) -> ExpectedState:
+    expected = ExpectedState([], set(), set(), [0])
     published: list[tuple[str, str]] = []
     for offset, record in enumerate(data):
         change: Any = changes.decode(record)
         if not isinstance(change, changes.Publish | changes.Switch):
             pass
-        elif change.id not in found.judged:
-            found.judged.add(change.id)
+        elif change.id not in expected.decided:
+            expected.decided.add(change.id)
             if change.base <= offset < change.base + window:
-                _judge(found, published, change, offset, keep)
-        found.revisions.append(len(found.switches))
-    return found
+                _decide(expected, published, change, offset, max_published)
+        expected.revisions.append(len(expected.switches))
+    return expected
 
 
-def _judge(
-    found: Truth,
+def _decide(
+    expected: ExpectedState,
     published: list[tuple[str, str]],
     change: changes.Publish | changes.Switch,
     offset: int,
-    keep: int,
+    max_published: int,
 ) -> None:
     if isinstance(change, changes.Publish):
         key = (changes.preset_of(change.preset).name, change.digest)
         if key in published:
             published.remove(key)
         published.append(key)
-        in_force = found.switches[-1][0] if found.switches else ''
-        while len(published) > keep:
-            old = next(one for one in published if one[1] != in_force)
-            published.remove(old)
-        found.accepted.add(change.id)
+        in_force = expected.switches[-1][0] if expected.switches else ''
+        while len(published) > max_published:
+            oldest = next(
+                candidate for candidate in published if candidate[1] != in_force
+            )
+            published.remove(oldest)
+        expected.accepted.add(change.id)
         return
-    right = change.expects == len(found.switches)
-    if right and (change.name, change.digest) in published:
-        found.switches.append((change.digest, offset))
-        found.accepted.add(change.id)
+    revision_matches = change.expects == len(expected.switches)
+    if revision_matches and (change.name, change.digest) in published:
+        expected.switches.append((change.digest, offset))
+        expected.accepted.add(change.id)
--- a/tests/test_config_histories.py
+++ b/tests/test_config_histories.py
@@ -1,4 +1,7 @@
-"""Histories of presets: concurrent, with faults, against an oracle."""
+"""Concurrent histories of configuration changes with faults.
+
+The results are compared with those of an oracle.
+"""
 
 from collections.abc import Iterator
 import contextlib
@@ -15,21 +18,23 @@
 from tests import config_world
 
 _KEEPERS = 4
-# Small, so that short histories pass them.
+# Small enough for short histories to exceed them.
 _WINDOW = 12
-_PUBLISHED = 3
+_MAX_PUBLISHED = 3
 
-_keeper = strategies.integers(0, _KEEPERS - 1)
-_preset = strategies.sampled_from([0, 1, 2, 0, 1, 2, 3])
-_patience = strategies.sampled_from([0.0, 3.0])
+_keeper_numbers = strategies.integers(0, _KEEPERS - 1)
+_preset_numbers = strategies.sampled_from([0, 1, 2, 0, 1, 2, 3])
+_patience_values = strategies.sampled_from([0.0, 3.0])
 _events = strategies.one_of(
-    strategies.tuples(strategies.just('publish'), _preset, _patience),
+    strategies.tuples(
+        strategies.just('publish'), _preset_numbers, _patience_values
+    ),
     *[
         strategies.tuples(
             strategies.just('switch'),
-            _preset,
+            _preset_numbers,
             strategies.sampled_from([None, None, None, 1, 2]),
-            _patience,
+            _patience_values,
         )
     ]
     * 2,
@@ -41,58 +46,61 @@
         )
     ]
     * 5,
-    *[strategies.tuples(strategies.just('poll'), _keeper)] * 2,
-    strategies.tuples(strategies.just('meet'), _keeper, _keeper),
+    *[strategies.tuples(strategies.just('poll'), _keeper_numbers)] * 2,
+    strategies.tuples(
+        strategies.just('exchange_heartbeats'), _keeper_numbers, _keeper_numbers
+    ),
     strategies.tuples(strategies.just('down'), strategies.booleans()),
     strategies.tuples(
-        strategies.just('fate'),
+        strategies.just('append_outcome'),
         strategies.sampled_from(['lost', 'dropped', 'late']),
     ),
-    strategies.tuples(strategies.just('land')),
+    strategies.tuples(strategies.just('apply_delayed')),
     strategies.tuples(
-        strategies.just('lapse'),
+        strategies.just('expire'),
         strategies.integers(1, 6),
         strategies.sampled_from([False] * 9 + [True]),
     ),
-    strategies.tuples(strategies.just('restart'), _keeper),
+    strategies.tuples(strategies.just('restart'), _keeper_numbers),
     strategies.tuples(
-        strategies.just('cut'),
-        _keeper,
+        strategies.just('disconnect'),
+        _keeper_numbers,
         strategies.booleans(),
         strategies.booleans(),
     ),
     strategies.tuples(
-        strategies.just('pass'), strategies.sampled_from([1.0, 10.0, 40.0])
+        strategies.just('advance_clock'),
+        strategies.sampled_from([1.0, 10.0, 40.0]),
     ),
 )
 
 
 @contextlib.contextmanager
 def small_bounds() -> Iterator[None]:
-    """Makes memories short enough for short histories to pass them."""
+    """Reduces the limits so that short histories exceed them."""
     with (
         mock.patch.object(fold, 'WINDOW', _WINDOW),
-        mock.patch.object(fold, 'MAX_PUBLISHED', _PUBLISHED),
+        mock.patch.object(fold, 'MAX_PUBLISHED', _MAX_PUBLISHED),
         mock.patch.object(reading, '_BATCH', _WINDOW // 2),
     ):
         yield
 
 
 class History:
-    """Runs events and checks after each that nothing reverts."""
+    """Runs events and checks after each that no keeper reverts."""
 
     def __init__(self) -> None:
         self.world = config_world.World(_KEEPERS)
-        # Highest offset and revision of each start of a keeper.
+        # Highest offset and revision of each incarnation of a keeper.
         self.highest: dict[tuple[str, int], tuple[int, int]] = {}
-        for number in range(_PUBLISHED):
+        for number in range(_MAX_PUBLISHED):
             self.world.publish(number, 0.0)
             self.world.finish()
         self.world.switch(0, None, 0.0)
         self.world.finish()
 
     def run(self, event: tuple[Any, ...]) -> None:
-        """Runs one event; each kind has its method."""
+        """Runs one event by the method that is named after its kind."""
         kind, *args = event
         getattr(self, f'on_{kind}')(*args)
         self.check()
@@ -107,82 +115,96 @@
 
     def on_step(self, number: int, times: int) -> None:
         for _ in range(times):
-            self.world.step(number)
+            self.world.step_operator(number)
 
     def on_poll(self, number: int) -> None:
         self.world.keepers[number].poll(self.world.now)
 
-    def on_meet(self, one: int, two: int) -> None:
-        if one != two:
+    def on_exchange_heartbeats(self, first: int, second: int) -> None:
+        if first != second:
             keepers = self.world.keepers
-            keepers[one].meet(self.world.now, keepers[two])
+            keepers[first].meet(self.world.now, keepers[second])
 
     def on_down(self, down: bool) -> None:
         self.world.log.down = down
 
-    def on_fate(self, fate: config_world.Fate) -> None:
-        self.world.log.fates.append(fate)
+    def on_append_outcome(self, outcome: config_world.AppendOutcome) -> None:
+        self.world.log.fates.append(outcome)
 
-    def on_land(self) -> None:
+    def on_apply_delayed(self) -> None:
         self.world.log.land()
 
-    def on_lapse(self, count: int, past_checkpoints: bool) -> None:
-        """Lets records go; seldom also those that a late reader needs."""
+    def on_expire(self, count: int, past_checkpoints: bool) -> None:
+        """Expires records; rarely also those that a late reader needs."""
         log = self.world.log
-        kept = len(log.data) if past_checkpoints else _checkpoint(log.data)
-        log.first = max(log.first, min(log.first + count, kept))
+        max_first = (
+            len(log.data)
+            if past_checkpoints
+            else _newest_checkpoint_offset(log.data)
+        )
+        log.first = max(log.first, min(log.first + count, max_first))
 
     def on_restart(self, number: int) -> None:
         self.world.keepers[number].restart()
 
-    def on_cut(self, number: int, log: bool, peers: bool) -> None:
+    def on_disconnect(
+        self, number: int, log_unreachable: bool, peers_unreachable: bool
+    ) -> None:
         keeper = self.world.keepers[number]
-        keeper.log_cut, keeper.peers_cut = log, peers
+        keeper.log_unreachable, keeper.peers_unreachable = (
+            log_unreachable,
+            peers_unreachable,
+        )
 
-    def on_pass(self, seconds: float) -> None:
+    def on_advance_clock(self, seconds: float) -> None:
         self.world.now += seconds
 
-    def truth(self) -> config_world.Truth:
+    def expected_state(self) -> config_world.ExpectedState:
         data = self.world.log.data
-        return config_world.truth(data, _WINDOW, _PUBLISHED)
+        return config_world.expected_state(data, _WINDOW, _MAX_PUBLISHED)
 
     def check(self) -> None:
-        """No reverting, and each state is the one that the log gives."""
-        truth = self.truth()
+        """Checks that no keeper reverts and each state matches the log."""
+        expected_state = self.expected_state()
         for keeper in self.world.keepers:
             follower = keeper.follower
-            now = (follower.offset, follower.state.revision)
-            key = (keeper.name, keeper.starts)
-            before = self.highest.get(key, (0, 0))
-            assert now[0] >= before[0] and now[1] >= before[1]
-            self.highest[key] = now
-            assert follower.state.revision == truth.revisions[follower.offset]
+            current = (follower.offset, follower.state.revision)
+            key = (keeper.name, keeper.start_count)
+            previous = self.highest.get(key, (0, 0))
+            assert current[0] >= previous[0] and current[1] >= previous[1]
+            self.highest[key] = current
+            assert (
+                follower.state.revision
+                == expected_state.revisions[follower.offset]
+            )
             if follower.in_force is not None:
-                there = (follower.in_force.digest, follower.in_force.offset)
-                assert there == truth.switches[follower.in_force.revision - 1]
+                in_force = (follower.in_force.digest, follower.in_force.offset)
+                assert (
+                    in_force
+                    == expected_state.switches[follower.in_force.revision - 1]
+                )
             assert not follower.divergences
 
-    def end(self) -> None:
-        """Ends all faults and lets every operator learn its outcome."""
+    def end_faults(self) -> None:
+        """Ends all faults and runs every operator until it has its outcome."""
         log = self.world.log
         log.down = False
         log.fates.clear()
         self.world.finish()
         log.land()
         for keeper in self.world.keepers:
-            keeper.log_cut = keeper.peers_cut = False
+            keeper.log_unreachable = keeper.peers_unreachable = False
 
 
 @config_world.SETTINGS
 @hypothesis.given(strategies.lists(_events, min_size=30, max_size=90))
-def test_one_preset_in_force_no_reverting_and_true_verdicts(
+def test_presets_never_revert_and_verdicts_are_correct(
     events: list[tuple[Any, ...]],
 ) -> None:
-    """Operators race while the log loses answers, is down and lets lapse.
+    """Guards against VMs with different presets and against wrong verdicts.
 
-    Keepers are cut off and restarted in between. A user would notice two VMs
-    that work by different rules, or a switch that was reported as done and
-    isn't there, or as failed and is.
+    Operators race while the log loses replies, is down and expires records;
+    keepers are disconnected and restarted meanwhile.
     """
     with small_bounds():
         history = History()
@@ -190,41 +212,43 @@
             for event in events:
                 history.run(event)
         finally:
-            history.end()
+            history.end_faults()
         history.check()
-        truth = history.truth()
+        expected_state = history.expected_state()
         for operator in history.world.operators:
-            _check_verdict(operator, truth)
+            _check_verdict(operator, expected_state)
 
 
 def _check_verdict(
-    operator: config_world.Operator, truth: config_world.Truth
+    operator: config_world.Operator, expected_state: config_world.ExpectedState
 ) -> None:
     if operator.error is not None:
-        # Raised before anything is sent.
-        assert not operator.ids or operator.ids[0] not in truth.judged
+        # The error was raised before the change was sent.
+        assert (
+            not operator.change_ids
+            or operator.change_ids[0] not in expected_state.decided
+        )
         return
-    learnt = operator.learnt
-    assert learnt is not None
-    if learnt.result == 'accepted':
-        assert learnt.id in truth.accepted
-    elif learnt.result == 'rejected':
-        assert learnt.id not in truth.accepted
-    elif learnt.result == 'not-sent':
-        assert learnt.id not in truth.judged
+    outcome = operator.outcome
+    assert outcome is not None
+    if outcome.result == 'accepted':
+        assert outcome.id in expected_state.accepted
+    elif outcome.result == 'rejected':
+        assert outcome.id not in expected_state.accepted
+    elif outcome.result == 'not-sent':
+        assert outcome.id not in expected_state.decided
 
 
 @config_world.SETTINGS
 @hypothesis.given(strategies.lists(_events, min_size=30, max_size=90))
-def test_all_agree_within_three_polls_after_the_faults_end(
+def test_all_keepers_agree_within_three_polls_after_faults_end(
     events: list[tuple[Any, ...]],
 ) -> None:
-    """Everything that can be cut was cut, and comes back at once.
+    """Guards against keepers that stay out of date after all faults end.
 
-    One poll may find that records have lapsed and one that there is a
-    checkpoint; the third brings the rest. A keeper that finds none learns
-    from a peer meanwhile. Only where every process was lost and the log has
-    let everything lapse is there nothing to learn; then nobody vouches.
+    One poll may find expired records, one a checkpoint, the third the rest.
+    Without a checkpoint a keeper pulls from a peer; if no process has a state
+    and all records have expired, nobody vouches.
     """
     with small_bounds():
         history = History()
@@ -232,53 +256,56 @@
             for event in events:
                 history.run(event)
         finally:
-            history.end()
-        end = len(history.world.log.data)
-        _settle(history)
+            history.end_faults()
+        end_offset = len(history.world.log.data)
+        _run_rounds(history)
         followers = [one.follower for one in history.world.keepers]
         now = history.world.now
         vouched = [one.vouched(now) for one in followers]
         if history.world.log.first and not any(vouched):
             return
         assert all(vouched)
-        # Checkpoints are still being written; they put nothing in force.
-        assert all(one.offset >= end for one in followers)
-        revision = len(history.truth().switches)
+        # Checkpoints may still be appended; they do not change the revision.
+        assert all(one.offset >= end_offset for one in followers)
+        revision = len(history.expected_state().switches)
         assert {one.state.revision for one in followers} == {revision}
         history.check()
 
 
-def _checkpoint(data: list[bytes]) -> int:
-    """Returns what the newest checkpoint stands for."""
-    found = [changes.decode(one) for one in data]
+def _newest_checkpoint_offset(data: list[bytes]) -> int:
+    """Returns the offset up to which the newest checkpoint covers the log."""
+    decoded = [changes.decode(change) for change in data]
     offsets = [
-        one.offset for one in found if isinstance(one, changes.Checkpoint)
+        change.offset
+        for change in decoded
+        if isinstance(change, changes.Checkpoint)
     ]
     return max(offsets, default=0)
 
 
-def _settle(history: History) -> None:
-    """Three polls and beats, with the records in reach of one read each."""
+def _run_rounds(history: History) -> None:
+    """Polls and exchanges heartbeats until all keepers can be up to date."""
     world = history.world
-    for _ in range(_rounds(world)):
+    for _ in range(_round_count(world)):
         world.now += 1.0
         for keeper in world.keepers:
             keeper.poll(world.now)
-        for one in world.keepers:
-            for two in world.keepers:
-                if one is not two:
-                    one.meet(world.now, two)
+        for first in world.keepers:
+            for second in world.keepers:
+                if first is not second:
+                    first.meet(world.now, second)
 
 
-def _rounds(world: config_world.World) -> int:
-    """Polls of eight records each that reach the end, and three more."""
+def _round_count(world: config_world.World) -> int:
+    """Returns the polls of eight records that reach the end, and three more."""
     return 3 + len(world.log.data) // 8
 
 
-def test_an_outage_spreads_what_one_keeper_has_read_in_two_beats() -> None:
-    """The log goes down just after one keeper has read a switch.
+def test_in_a_log_outage_a_switch_spreads_in_two_heartbeats() -> None:
+    """Guards against keepers that miss a switch during a log outage.
 
-    The others have no way to it but that keeper.
+    The log fails just after one keeper has read the switch, so the others can
+    receive it only from that keeper.
     """
     world = config_world.World(8)
     world.publish(1, 3.0)
@@ -289,10 +316,10 @@
     first.poll(world.now)
     world.log.down = True
     for _ in range(2):
-        for one in world.keepers:
-            for two in world.keepers:
-                if one is not two:
-                    one.meet(world.now, two)
-    assert {one.follower.state.revision for one in others} == {1}
-    assert all(one.follower.vouched(world.now) for one in others)
+        for keeper in world.keepers:
+            for peer in world.keepers:
+                if keeper is not peer:
+                    keeper.meet(world.now, peer)
+    assert {keeper.follower.state.revision for keeper in others} == {1}
+    assert all(keeper.follower.vouched(world.now) for keeper in others)
     assert isinstance(first.follower, spread.Follower)
