--- a/tests/config_world.py
+++ b/tests/config_world.py
@@ -77,8 +77,8 @@
             self.first,
             len(self.data),
             tuple(
-                ports.Record(offset + index, data)
-                for index, data in enumerate(selected)
+                ports.Record(offset + index, record)
+                for index, record in enumerate(selected)
             ),
         )
 
--- a/tests/test_config_histories.py
+++ b/tests/test_config_histories.py
@@ -178,9 +178,12 @@
                 == expected_state.revisions[follower.offset]
             )
             if follower.in_force is not None:
-                in_force = (follower.in_force.digest, follower.in_force.offset)
+                digest_and_offset = (
+                    follower.in_force.digest,
+                    follower.in_force.offset,
+                )
                 assert (
-                    in_force
+                    digest_and_offset
                     == expected_state.switches[follower.in_force.revision - 1]
                 )
             assert not follower.divergences
@@ -246,9 +249,8 @@
 ) -> None:
     """Guards against keepers that stay out of date after all faults end.
 
-    One poll may find expired records, one a checkpoint, the third the rest.
-    Without a checkpoint a keeper pulls from a peer; if no process has a state
-    and all records have expired, nobody vouches.
+    Polls may find expired records, a checkpoint and the rest, or a peer helps.
+    Without any state or records left, no keeper vouches.
     """
     with small_bounds():
         history = History()
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -27,8 +27,8 @@
         self.fold.apply(ports.Record(self.fold.offset, data))
 
     def publish(self, name: str, burst: int = 3) -> str:
-        offset = self.fold.offset
-        change = changes.publish(f'p{offset}', offset, make_preset(name, burst))
+        base = self.fold.offset
+        change = changes.publish(f'p{base}', base, make_preset(name, burst))
         self.append(change)
         return change.digest
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -69,9 +69,10 @@
 
 
 def test_a_newer_listing_does_not_restore_a_leaving_server() -> None:
-    """Guards against a restored server after an unrelated listing change.
+    """Guards against new work for a leaving server after a listing update.
 
-    The listing changes before it includes that the server is leaving.
+    An unrelated change updates the listing before it reports the server as
+    leaving.
     """
     view = members.Members('a', 3)
     view.on_listing(0, make_listing(1, make_server('x'), make_server('y')))
@@ -141,7 +142,7 @@
 def test_without_a_listing_the_senders_of_heartbeats_are_peers() -> None:
     """Guards against an isolated VM that is replaced during an outage.
 
-    While the platform is down, the listing is not available either.
+    While the platform is down, the VM cannot obtain the listing.
     """
     view = members.Members('a', 3)
     view.on_beat(0, make_heartbeat('b'))
@@ -151,7 +152,7 @@
 
 
 def test_a_late_heartbeat_of_a_replaced_process_is_ignored() -> None:
-    """Guards against a late heartbeat of a restarted keeper's old process."""
+    """Guards against use of a late heartbeat from before a keeper's restart."""
     view = members.Members('a', 3)
     view.on_listing(0, make_listing(1))
     for incarnation in ('1', '2', '1'):
@@ -172,10 +173,10 @@
 def test_each_round_of_heartbeats_reaches_every_peer() -> None:
     peers = [f'127.0.0.1:{port}' for port in range(50)]
     selector = gossip.Gossip('a')
-    max_heartbeats = gossip.round_beats(51)
+    heartbeats = gossip.round_beats(51)
     reached = {
         address
-        for _ in range(max_heartbeats)
+        for _ in range(heartbeats)
         for address in selector.targets(peers)
     }
     assert reached == set(peers)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -402,9 +402,8 @@
 ) -> None:
     """Guards against slow or costly propagation of a switch.
 
-    The log is down and one keeper has read the switch. The bounds are those
-    of docs/design/presets.md: heartbeats, if all keepers send simultaneously,
-    and heartbeat bytes that one keeper sends and receives.
+    Only one keeper has read it before the log fails. docs/design/presets.md has
+    the bounds: simultaneous heartbeats, bytes sent and received by a keeper.
     """
     result = spread_bench.run(keepers)
     assert result.beats_in_step <= max_heartbeats
