--- a/tests/test_config_histories.py
+++ b/tests/test_config_histories.py
@@ -249,8 +249,8 @@
 ) -> None:
     """Guards against keepers that stay out of date after all faults end.
 
-    Polls may find expired records, a checkpoint and the rest, or a peer helps.
-    Without any state or records left, no keeper vouches.
+    Three polls may find expired records, a checkpoint and the rest. Without a
+    checkpoint a keeper pulls from a peer; if all state is lost, none vouches.
     """
     with small_bounds():
         history = History()
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -400,10 +400,10 @@
 def test_a_switch_read_by_one_keeper_spreads_in_a_few_heartbeats(
     keepers: int, max_heartbeats: int, max_payload_bytes: int
 ) -> None:
-    """Guards against slow or costly propagation of a switch.
+    """Guards against slow spread of a switch read once before a log outage.
 
-    Only one keeper has read it before the log fails. docs/design/presets.md has
-    the bounds: simultaneous heartbeats, bytes sent and received by a keeper.
+    The bounds of docs/design/presets.md are heartbeats, all keepers sending
+    simultaneously, and bytes of a heartbeat sent and received by one keeper.
     """
     result = spread_bench.run(keepers)
     assert result.beats_in_step <= max_heartbeats
