--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The example settings are whole, and say what the deployments need."""
+"""Example settings are valid and state what the deployments require."""
 
 import pathlib
 
@@ -12,7 +12,7 @@
 _PRESETS = ('ordinary', 'peak', 'maintenance')
 
 
-def _files(pattern: str) -> list[pathlib.Path]:
+def _example_files(pattern: str) -> list[pathlib.Path]:
     return sorted(_EXAMPLES.glob(pattern))
 
 
@@ -21,19 +21,21 @@
     return settings.preset(path.read_text(encoding='utf-8'), path.name)
 
 
-@pytest.mark.parametrize('path', _files('*/vm-*.json5'), ids=lambda p: p.name)
-def test_settings_of_daemons(path: pathlib.Path) -> None:
+@pytest.mark.parametrize(
+    'path', _example_files('*/vm-*.json5'), ids=lambda p: p.name
+)
+def test_daemon_settings_match_their_file_names(path: pathlib.Path) -> None:
     cfg = settings.options(path.read_text(encoding='utf-8'), path.name)
     assert isinstance(cfg, options.Options)
     assert path.stem == f'{cfg.entry_vm}-{cfg.role}'
 
 
 @pytest.mark.parametrize('deployment', ['eisbrecher', 'sahakorn'])
-def test_entry_and_keeper_of_a_vm_fit_together(deployment: str) -> None:
-    """An entry that asks another address than its keeper's knows nothing."""
+def test_entry_and_keeper_settings_of_a_vm_agree(deployment: str) -> None:
+    """An entry with a wrong keeper address receives no configuration."""
     entry, keeper = (
         settings.options(path.read_text(encoding='utf-8'), path.name)
-        for path in _files(f'{deployment}/vm-*.json5')
+        for path in _example_files(f'{deployment}/vm-*.json5')
     )
     assert (entry.role, keeper.role) == ('entry', 'keeper')
     assert entry.keeper == keeper.peer_address
@@ -42,7 +44,7 @@
 
 
 @pytest.mark.parametrize('name', _PRESETS)
-def test_eisbrecher(name: str) -> None:
+def test_presets_of_eisbrecher(name: str) -> None:
     preset = _preset('eisbrecher', name)
     assert preset.name == name
     reader, queue = preset.services['enteis-llm'], preset.services['queue-app']
@@ -53,7 +55,7 @@
 
 
 @pytest.mark.parametrize('name', _PRESETS)
-def test_sahakorn(name: str) -> None:
+def test_presets_of_sahakorn(name: str) -> None:
     preset = _preset('sahakorn', name)
     assert preset.name == name
     reader = preset.services['patrol-reader']
--- a/tests/test_logevents.py
+++ b/tests/test_logevents.py
@@ -1,4 +1,4 @@
-"""The registry of log lines agrees with the code and with the page."""
+"""The registry of log events agrees with the code and the documentation."""
 
 import pathlib
 import re
@@ -33,37 +33,37 @@
     'tidy',
     'verdicts',
 )
-_CALL = re.compile(
+_LOG_CALL = re.compile(
     r'(?:logs\.event\(\s*\w+\.\w+,|\.log\()\s*'
     r"('[^']+'(?:\s+if [^,]+?\s+else\s+'[^']+')?)"
 )
-_ASSIGNED = re.compile(r"\bevent = \(?\s*('[^']+'[^\n]*)")
+_EVENT_ASSIGNMENT = re.compile(r"\bevent = \(?\s*('[^']+'[^\n]*)")
 
 
-def _in_code() -> set[str]:
-    found = set()
+def _events_in_code() -> set[str]:
+    event_names = set()
     paths = [_DAEMON / f'{module}.py' for module in _MODULES]
-    names = ('records', 'store', 'workers')
-    adapters = [_PLATFORM / f'{name}.py' for name in names]
-    for path in (*paths, *adapters):
+    adapter_names = ('records', 'store', 'workers')
+    adapter_paths = [_PLATFORM / f'{name}.py' for name in adapter_names]
+    for path in (*paths, *adapter_paths):
         text = path.read_text()
         text = re.sub(r"== '[^']*'", '', text)
-        for pattern in (_CALL, _ASSIGNED):
+        for pattern in (_LOG_CALL, _EVENT_ASSIGNMENT):
             for match in pattern.finditer(text):
-                found.update(re.findall(r"'([^']+)'", match.group(1)))
-    return found
+                event_names.update(re.findall(r"'([^']+)'", match.group(1)))
+    return event_names
 
 
-def test_every_line_of_the_code_is_registered() -> None:
-    assert _in_code() <= set(logevents.ALL)
+def test_every_event_of_the_code_is_registered() -> None:
+    assert _events_in_code() <= set(logevents.ALL)
 
 
-def test_every_registered_line_is_in_the_code() -> None:
-    outside = {'log lines left out', 'reload failed'}
-    assert set(logevents.ALL) - _in_code() <= outside
+def test_every_registered_event_is_in_the_code() -> None:
+    logged_elsewhere = {'log lines left out', 'reload failed'}
+    assert set(logevents.ALL) - _events_in_code() <= logged_elsewhere
 
 
-def test_the_page_has_every_line_with_its_fields() -> None:
+def test_the_page_has_every_event_with_its_fields() -> None:
     page = (_ROOT / 'docs' / 'LOGS.md').read_text()
     for name, event in logevents.ALL.items():
         fields = ', '.join(f'`{field}`' for field in event.fields) or '-'
@@ -72,5 +72,5 @@
 
 def test_sentences_use_fields_that_are_registered() -> None:
     for name, event in logevents.ALL.items():
-        used = set(re.findall(r'\{(\w+)\}', event.sentence))
-        assert used <= set(event.fields), name
+        placeholders = set(re.findall(r'\{(\w+)\}', event.sentence))
+        assert placeholders <= set(event.fields), name
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""The home of a service plans, admits and recovers its ledger."""
+"""The coordinator of a service plans, admits and rebuilds its ledger."""
 
 from foxtaildale import backends
 from foxtaildale import homes
@@ -12,7 +12,7 @@
 BATCH = values.Service(kind='model', patience_ms=10_000, queue_limit=2)
 
 
-def server(
+def make_server(
     name: str, role: values.Role, slots: int = 2
 ) -> values.BackendServer:
     return values.BackendServer(
@@ -25,15 +25,15 @@
     )
 
 
-def make(service: values.Service = SERVICE, decodes: int = 1) -> pool.Pool:
-    home = pool.Pool('enteis-llm')
-    home.on_service(service, values.Weights())
-    names = [server(f'd{i}', 'decode') for i in range(decodes)]
-    home.on_servers(0, [server('p0', 'prefill'), *names])
-    return home
+def make_pool(service: values.Service = SERVICE, decodes: int = 1) -> pool.Pool:
+    slot_pool = pool.Pool('enteis-llm')
+    slot_pool.on_service(service, values.Weights())
+    decode_servers = [make_server(f'd{i}', 'decode') for i in range(decodes)]
+    slot_pool.on_servers(0, [make_server('p0', 'prefill'), *decode_servers])
+    return slot_pool
 
 
-def ask(request: str, waited_ms: int = 0) -> messages.AskSlot:
+def slot_request(request: str, waited_ms: int = 0) -> messages.AskSlot:
     return messages.AskSlot(
         service='enteis-llm',
         request=request,
@@ -45,38 +45,40 @@
     )
 
 
-def end(request: str, result: str = 'done') -> messages.EndSlot:
+def slot_end(request: str, result: str = 'done') -> messages.EndSlot:
     return messages.EndSlot(
         service='enteis-llm', grant=f'{request}/1', result=result
     )
 
 
-def test_a_lost_reply_asked_for_again_reserves_once() -> None:
-    """The reply to an ask is lost and the entry asks again.
+def test_a_request_repeated_after_a_lost_reply_reserves_once() -> None:
+    """The reply to a slot request is lost and the entry VM sends it repeated.
 
-    A second slot held for the same request would stay empty until it lapses,
-    and callers would be refused beside an idle slot.
+    A second slot reserved for the same request would stay empty until it
+    expires, and callers would be refused although a slot is idle.
     """
-    home = make()
-    first = home.ask(0, ask('r'))
-    again = home.ask(0.05, ask('r'))
+    slot_pool = make_pool()
+    first = slot_pool.ask(0, slot_request('r'))
+    repeated = slot_pool.ask(0.05, slot_request('r'))
     assert isinstance(first, messages.Granted)
-    assert isinstance(again, messages.Granted)
-    assert again.grant == first.grant
-    assert home.dump()['granted'] == 1
-    once = make()
-    once.ask(0, ask('r'))
-    assert home.ask(0.05, ask('s')) == once.ask(0.05, ask('s'))
+    assert isinstance(repeated, messages.Granted)
+    assert repeated.grant == first.grant
+    assert slot_pool.dump()['granted'] == 1
+    other_pool = make_pool()
+    other_pool.ask(0, slot_request('r'))
+    assert slot_pool.ask(0.05, slot_request('s')) == other_pool.ask(
+        0.05, slot_request('s')
+    )
 
 
-def test_a_full_pool_refuses_at_once_and_spreads_the_return() -> None:
-    """More callers come than the workers can serve in time.
+def test_a_full_pool_refuses_at_once_and_spreads_retries() -> None:
+    """More callers send requests than the workers can serve in time.
 
-    A caller that is not told at once waits for an answer that comes too late,
-    and callers told the same time all come back together.
+    A caller that is not refused at once waits for a response that comes too
+    late, and callers given the same retry time all retry together.
     """
-    home = make()
-    replies = [home.ask(0, ask(f'r{i}')) for i in range(12)]
+    slot_pool = make_pool()
+    replies = [slot_pool.ask(0, slot_request(f'r{i}')) for i in range(12)]
     refused = [r for r in replies if isinstance(r, messages.Refused)]
     assert len(refused) >= 8
     assert {r.code for r in refused} == {'no-capacity'}
@@ -84,32 +86,39 @@
     assert times == sorted(set(times))
 
 
-def test_a_summary_waits_in_a_bounded_queue_and_keeps_its_rank() -> None:
-    """Summaries arrive while every slot is taken.
+def test_a_batch_request_keeps_its_position_in_a_bounded_queue() -> None:
+    """Batch requests arrive while every slot is in use.
 
-    They may be late; one that is overtaken for ever would be lost.
+    They may be delayed, but a request that later ones always overtake would
+    never be served.
     """
-    home = make(BATCH)
+    slot_pool = make_pool(BATCH)
     for i in range(2):
-        assert isinstance(home.ask(0, ask(f'r{i}')), messages.Granted)
-    assert isinstance(home.ask(0.1, ask('a')), messages.Queued)
-    second = home.ask(0.2, ask('b'))
+        assert isinstance(
+            slot_pool.ask(0, slot_request(f'r{i}')), messages.Granted
+        )
+    assert isinstance(slot_pool.ask(0.1, slot_request('a')), messages.Queued)
+    second = slot_pool.ask(0.2, slot_request('b'))
     assert isinstance(second, messages.Queued)
     assert second.position == 1
-    full = home.ask(0.2, ask('c'))
+    full = slot_pool.ask(0.2, slot_request('c'))
     assert isinstance(full, messages.Refused)
     assert full.code == 'queue-full'
-    home.end(0.3, end('r0'))
-    assert isinstance(home.ask(0.3, ask('b', 100)), messages.Queued)
-    assert isinstance(home.ask(0.3, ask('a', 200)), messages.Granted)
+    slot_pool.end(0.3, slot_end('r0'))
+    assert isinstance(
+        slot_pool.ask(0.3, slot_request('b', 100)), messages.Queued
+    )
+    assert isinstance(
+        slot_pool.ask(0.3, slot_request('a', 200)), messages.Granted
+    )
 
 
 def test_a_leaving_worker_gets_no_new_work() -> None:
     """A worker is drained for maintenance.
 
-    Requests placed there after that would be cut when it stops.
+    Requests placed there after that would be aborted when it stops.
     """
-    home = make(decodes=2)
+    slot_pool = make_pool(decodes=2)
     leaving = values.BackendServer(
         name='d0',
         address='127.0.0.1:9',
@@ -118,58 +127,60 @@
         role='decode',
         state='leaving',
     )
-    home.on_servers(
-        1, [server('p0', 'prefill'), leaving, server('d1', 'decode')]
+    slot_pool.on_servers(
+        1, [make_server('p0', 'prefill'), leaving, make_server('d1', 'decode')]
     )
     for i in range(2):
-        granted = home.ask(1, ask(f'r{i}'))
+        granted = slot_pool.ask(1, slot_request(f'r{i}'))
         assert isinstance(granted, messages.Granted)
         assert granted.decode == 'd1'
 
 
-def test_the_home_moves_only_when_it_goes() -> None:
+def test_the_coordinator_changes_only_when_it_is_removed() -> None:
     keepers = [f'vm{i}' for i in range(8)]
     services = [f's{i}' for i in range(200)]
     before = {s: homes.home(s, keepers) for s in services}
     after = {s: homes.home(s, keepers[1:]) for s in services}
-    moved = [s for s in services if before[s] != after[s]]
-    assert {before[s] for s in moved} == {'vm0'}
+    reassigned = [s for s in services if before[s] != after[s]]
+    assert {before[s] for s in reassigned} == {'vm0'}
     assert homes.home('s', []) == ''
 
 
 def test_a_plain_service_gets_a_worker_and_no_prefill() -> None:
-    home = pool.Pool('queue-app')
-    home.on_service(values.Service(kind='plain'), values.Weights())
-    listed = values.BackendServer(
+    slot_pool = pool.Pool('queue-app')
+    slot_pool.on_service(values.Service(kind='plain'), values.Weights())
+    worker = values.BackendServer(
         name='q0',
         address='127.0.0.1:9',
         data_centre='halle-nord',
         service='queue-app',
         role='plain',
     )
-    home.on_servers(0, [listed])
-    granted = home.ask(0, ask('r'))
+    slot_pool.on_servers(0, [worker])
+    granted = slot_pool.ask(0, slot_request('r'))
     assert isinstance(granted, messages.Granted)
     assert (granted.prefill, granted.decode) == ('', 'q0')
 
 
-def test_a_new_home_does_not_overfill_before_holders_repeat() -> None:
-    """The home dies and another keeper takes over with an empty ledger.
+def test_a_new_coordinator_does_not_overfill_before_renewals() -> None:
+    """The coordinator crashes; another keeper starts with an empty ledger.
 
-    It would grant slots that are taken, and callers' prefills would end at
-    workers that are full.
+    It would grant slots that are in use, and callers' finished prefills would
+    find full decode workers.
     """
-    home = make(BATCH)
+    slot_pool = make_pool(BATCH)
     load = backends.Load(
         name='d0', slots=2, running=2, queued=0, backlog_tokens=0, age_ms=500
     )
-    home.on_load(0.1, 'd0', load)
-    assert isinstance(home.ask(0.1, ask('r')), messages.Queued)
-    home.keep(
+    slot_pool.on_load(0.1, 'd0', load)
+    assert isinstance(slot_pool.ask(0.1, slot_request('r')), messages.Queued)
+    slot_pool.keep(
         1,
         messages.KeepSlots(
             service='enteis-llm', holder='e2', grants=(('x/1', 'd0'),)
         ),
     )
-    assert isinstance(home.ask(3, ask('r', 2900)), messages.Granted)
-    assert isinstance(home.ask(3, ask('s')), messages.Queued)
+    assert isinstance(
+        slot_pool.ask(3, slot_request('r', 2900)), messages.Granted
+    )
+    assert isinstance(slot_pool.ask(3, slot_request('s')), messages.Queued)
--- a/tests/test_pool_faults.py
+++ b/tests/test_pool_faults.py
@@ -1,4 +1,4 @@
-"""The home and the entries' fallback under faults."""
+"""The coordinator and the fallback of entry VMs under faults."""
 
 import msgspec
 import pytest
@@ -18,7 +18,7 @@
 SLOTS = 4
 
 
-def server(name: str, role: values.Role) -> values.BackendServer:
+def make_server(name: str, role: values.Role) -> values.BackendServer:
     return values.BackendServer(
         name=name,
         address=f'127.0.0.1:{9000 + sum(name.encode())}',
@@ -29,15 +29,15 @@
     )
 
 
-def make(*names: str) -> pool.Pool:
-    made = pool.Pool(NAME)
-    made.on_service(SERVICE, values.Weights())
-    decodes = [server(name, 'decode') for name in names or ('d0',)]
-    made.on_servers(0, [server('p0', 'prefill'), *decodes])
-    return made
+def make_pool(*names: str) -> pool.Pool:
+    slot_pool = pool.Pool(NAME)
+    slot_pool.on_service(SERVICE, values.Weights())
+    decodes = [make_server(name, 'decode') for name in names or ('d0',)]
+    slot_pool.on_servers(0, [make_server('p0', 'prefill'), *decodes])
+    return slot_pool
 
 
-def ask(
+def slot_request(
     request: str,
     attempt: int = 1,
     waited_ms: int = 0,
@@ -56,16 +56,16 @@
     )
 
 
-def end(request: str, result: str = 'done') -> messages.EndSlot:
+def slot_end(request: str, result: str = 'done') -> messages.EndSlot:
     return messages.EndSlot(service=NAME, grant=f'{request}/1', result=result)
 
 
-def keep(holder: str, *requests: str) -> messages.KeepSlots:
+def renewal(holder: str, *requests: str) -> messages.KeepSlots:
     grants = tuple((f'{request}/1', 'd0') for request in requests)
     return messages.KeepSlots(service=NAME, holder=holder, grants=grants)
 
 
-def load(running: int, age_ms: int = 500) -> backends.Load:
+def load_report(running: int, age_ms: int = 500) -> backends.Load:
     return backends.Load(
         name='d0',
         slots=SLOTS,
@@ -76,102 +76,109 @@
     )
 
 
-def fill(made: pool.Pool, now: float = 0) -> list[str]:
+def fill_slots(slot_pool: pool.Pool, now: float = 0) -> list[str]:
     names = [f'r{i}' for i in range(SLOTS)]
     for name in names:
-        assert isinstance(made.ask(now, ask(name)), messages.Granted)
+        assert isinstance(
+            slot_pool.ask(now, slot_request(name)), messages.Granted
+        )
     return names
 
 
-def test_a_rebuilt_ledger_holds_what_the_lost_home_granted() -> None:
-    """The home's VM dies while every slot is taken; another becomes home.
+def test_a_rebuilt_ledger_holds_grants_of_the_lost_coordinator() -> None:
+    """The coordinator's VM crashes while every slot is in use.
 
-    Without the holders' repeats it would grant the slots a second time, and
-    callers' finished prefills would be evicted before a full worker.
+    Without the holders' renewals its successor would grant the slots again,
+    and finished prefills would be evicted while their worker is full.
     """
-    fill(make())
-    new = make()
-    new.keep(2, keep('e1', 'r0', 'r1'))
-    new.keep(2, keep('e2', 'r2', 'r3'))
-    assert isinstance(new.ask(3, ask('s')), messages.Queued)
-    new.end(3.1, end('r3'))
-    assert isinstance(new.ask(3.2, ask('s')), messages.Granted)
+    fill_slots(make_pool())
+    successor = make_pool()
+    successor.keep(2, renewal('e1', 'r0', 'r1'))
+    successor.keep(2, renewal('e2', 'r2', 'r3'))
+    assert isinstance(successor.ask(3, slot_request('s')), messages.Queued)
+    successor.end(3.1, slot_end('r3'))
+    assert isinstance(successor.ask(3.2, slot_request('s')), messages.Granted)
 
 
-def test_grants_of_a_silent_holder_lapse() -> None:
-    """An entry VM dies with grants in its hands.
+def test_grants_of_a_silent_holder_expire() -> None:
+    """An entry VM crashes while it holds grants.
 
-    Its slots would stay taken for ever, and the pool would shrink with every
-    VM that dies until it refuses everybody.
+    Its slots would stay in use for ever, and the pool would shrink with every
+    VM that crashes until it refuses every request.
     """
-    made = make()
+    slot_pool = make_pool()
     for name, holder in (('a', 'e1'), ('b', 'e1'), ('c', 'e2'), ('d', 'e2')):
-        made.ask(0, ask(name, holder=holder))
-    made.keep(2, keep('e1', 'a', 'b'))
-    assert sorted(made.expire(4)) == ['c/1', 'd/1']
-    granted = made.ask(4, ask('s'))
+        slot_pool.ask(0, slot_request(name, holder=holder))
+    slot_pool.keep(2, renewal('e1', 'a', 'b'))
+    assert sorted(slot_pool.expire(4)) == ['c/1', 'd/1']
+    granted = slot_pool.ask(4, slot_request('s'))
     assert isinstance(granted, messages.Granted)
     assert granted.start_in_ms == 0
 
 
-def test_a_grant_that_its_holder_no_longer_names_is_free() -> None:
+def test_a_grant_missing_from_a_renewal_is_released() -> None:
     """The message that ends a grant is lost.
 
-    The slot would look taken until it lapses; named again by nobody, it is
-    free at the next beat. A grant just given may have crossed the beat.
+    The slot would look used until the grant expires, so a heartbeat that omits
+    it frees it. A new grant is exempt: the heartbeat may have been sent first.
     """
-    made = make()
-    fill(made)
-    made.keep(0.1, keep('e1'))
-    assert made.dump()['granted'] == SLOTS
-    made.keep(1.5, keep('e1', 'r0'))
-    assert made.dump()['granted'] == 1
+    slot_pool = make_pool()
+    fill_slots(slot_pool)
+    slot_pool.keep(0.1, renewal('e1'))
+    assert slot_pool.dump()['granted'] == SLOTS
+    slot_pool.keep(1.5, renewal('e1', 'r0'))
+    assert slot_pool.dump()['granted'] == 1
 
 
-def test_frozen_reports_do_not_take_slots_away() -> None:
+def test_frozen_load_reports_do_not_block_admission() -> None:
     """The engines' load reports stop changing at a moment of full load.
 
-    A home that believed them would refuse every caller beside empty workers.
+    A coordinator that trusted them would refuse every caller although the
+    workers are idle.
     """
-    made = make()
+    slot_pool = make_pool()
     for second in range(1, 20):
-        made.on_load(second, 'd0', load(running=SLOTS))
-    assert isinstance(made.ask(20, ask('s')), messages.Granted)
+        slot_pool.on_load(second, 'd0', load_report(running=SLOTS))
+    assert isinstance(slot_pool.ask(20, slot_request('s')), messages.Granted)
 
 
-def test_waiters_of_a_dead_entry_leave_the_queue() -> None:
-    """An entry VM dies while its requests wait.
+def test_queued_requests_of_a_crashed_entry_vm_are_removed() -> None:
+    """An entry VM crashes while its requests are queued.
 
-    They would stand before everybody else and fill the queue, and callers
-    would be refused for requests that nobody waits for.
+    They would stay at the front and fill the queue, and callers would be
+    refused in favour of requests without a caller.
     """
-    made = make()
-    fill(made)
+    slot_pool = make_pool()
+    fill_slots(slot_pool)
     for name in ('a', 'b', 'c'):
-        assert isinstance(made.ask(0.1, ask(name)), messages.Queued)
-    full = made.ask(0.2, ask('d'))
+        assert isinstance(
+            slot_pool.ask(0.1, slot_request(name)), messages.Queued
+        )
+    full = slot_pool.ask(0.2, slot_request('d'))
     assert isinstance(full, messages.Refused)
     assert (full.code, full.figures) == (
         'queue-full',
         (values.Figure('queued', 3), values.Figure('limit', 3)),
     )
-    made.keep(2.9, keep('e1', 'r0', 'r1', 'r2', 'r3'))
-    later = made.ask(4, ask('d'))
+    slot_pool.keep(2.9, renewal('e1', 'r0', 'r1', 'r2', 'r3'))
+    later = slot_pool.ask(4, slot_request('d'))
     assert isinstance(later, messages.Queued)
     assert later.position == 0
 
 
 def test_a_finished_prefill_moves_to_the_worker_with_a_free_slot() -> None:
-    """A prefill is done and its decode worker is still full.
+    """A prefill is finished and its decode worker is still full.
 
-    The result is evicted within a second; left to wait, its work would be
-    for nobody while a slot stands empty at another worker.
+    The result is evicted within a second. If the request waited, the prefill
+    would be wasted while another worker has a free slot.
     """
-    made = make('d0', 'd1')
-    made.on_service(
+    slot_pool = make_pool('d0', 'd1')
+    slot_pool.on_service(
         msgspec.structs.replace(SERVICE, expected_tokens=64), values.Weights()
     )
-    granted = [made.ask(0, ask(f'r{i}')) for i in range(2 * SLOTS + 1)]
+    granted = [
+        slot_pool.ask(0, slot_request(f'r{i}')) for i in range(2 * SLOTS + 1)
+    ]
     last = granted[-1]
     assert isinstance(last, messages.Granted)
     assert last.decode == 'd0'
@@ -180,80 +187,86 @@
         for reply in granted
         if isinstance(reply, messages.Granted) and reply.decode == 'd1'
     )
-    made.end(0.9, end(ended.rpartition('/')[0]))
-    moved = made.ask(1, ask('r8', ready_at='p0'))
-    assert isinstance(moved, messages.Granted)
-    assert (moved.decode, moved.grant) == ('d1', last.grant)
+    slot_pool.end(0.9, slot_end(ended.rpartition('/')[0]))
+    replaced = slot_pool.ask(1, slot_request('r8', ready_at='p0'))
+    assert isinstance(replaced, messages.Granted)
+    assert (replaced.decode, replaced.grant) == ('d1', last.grant)
 
 
 def test_a_stalled_transfer_is_recovered_without_a_new_prefill() -> None:
-    """A transfer goes silent for good while the prefill's result lives.
+    """A transfer stalls for good while the prefill's result still exists.
 
-    A whole new attempt would prefill again what is there already.
+    A complete new attempt would repeat a prefill whose result is available.
     """
-    made = make('d0', 'd1')
-    assert isinstance(made.ask(0, ask('r')), messages.Granted)
-    made.end(0.5, end('r', 'transfer-failed'))
-    again = made.ask(0.5, ask('r', attempt=2, ready_at='p0'))
+    slot_pool = make_pool('d0', 'd1')
+    assert isinstance(slot_pool.ask(0, slot_request('r')), messages.Granted)
+    slot_pool.end(0.5, slot_end('r', 'transfer-failed'))
+    again = slot_pool.ask(0.5, slot_request('r', attempt=2, ready_at='p0'))
     assert isinstance(again, messages.Granted)
     assert (again.prefill, again.start_in_ms) == ('p0', 0)
-    other = made.ask(0.5, ask('s'))
+    other = slot_pool.ask(0.5, slot_request('s'))
     assert isinstance(other, messages.Granted)
     assert other.start_in_ms == 0
 
 
-def test_a_dead_worker_rests_before_the_list_drops_it() -> None:
-    """A decode worker dies; the platform's list shows it for seconds yet.
+def test_a_crashed_worker_is_avoided_while_still_listed() -> None:
+    """A decode worker crashes but stays listed for some seconds.
 
-    Its slots come back with every failure, so it would look the emptiest and
-    draw all new requests, which would fail one after the other.
+    Each failure frees a slot, so it would look the least loaded and receive
+    all new requests, which would fail one after the other.
     """
-    made = make('d0', 'd1')
+    slot_pool = make_pool('d0', 'd1')
     for name in ('a', 'b', 'c', 'd'):
-        granted = made.ask(0, ask(name))
+        granted = slot_pool.ask(0, slot_request(name))
         assert isinstance(granted, messages.Granted)
         if granted.decode == 'd0':
-            made.end(0.1, end(name, 'decode-failed'))
+            slot_pool.end(0.1, slot_end(name, 'decode-failed'))
     for name in ('e', 'f'):
-        granted = made.ask(0.2, ask(name))
+        granted = slot_pool.ask(0.2, slot_request(name))
         assert isinstance(granted, messages.Granted)
         assert granted.decode == 'd1'
 
 
-def test_failing_transfers_never_leave_a_false_no_backend() -> None:
+def test_failing_transfers_cause_no_false_no_backend() -> None:
     """A link is so slow that every transfer fails.
 
-    Callers would be told that no backend server is listed, and an auditor who
-    reads the list of that minute would find all of them in it.
+    Callers would be refused with the reason that no backend server is listed,
+    although the listing of that time contains all of them.
     """
-    made = make()
+    slot_pool = make_pool()
     for name in ('a', 'b', 'c', 'd'):
-        made.ask(0, ask(name))
-        made.end(0.1, end(name, 'transfer-failed'))
-    assert isinstance(made.ask(0.2, ask('e')), messages.Granted)
+        slot_pool.ask(0, slot_request(name))
+        slot_pool.end(0.1, slot_end(name, 'transfer-failed'))
+    assert isinstance(slot_pool.ask(0.2, slot_request('e')), messages.Granted)
 
 
-def test_a_dead_entry_vm_leaves_nothing_at_the_engines() -> None:
-    """An entry VM dies with streams that nobody reads any more.
+def test_engines_end_the_streams_of_a_crashed_entry_vm() -> None:
+    """An entry VM crashes and leaves streams that nobody reads.
 
-    They would hold slots until their last token, which for a long summary is
-    half a minute of a worker's memory for callers who are gone.
+    They would occupy slots until their last token. For a long summary, that
+    is half a minute of a worker's memory for disconnected callers.
     """
-    scn = scenario.Scenario(name='', load=1.0, fault='vm-dies')
-    run = scenario.Run(workload.LANNA, scn, bench_home.HomePlacer, 60)
-    run.world.clock.at(19.9, lambda: doomed.extend(_held(run, dead)))
-    run.world.clock.at(27.5, lambda: left.extend(_held(run, dead)))
+    fault_scenario = scenario.Scenario(name='', load=1.0, fault='vm-dies')
+    run = scenario.Run(
+        workload.LANNA, fault_scenario, bench_home.HomePlacer, 60
+    )
+    run.world.clock.at(
+        19.9, lambda: streams_before.extend(_streams_of(run, crashed_vm))
+    )
+    run.world.clock.at(
+        27.5, lambda: streams_after.extend(_streams_of(run, crashed_vm))
+    )
     placer = run.placer
     assert isinstance(placer, bench_home.HomePlacer)
-    dead = placer.home()
-    doomed: list[str] = []
-    left: list[str] = []
+    crashed_vm = placer.home()
+    streams_before: list[str] = []
+    streams_after: list[str] = []
     run.figures()
-    assert doomed
-    assert not set(doomed) & set(left)
+    assert streams_before
+    assert not set(streams_before) & set(streams_after)
 
 
-def _held(run: scenario.Run, vm: int) -> list[str]:
+def _streams_of(run: scenario.Run, vm: int) -> list[str]:
     streams = [k for d in run.world.decodes.values() for k in d.streams()]
     requests = {
         a.request
@@ -264,51 +277,52 @@
 
 
 def test_retries_stay_within_their_budget_and_deadline() -> None:
-    """Every attempt fails, as when a rack is gone.
+    """Every attempt fails, for example because a rack has failed.
 
-    Retries without a budget would multiply the load just then, and keep the
-    workers busy for callers who gave up.
+    Retries without a budget would multiply the load during the outage, and
+    keep the workers busy for callers that have disconnected.
     """
-    bud = budget.Budget(ratio=0.1, burst=3)
+    retry_budget = budget.Budget(ratio=0.1, burst=3)
     for _ in range(100):
-        bud.first(1.0)
-    assert sum(bud.allow(1.0, deadline=2.0) for _ in range(100)) == 13
-    late = budget.Budget(ratio=1.0, burst=3)
-    assert not late.allow(2.0, deadline=2.0)
+        retry_budget.first(1.0)
+    assert sum(retry_budget.allow(1.0, deadline=2.0) for _ in range(100)) == 13
+    fresh_budget = budget.Budget(ratio=1.0, burst=3)
+    assert not fresh_budget.allow(2.0, deadline=2.0)
 
 
 @pytest.mark.parametrize('count', [1, 3, 6, 7, 8])
 def test_shares_add_up_to_the_slots(count: int) -> None:
-    """Every entry VM loses the home at once.
+    """Every entry VM loses its connection to the coordinator at once.
 
     Shares that add up to more than the slots would overfill the workers, and
-    less would leave slots empty.
+    shares that add up to less would leave slots idle.
     """
     vms = [f'vm{i}' for i in range(count)]
-    worker = server('d0', 'decode')
-    parts = []
+    worker = make_server('d0', 'decode')
+    share_sizes = []
     for vm in vms:
-        part = share.Share(NAME, vm)
-        part.on_listing(_listing(vms))
-        parts.append(part.part(worker))
-    assert sum(parts) == SLOTS
+        vm_share = share.Share(NAME, vm)
+        vm_share.on_listing(_listing(vms))
+        share_sizes.append(vm_share.part(worker))
+    assert sum(share_sizes) == SLOTS
 
 
 def test_a_share_refuses_what_the_workers_report_as_full() -> None:
-    """Other entry VMs still reach the home and fill the workers.
+    """Other entry VMs still reach the coordinator and fill the workers.
 
-    The cut off one would send its share on top, to be turned away there.
+    The disconnected entry VM would send its share in addition, and the full
+    workers would reject it.
     """
-    part = share.Share(NAME, 'vm0')
-    part.on_service(SERVICE)
-    part.on_listing(_listing(['vm0']))
-    part.on_load('d0', load(running=SLOTS))
-    assert isinstance(part.ask(0, ask('r')), messages.Queued)
-    over = part.ask(0, ask('r', waited_ms=10_000))
-    assert isinstance(over, messages.Refused)
-    assert over.code == 'patience-over'
-    part.on_load('d0', load(running=SLOTS, age_ms=60_000))
-    assert isinstance(part.ask(0, ask('r')), messages.Granted)
+    vm_share = share.Share(NAME, 'vm0')
+    vm_share.on_service(SERVICE)
+    vm_share.on_listing(_listing(['vm0']))
+    vm_share.on_load('d0', load_report(running=SLOTS))
+    assert isinstance(vm_share.ask(0, slot_request('r')), messages.Queued)
+    expired = vm_share.ask(0, slot_request('r', waited_ms=10_000))
+    assert isinstance(expired, messages.Refused)
+    assert expired.code == 'patience-over'
+    vm_share.on_load('d0', load_report(running=SLOTS, age_ms=60_000))
+    assert isinstance(vm_share.ask(0, slot_request('r')), messages.Granted)
 
 
 def _listing(vms: list[str]) -> values.Listing:
@@ -318,19 +332,26 @@
             values.EntryVm(name=vm, data_centre='a', keeper='127.0.0.1:1')
             for vm in vms
         ),
-        backend_servers=(server('p0', 'prefill'), server('d0', 'decode')),
+        backend_servers=(
+            make_server('p0', 'prefill'),
+            make_server('d0', 'decode'),
+        ),
     )
 
 
 @pytest.mark.parametrize('fault', ['', 'vm-dies', 'keeper-cut', 'worker-dies'])
-def test_nothing_stays_held_when_all_callers_are_gone(fault: str) -> None:
-    """Callers leave, entry VMs and workers die, a keeper is cut off.
+def test_no_slot_stays_reserved_after_all_callers_disconnect(
+    fault: str,
+) -> None:
+    """Callers disconnect, entry VMs and workers crash, a keeper is cut off.
 
-    Whatever the engines still held afterwards would be lost to everybody, and
-    they would look full with nobody to answer.
+    Slots that the engines still reserved afterwards would be lost, and the
+    engines would look full without a request to serve.
     """
-    scn = scenario.Scenario(name='', load=1.0, fault=fault)
-    run = scenario.Run(workload.EISBRECHER, scn, bench_home.HomePlacer, 20)
+    fault_scenario = scenario.Scenario(name='', load=1.0, fault=fault)
+    run = scenario.Run(
+        workload.EISBRECHER, fault_scenario, bench_home.HomePlacer, 20
+    )
     run.figures()
     decodes = run.world.decodes.values()
     assert [worker.running() for worker in decodes] == [0, 0, 0]
--- a/tests/test_reaper.py
+++ b/tests/test_reaper.py
@@ -1,4 +1,4 @@
-"""Which holdings count as abandoned: the cases, one a line."""
+"""Tests which holdings of an engine count as abandoned."""
 
 import msgspec
 import pytest
@@ -11,13 +11,13 @@
 
 
 class Case(msgspec.Struct, frozen=True):
-    """One holding as a keeper sees it."""
+    """A holding, what a keeper knows of its holder, and the expected result."""
 
     alive: bool
-    # Whether the keeper of the holder's VM is heard.
+    # Whether the keeper of the holder's VM sends heartbeats.
     heard: bool
     attached: bool
-    # Age of the holding, and time since its holder was missed.
+    # Age of the holding, and time since its holder was first missing, seconds.
     age_s: float
     missing_s: float
     abandoned: bool
@@ -27,7 +27,8 @@
     Case(True, True, False, 100.0, 100.0, False),
     Case(False, True, True, 100.0, 6.0, True),
     Case(False, True, True, 100.0, 4.0, False),
-    # The VM is silent: only what no connection works on is given up.
+    # The VM sends no heartbeats: only a holding without a connection is
+    # abandoned.
     Case(False, False, True, 100.0, 100.0, False),
     Case(False, False, False, 6.0, 6.0, True),
     Case(False, False, False, 4.0, 6.0, False),
@@ -35,9 +36,13 @@
 
 
 @pytest.mark.parametrize('case', _CASES)
-def test_a_holding_is_abandoned_on_evidence_alone(case: Case) -> None:
-    """A holder died, or its VM is merely not heard."""
-    judge = reaper.Reaper(_GRACE_S)
+def test_a_holding_is_abandoned_only_on_evidence(case: Case) -> None:
+    """A holder crashed, or only the heartbeats of its VM are missing.
+
+    If missing heartbeats alone counted, streams that a live holder still
+    serves would be ended.
+    """
+    holding_reaper = reaper.Reaper(_GRACE_S)
     holding = backends.Holding(
         request='r',
         attempt=1,
@@ -47,27 +52,30 @@
         age_ms=round(case.age_s * 1000),
     )
 
-    def look(at: float) -> bool:
+    def is_abandoned(at: float) -> bool:
         census = reaper.Census(
             alive=frozenset({_HOLDER} if case.alive else ()),
             heard=frozenset({'vm-1'} if case.heard else ()),
             at=at,
         )
-        return judge.abandoned(holding, census)
+        return holding_reaper.abandoned(holding, census)
+
+    assert not is_abandoned(0.0)
+    assert is_abandoned(case.missing_s) is case.abandoned
 
-    assert not look(0.0)
-    assert look(case.missing_s) is case.abandoned
 
+def test_a_holder_that_reappears_restarts_the_grace_period() -> None:
+    """A keeper was cut off for a moment and then learns of the entry again.
 
-def test_a_holder_that_comes_back_is_not_missed_any_more() -> None:
-    """A keeper was cut off for a moment and hears of the entry again."""
-    judge = reaper.Reaper(_GRACE_S)
+    The grace period must start anew when the holder is missing again.
+    """
+    holding_reaper = reaper.Reaper(_GRACE_S)
     holding = backends.Holding(
         request='r', attempt=1, holder=_HOLDER, kind='stream', age_ms=99_000
     )
     heard = frozenset({'vm-1'})
-    gone = reaper.Census(alive=frozenset(), heard=heard, at=0.0)
-    back = reaper.Census(alive=frozenset({_HOLDER}), heard=heard, at=4.0)
-    late = reaper.Census(alive=frozenset(), heard=heard, at=8.0)
-    for census in (gone, back, late):
-        assert not judge.abandoned(holding, census)
+    missing = reaper.Census(alive=frozenset(), heard=heard, at=0.0)
+    present = reaper.Census(alive=frozenset({_HOLDER}), heard=heard, at=4.0)
+    missing_again = reaper.Census(alive=frozenset(), heard=heard, at=8.0)
+    for census in (missing, present, missing_again):
+        assert not holding_reaper.abandoned(holding, census)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,7 +1,7 @@
-"""Faults of settings, read from a case file.
+"""Tests of the faults reported for settings, read from a case file.
 
-A case opens with `== KIND TITLE`, holds the text of a settings file and, after
-`--`, the faults that it must give; none means that the text is taken.
+A case starts with `== KIND TITLE`, followed by the text of a settings file and,
+after `--`, the expected faults. Without faults, the text must be accepted.
 """
 
 from collections.abc import Iterator
@@ -18,12 +18,12 @@
 from foxtaildale import settings
 from foxtaildale import values
 
-_CASES = pathlib.Path(__file__).parent / 'cases' / 'settings.txt'
-_READERS = {'options': settings.options, 'preset': settings.preset}
+_CASE_FILE = pathlib.Path(__file__).parent / 'cases' / 'settings.txt'
+_PARSERS = {'options': settings.options, 'preset': settings.preset}
 
 
-def _cases() -> Iterator[tuple[str, str, str, str]]:
-    for part in _CASES.read_text().split('\n== ')[1:]:
+def _read_cases() -> Iterator[tuple[str, str, str, str]]:
+    for part in _CASE_FILE.read_text().split('\n== ')[1:]:
         title, _, rest = part.partition('\n')
         kind, _, title = title.partition(' ')
         text, _, faults = rest.partition('\n--')
@@ -32,31 +32,31 @@
 
 @pytest.mark.parametrize(
     ('kind', 'text', 'faults'),
-    [pytest.param(*case[1:], id=case[0]) for case in _cases()],
+    [pytest.param(*case[1:], id=case[0]) for case in _read_cases()],
 )
-def test_each_fault_is_named_and_all_at_once(
+def test_all_faults_are_reported_at_once(
     kind: str, text: str, faults: str
 ) -> None:
     """An operator mistypes a few fields of a file.
 
-    Told of one at a time, they would start the program once for each; a fault
-    that is not named at all changes what the system does, unnoticed.
+    If faults were reported one at a time, each would cost a start of the
+    program. A fault that is not reported changes the behaviour unnoticed.
     """
-    found = ''
+    reported = ''
     try:
-        _READERS[kind](text, 'f')
+        _PARSERS[kind](text, 'f')
     except errors.SettingsError as exc:
-        found = '\n'.join(exc.faults)
-    assert found == faults
+        reported = '\n'.join(exc.faults)
+    assert reported == faults
 
 
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(strategies.text(max_size=60))
-def test_any_text_is_taken_or_a_settings_error(text: str) -> None:
-    """A file of something else is given, or one that was cut short."""
-    for read in _READERS.values():
+def test_any_text_is_accepted_or_a_settings_error(text: str) -> None:
+    """A file of another kind is given, or a truncated one."""
+    for parse in _PARSERS.values():
         try:
-            read(text, 'f')
+            parse(text, 'f')
         except errors.SettingsError:
             pass
 
@@ -87,39 +87,41 @@
 )
 
 
-def _some_of(kind: type[Any]) -> strategies.SearchStrategy[dict[str, Any]]:
+def _field_dicts(kind: type[Any]) -> strategies.SearchStrategy[dict[str, Any]]:
     names = strategies.sampled_from([*kind.__struct_fields__, 'odd'])
     return strategies.dictionaries(names, _VALUES, max_size=12)
 
 
 _SERVICES = strategies.dictionaries(
     strategies.sampled_from(['a', 'b', 'A b', '']),
-    strategies.one_of(_VALUES, _some_of(values.Service)),
+    strategies.one_of(_VALUES, _field_dicts(values.Service)),
     max_size=3,
 )
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
-@hypothesis.given(_some_of(options.Options), _some_of(values.Preset), _SERVICES)
-def test_any_fields_are_taken_or_a_settings_error(
+@hypothesis.given(
+    _field_dicts(options.Options), _field_dicts(values.Preset), _SERVICES
+)
+def test_any_fields_are_accepted_or_a_settings_error(
     cfg: dict[str, Any], preset: dict[str, Any], services: dict[str, Any]
 ) -> None:
-    """Fields are given values of other fields, or of no field at all."""
-    texts = (
+    """Fields have values of other fields, or values that no field accepts."""
+    inputs = (
         (settings.options, cfg),
         (settings.preset, preset),
         (settings.preset, {**preset, 'services': services}),
         (settings.preset, {'name': 'x', 'services': services}),
     )
-    for read, found in texts:
+    for parse, fields in inputs:
         try:
-            read(json.dumps(found), 'f')
+            parse(json.dumps(fields), 'f')
         except errors.SettingsError:
             pass
 
 
 def test_a_secret_is_not_shown() -> None:
-    """A secret is mistyped, and faults go to logs that many people read."""
+    """A secret is malformed, and its fault is logged where many people read."""
     with pytest.raises(errors.SettingsError) as caught:
         settings.options('{secret: "hush"}', 'f')
     assert 'hush' not in str(caught.value)
