--- a/packages/daemon/foxtaildaled/visit.py
+++ b/packages/daemon/foxtaildaled/visit.py
@@ -1,4 +1,4 @@
-"""One HTTP request of a caller, and the answers that end it."""
+"""The context of one HTTP request of a caller, and its final responses."""
 
 import time
 from typing import Final
@@ -17,22 +17,23 @@
 
 KEY_HEADER: Final = 'idempotency-key'
 TICKET_HEADER: Final = 'foxtaildale-ticket'
-# Says that no earlier try under this key is open.
+# Header that states that no earlier attempt with this key is open.
 FIRST_TRY_HEADER: Final = 'foxtaildale-first-try'
 _TRUE: Final = 'true'
-# When to come back where nothing better is known, seconds.
+# Default delay before a retry, seconds.
 AGAIN_S: Final = 1.0
 
 
 class Visit:
-    """What the steps of one request share."""
+    """The state that all handlers of one request share."""
 
     __slots__ = ('ex', 'request', 'snapshot')
 
     ex: incoming.Exchange
     # Identifies the request for callers and operators.
     request: str
-    # What was known when it came; it is served by it to its end.
+    # Configuration and servers at the arrival of the request. The request uses
+    # this snapshot until its end.
     snapshot: view.Snapshot
 
     def __init__(
@@ -60,20 +61,20 @@
 
     @property
     def alone(self) -> bool:
-        """Whether the caller says that no earlier try is open."""
+        """Whether the caller states that no earlier attempt is open."""
         return self.ex.headers.get(FIRST_TRY_HEADER, '').lower() == _TRUE
 
     def covering(self, code: codes.Code) -> codes.Code:
-        """Returns the code that this caller may be refused with.
+        """Returns the code with which the request may be refused.
 
-        A caller takes "not run" for an answer to all that it sent under a key;
-        an earlier try may still be running at another VM.
+        A caller applies "not run" to all attempts that it sent with a key, and
+        an earlier attempt may still be running at another VM.
         """
         return claims.covering(code, self.alone) if self.key else code
 
 
 class Replies:
-    """Makes outcomes, records them, and answers with them."""
+    """Makes and records outcomes, and sends them as responses."""
 
     __slots__ = ('_entry_vm', '_records')
 
@@ -106,19 +107,19 @@
 
     def outcome(
         self,
-        visit: Visit,
+        context: Visit,
         service: str,
         code: codes.Code,
         *,
         figures: tuple[values.Figure, ...] = (),
         retry_after_s: float = 0.0,
     ) -> values.Outcome:
-        """Returns the final outcome of a request, recorded."""
+        """Records and returns the final outcome of a request."""
         outcome = self.stamp(
             code,
-            visit.request,
+            context.request,
             service,
-            visit.snapshot,
+            context.snapshot,
             figures=figures,
             retry_after_s=retry_after_s,
         )
@@ -127,7 +128,7 @@
 
     def refuse(
         self,
-        visit: Visit,
+        context: Visit,
         service: str,
         code: codes.Code,
         *,
@@ -135,47 +136,47 @@
         retry_after_s: float = 0.0,
         fresh: tuple[str, ...] = (),
     ) -> None:
-        """Ends a request with a code, and fresh tickets if there are any."""
+        """Ends a request with a code and, if given, new tickets."""
         outcome = self.outcome(
-            visit,
+            context,
             service,
             code,
             figures=figures,
             retry_after_s=retry_after_s,
         )
-        self.end(visit, outcome, fresh)
+        self.end(context, outcome, fresh)
 
-    def reject(self, visit: Visit, service: str, reason: str) -> None:
-        """Ends a request that makes no sense."""
+    def reject(self, context: Visit, service: str, reason: str) -> None:
+        """Refuses a malformed request."""
         figures = (values.Figure('reason', reason),)
-        code = visit.covering(codes.BAD_REQUEST)
-        self.refuse(visit, service, code, figures=figures)
+        code = context.covering(codes.BAD_REQUEST)
+        self.refuse(context, service, code, figures=figures)
 
     def end(
         self,
-        visit: Visit,
+        context: Visit,
         outcome: values.Outcome,
         fresh: tuple[str, ...] = (),
     ) -> None:
-        """Answers with an outcome that is no plain success."""
-        visit.ex.respond(
+        """Responds with an outcome other than a plain success."""
+        context.ex.respond(
             codes.ALL[outcome.code].status,
             outcomes.headers(outcome),
             outcomes.body(outcome, fresh),
         )
 
     def record(self, outcome: values.Outcome) -> None:
-        """Takes an outcome that was made elsewhere."""
+        """Records an outcome that another process made."""
         self._records.add(outcome)
 
     def pass_on(
-        self, visit: Visit, outcome: values.Outcome, reply: ports.Reply
+        self, context: Visit, outcome: values.Outcome, reply: ports.Reply
     ) -> None:
-        """Answers with what a plain service said."""
-        visit.ex.respond(reply.status, outcomes.headers(outcome), reply.body)
+        """Responds with the reply of a plain service."""
+        context.ex.respond(reply.status, outcomes.headers(outcome), reply.body)
 
-    def tell(self, visit: Visit, document: msgspec.Struct) -> None:
-        """Answers with a document of this entry's own."""
-        visit.ex.respond(
+    def tell(self, context: Visit, document: msgspec.Struct) -> None:
+        """Responds with a document of the entry itself."""
+        context.ex.respond(
             200, {'Content-Type': outcomes.JSON}, msgspec.json.encode(document)
         )
