--- a/packages/core/foxtaildale/messages.py
+++ b/packages/core/foxtaildale/messages.py
@@ -1,7 +1,7 @@
 """Messages between the system's own processes.
 
-Each is a tagged struct in array form, so the bytes hold no field names. Every
-request has one reply; `Fail` may stand for any reply.
+Each message is a tagged struct in array form, so the bytes hold no field names.
+Every request has one reply; `Fail` may replace any reply.
 """
 
 from typing import Final
@@ -15,82 +15,90 @@
 class Wire(
     msgspec.Struct, frozen=True, kw_only=True, tag=True, array_like=True
 ):
-    """Base of every message."""
+    """Base class of every message."""
 
 
-class Fail(Wire, frozen=True):
-    """The other side could not serve the message."""
+class Fail(Wire, frozen=True, tag='Fail'):
+    """Error reply: the receiver could not handle the message."""
 
     code: str
     message: str = ''
 
 
 class Ping(Wire, frozen=True):
-    """Heartbeat of a connection; answered by `Pong`."""
+    """Heartbeat of a connection; the reply is `Pong`."""
 
 
 class Pong(Wire, frozen=True):
-    """Answers `Ping` and any message that needs no more."""
+    """Reply to `Ping` and to each message that needs no data in return."""
 
 
-class Hello(Wire, frozen=True):
-    """From an entry to the keeper of its VM, about once a second."""
+class Hello(Wire, frozen=True, tag='Hello'):
+    """Heartbeat of an entry to the keeper of its VM, about once a second."""
 
     incarnation: str
-    # Address where other entries reach it.
+    # Address at which other entries reach the sender.
     address: str
-    # Revision it works by.
+    # Configuration revision that the sender uses.
     revision: int
-    # Backend servers that refused work as leaving, `NAME@ADDRESS`.
+    # Backend servers that refused requests because they are leaving, as
+    # `NAME@ADDRESS`.
     leaving: tuple[str, ...] = ()
 
 
-class HelloReply(Wire, frozen=True):
-    """What an entry needs to know to route."""
+class HelloReply(Wire, frozen=True, tag='HelloReply'):
+    """The state that an entry needs for routing."""
 
     keeper: str
-    # None while the keeper does not know.
+    # None until the keeper knows it.
     in_force: values.InForce | None
     listing: values.Listing | None
-    # Keepers heard of lately, this one among them.
+    # Keepers with a recent heartbeat, including the sender.
     keepers: tuple[values.Keeper, ...] = ()
-    # Beginning of new idempotency keys; empty while it is not known.
+    # Prefix of new idempotency keys; empty until it is known.
     key_prefix: str = ''
 
 
-class Bye(Wire, frozen=True):
-    """From a process that ends by plan: it is gone from now on."""
+class Bye(Wire, frozen=True, tag='Bye'):
+    """Announces that the sending process stops as planned.
+
+    Receivers treat it as removed from now on.
+    """
 
     incarnation: str
 
 
-class Beat(Wire, frozen=True):
-    """Between keepers, about once a second; answered by the other's own."""
+class Beat(Wire, frozen=True, tag='Beat'):
+    """Heartbeat between keepers, about once a second.
+
+    The reply is the heartbeat of the receiver.
+    """
 
     entry_vm: str
     incarnation: str
     data_centre: str
     address: str
-    # Log offset folded so far, and the digest of the folded state.
+    # Log offset up to which records are folded, and the digest of the state.
     offset: int
     digest: str
     listing_version: int
     # Incarnations of the entries on this VM.
     entries: tuple[str, ...] = ()
-    # Whether this process is being stopped by plan.
+    # Whether the sending process is being stopped as planned.
     stopping: bool = False
-    # Reported leaving, `NAME@ADDRESS`, before the listing says so.
+    # Backend servers reported as leaving before the listing shows it, as
+    # `NAME@ADDRESS`.
     leaving: tuple[str, ...] = ()
 
 
-class Pull(Wire, frozen=True):
-    """Asks a keeper that is ahead for its folded state."""
+class Pull(Wire, frozen=True, tag='Pull'):
+    """Requests the folded state of a keeper with a higher log offset."""
 
     offset: int
 
 
-class PullReply(Wire, frozen=True):
-    """The folded state of a keeper, in its checkpoint form."""
+class PullReply(Wire, frozen=True, tag='PullReply'):
+    """The folded state of a keeper, in checkpoint format."""
 
     offset: int
     digest: str
@@ -98,8 +106,11 @@
     listing: values.Listing | None
 
 
-class AskSlot(Wire, frozen=True):
-    """From an entry to the home of a service's pool."""
+class AskSlot(Wire, frozen=True, tag='AskSlot'):
+    """Request of an entry for a decode slot.
+
+    The receiver is the coordinator of the service's pool.
+    """
 
     service: str
     request: str
@@ -111,14 +122,14 @@
     prefixes: tuple[str, ...] = ()
     # Time since the request arrived, milliseconds.
     waited_ms: int = 0
-    # Prefill worker that holds a finished prefill of this request; only link
-    # time and a decode slot are asked for then.
+    # Prefill worker that has finished the prefill of this request. If set, only
+    # link time and a decode slot are requested.
     ready_at: str = ''
-    # Decode worker that an earlier attempt failed at; not granted again.
+    # Decode worker on which an earlier attempt failed; it is not granted again.
     avoid: str = ''
 
 
-class Granted(Wire, frozen=True):
+class Granted(Wire, frozen=True, tag='Granted'):
     """Slot and link time are reserved; prefill starts after `start_in_ms`."""
 
     grant: str
@@ -127,50 +138,54 @@
     decode: str
     decode_address: str
     start_in_ms: int
-    # The grant lapses if unused for this long after its start.
+    # Time after the start at which an unused grant expires.
     lapses_ms: int
 
 
 class Queued(Wire, frozen=True):
-    """No slot yet; ask again after `again_in_ms`."""
+    """The request is queued; the sender retries after `again_in_ms`."""
 
     again_in_ms: int
     position: int
-    # How long the wait is thought to be from now on; 0 where it is not known.
+    # Estimated remaining wait; 0 if it is not known.
     wait_ms: int = 0
-    # Whether an earlier try of the request was not served.
+    # Whether an earlier attempt of the request was not served.
     came_back: bool = False
-    # What there is too little of for it; empty where that is not known.
+    # The resource that the request waits for; empty if it is not known.
     short_of: str = ''
 
 
 class Refused(Wire, frozen=True):
-    """Not admitted; nothing is reserved."""
+    """The request is not admitted; nothing is reserved."""
 
     code: str
     figures: tuple[values.Figure, ...]
     retry_after_ms: int
 
 
-class EndSlot(Wire, frozen=True):
-    """A grant is used up, whatever came of it."""
+class EndSlot(Wire, frozen=True, tag='EndSlot'):
+    """Releases a grant, whatever its result."""
 
     service: str
     grant: str
     # done, cancelled, prefill-failed, transfer-failed, decode-failed, or
-    # evicted: the prefill's result had gone before its transfer began.
+    # evicted: the prefill result was evicted before its transfer began.
     result: str
-    # What the holder measured, for the home's estimates; 0 for not reached.
+    # Durations that the holder measured, for the coordinator's estimates; 0 for
+    # a phase that was not reached.
     prefill_ms: int = 0
     transfer_ms: int = 0
     decode_ms: int = 0
-    # Tokens of the answer, and prompt tokens that the prefix cache had.
+    # Tokens of the response, and prompt tokens found in the prefix cache.
     output_tokens: int = 0
     cached_tokens: int = 0
 
 
-class KeepSlots(Wire, frozen=True):
-    """From a holder to a home: what it holds; rebuilds a lost ledger."""
+class KeepSlots(Wire, frozen=True, tag='KeepSlots'):
+    """Renews the grants of a holder at the coordinator.
+
+    A coordinator that lost its ledger rebuilds it from these messages.
+    """
 
     service: str
     holder: str
@@ -178,21 +193,21 @@
     grants: tuple[tuple[str, str], ...]
 
 
-class AskClaim(Wire, frozen=True):
-    """From an entry to the keeper of its VM: may I run this key?"""
+class AskClaim(Wire, frozen=True, tag='AskClaim'):
+    """Request of an entry to its keeper for the right to run a key."""
 
     service: str
     key: str
-    # Hex digest of the body.
+    # Digest of the request body, hexadecimal.
     body: str
     request: str
     holder: str
 
 
 class ClaimReply(Wire, frozen=True):
-    """What the log says of a key.
+    """The state of a key according to the log.
 
-    Status is one of won, lost, other-body, bad, log-down, old.
+    The status is one of won, lost, other-body, bad, log-down, old.
     """
 
     status: str
@@ -200,51 +215,60 @@
     owner_address: str = ''
     request: str = ''
     retry_after_ms: int = 0
-    # Of a lost claim, if the log has its end already.
+    # Outcome of the claim that won, if the status is lost and the log already
+    # has the outcome.
     outcome: values.Outcome | None = None
 
 
-class EndClaim(Wire, frozen=True):
-    """The owner tells its keeper what came of a claim."""
+class EndClaim(Wire, frozen=True, tag='EndClaim'):
+    """Report of the owner of a claim to its keeper on the outcome."""
 
     service: str
     key: str
     outcome: values.Outcome
-    # The whole answer as JSON, kept for a caller that lost it.
+    # The complete response as JSON, stored for a caller that did not receive it.
     answer: bytes = b''
 
 
 class Ticket(Wire, frozen=True):
-    """Names who alone may run a request, and who witnesses its start."""
+    """Names the only process that may run a request, and its witness."""
 
     identity: str
     service: str
-    # Incarnation that may run it, and where it is reached.
+    # Incarnation that may run the request, and its address.
     executor: str
     executor_address: str
-    # Incarnation of the keeper that notes the start, and where it is reached.
+    # Incarnation of the keeper that records the start, and its address.
     witness: str
     witness_address: str
-    # Seconds on the executor's own monotonic clock.
+    # Time of issue in seconds on the executor's own monotonic clock.
     minted_at: float
-    # A reading of the witness's own monotonic clock from before the minting.
+    # Reading of the witness's own monotonic clock, taken before the issue,
+    # seconds.
     witness_at: float
     # Hex HMAC-SHA256 of the fields above.
     mac: str = ''
 
 
-class Note(Wire, frozen=True):
-    """From the executor to the witness, before the first byte is sent."""
+class Note(Wire, frozen=True, tag='Note'):
+    """Request of the executor to the witness to record a start.
+
+    The executor sends it before the first byte of the request.
+    """
 
     identity: str
     witness: str
     body: str
-    # From the ticket; the witness tells by it what it may have forgotten.
+    # Copied from the ticket; from it the witness decides whether it may have
+    # forgotten the identity.
     witness_at: float
 
 
-class Void(Wire, frozen=True):
-    """From anyone to the witness: let this identity never run."""
+class Void(Wire, frozen=True, tag='Void'):
+    """Request to the witness to void an identity, so that it never runs.
+
+    Any process may send it.
+    """
 
     identity: str
     witness: str
@@ -252,8 +276,8 @@
     witness_at: float
 
 
-class Tell(Wire, frozen=True):
-    """From the executor to the witness: what came of it."""
+class Tell(Wire, frozen=True, tag='Tell'):
+    """Report of the executor to the witness on the outcome."""
 
     identity: str
     witness: str
@@ -263,28 +287,30 @@
     answer: bytes = b''
 
 
-class AskReading(Wire, frozen=True):
-    """From an executor to a witness: what does your clock read?"""
+class AskReading(Wire, frozen=True, tag='AskReading'):
+    """Request of an executor for the clock of a witness."""
 
     witness: str
 
 
 class WitnessReply(Wire, frozen=True):
-    """Status is one of noted, voided, told, other-body, old, reading, stranger.
+    """Reply of a witness.
 
-    Old means that the witness may have known the identity and forgotten it. A
-    stranger is a keeper of another incarnation than the ticket names.
+    The status is one of noted, voided, told, other-body, old, reading,
+    stranger. Old means that the witness may have known the identity and
+    forgotten it. Stranger means that the incarnation of the keeper is not the
+    one that the ticket names.
     """
 
     status: str
-    # The witness's clock, seconds; each reply carries it for later tickets.
+    # The witness's clock, seconds; each reply has it for later tickets.
     at: float = 0.0
     outcome: values.Outcome | None = None
     answer: bytes = b''
 
 
-class RunTicket(Wire, frozen=True):
-    """From an entry that got a ticket to the one that may run it."""
+class RunTicket(Wire, frozen=True, tag='RunTicket'):
+    """Passes a ticket and its request from an entry to the executor."""
 
     ticket: Ticket
     call: str
@@ -293,211 +319,230 @@
 
 
 class RunReply(Wire, frozen=True):
-    """The outcome of a ticket, with the answer if there is one."""
+    """The outcome of a ticket, with the response if there is one."""
 
     outcome: values.Outcome
     answer: bytes = b''
 
 
-class AskOutcome(Wire, frozen=True):
-    """From an entry to a claim's owner: what came of it?"""
+class AskOutcome(Wire, frozen=True, tag='AskOutcome'):
+    """Request of an entry to the owner of a claim for its outcome."""
 
     service: str
     key: str
 
 
-class Dump(Wire, frozen=True):
-    """Asks for the state of a process."""
+class Dump(Wire, frozen=True, tag='Dump'):
+    """Requests the state of a process."""
 
 
 class DumpReply(Wire, frozen=True):
-    """State of a process as JSON."""
+    """The state of a process as JSON."""
 
     state: bytes
 
 
-class AskRecords(Wire, frozen=True):
-    """Asks another entry VM for newer records of the store's keyed topics."""
+class AskRecords(Wire, frozen=True, tag='AskRecords'):
+    """Requests newer records of the store's keyed topics from an entry VM."""
 
-    # For each topic, the position up to which the asker knows it.
+    # Position up to which the sender knows each topic.
     ends: dict[str, int]
-    # What the asker saw of plain servers since it last asked: requests, and
-    # those that failed, by id.
+    # Requests that the sender sent to plain servers since its last message, and
+    # how many of them failed, by server id.
     seen: dict[str, tuple[float, float]] = {}
-    # Which servers it lately learned to leave or to stay (`departures.Word`), by id.
+    # Recent updates on servers that leave or no longer leave
+    # (`departures.Word`), by server id.
     departures: dict[str, tuple[int, int]] = {}
-    # Which servers asked for backoff (`backoffs.Word`), by id.
+    # Backoff requests of servers (`backoffs.Word`), by server id.
     backoffs: dict[str, tuple[int, float]] = {}
 
 
 class RecordsReply(Wire, frozen=True):
-    """What an entry VM knows beyond that."""
+    """The records of an entry VM after the requested positions."""
 
-    # For each topic: key, position, value of each newer record, and the rank of
-    # what a removal removed.
+    # Key, position and value of each newer record of a topic, and for a removal
+    # the rank of the removed record.
     records: dict[str, tuple[tuple[str, int, bytes, tuple[int, int]], ...]]
-    # For each topic, the position up to which this entry VM knows it.
+    # Position up to which the sender knows each topic.
     ends: dict[str, int]
-    # Time since this entry VM last had an answer of the store, seconds.
+    # Time since the store's last reply to the sender, seconds.
     age_s: float
-    # Part of their requests that plain servers failed lately, by id, as seen by
-    # all that ask this entry VM.
+    # Ratio of recent requests to plain servers that failed, by server id, over
+    # all entry VMs that report to the sender.
     failing: dict[str, float] = {}
-    # Whether the store failed this entry VM since it last answered.
+    # Whether a call of the sender to the store failed since the store's last
+    # reply.
     store_lost: bool = False
-    # Requests that are sent to no server, and those that can't be held, for how
-    # long, seconds, by fingerprint.
+    # Quarantined requests, which are sent to no server, and requests that can't
+    # be quarantined: remaining time in seconds by fingerprint.
     held: dict[int, float] = {}
     cleared: dict[int, float] = {}
-    # Which servers have said that they leave (`departures.Word`), and which asked for
-    # backoff (`backoffs.Word`), by id.
+    # Updates on servers that announced that they leave (`departures.Word`), and
+    # backoff requests (`backoffs.Word`), by server id.
     departures: dict[str, tuple[int, int]] = {}
     backoffs: dict[str, tuple[int, float]] = {}
 
 
-class AskPlace(Wire, frozen=True):
-    """From an entry VM to the home of a service: a place at its engines."""
+class AskPlace(Wire, frozen=True, tag='AskPlace'):
+    """Request of an entry VM for a placement on the engines of a service.
+
+    The receiver is the coordinator of the service.
+    """
 
     service: str
     request: str
-    # The entry VM that asks.
+    # The entry VM that sends the request.
     holder: str
-    # Tokens of the prompt, guessed ones of the answer, and the most of it.
+    # Tokens of the prompt, and the estimated and maximum tokens of the response.
     prompt: int
     hinted: int
     longest: int
-    # Time since the request came, and within which its first event is due.
+    # Time since the request arrived, and time within which its first event is
+    # due, milliseconds.
     waited_ms: int
     target_ms: int
-    # 0 is the most urgent.
+    # 0 is the highest priority.
     priority: int
-    # Backend servers that it must not go to, by id.
+    # Ids of backend servers that must not get the request.
     avoid: tuple[str, ...] = ()
-    # Shared by all tries of one request; 0 if that is not known.
+    # The same for all attempts of one request; 0 if it is not known.
     digest: int = 0
-    # Whether its caller has a part of the answer and waits for the rest.
+    # Whether the caller already has a part of the response.
     started: bool = False
-    # Longest pause between events that is on time; 0 if there is no bound.
+    # Longest allowed pause between two events; 0 if there is no limit.
     gap_ms: int = 0
-    # How long its caller still waits for the whole answer; 0 if not known.
+    # How long the caller still waits for the complete response; 0 if it is not
+    # known.
     left_ms: int = 0
 
 
-class Place(Wire, frozen=True):
-    """Memory of a decode worker and time of a prefill worker, by id."""
+class Place(Wire, frozen=True, tag='Place'):
+    """A placement: decode worker memory and prefill worker time, by id."""
 
     worker: str
-    # Empty where the decode worker has to read the prompt.
+    # Empty if the decode worker has to prefill the prompt itself.
     prefiller: str
-    # Whether it should, although there are prefill workers: they are busy.
+    # Whether the decode worker prefills because all prefill workers are busy.
     reads_itself: bool = False
 
 
-class TooLate(Wire, frozen=True):
-    """No place is any use: the answer would not end in time."""
+class TooLate(Wire, frozen=True, tag='TooLate'):
+    """No placement would complete the response in time."""
 
     needs_ms: int
 
 
-class EndPlace(Wire, frozen=True):
-    """A place is given back, whatever came of it."""
+class EndPlace(Wire, frozen=True, tag='EndPlace'):
+    """Releases a placement, whatever its result."""
 
     service: str
     request: str
-    # What the holder measured; 0 for what was not reached.
+    # Durations and output tokens that the holder measured; 0 for a phase that was
+    # not reached.
     prefill_ms: int = 0
     decode_ms: int = 0
     tokens: int = 0
-    # Whether the answer came to its end.
+    # Whether the response was complete.
     whole: bool = False
-    # Whether the decode worker did not take what a prefill worker had read.
+    # Whether the decode worker rejected the result of the prefill worker.
     refused: bool = False
 
 
-class ServerFailed(Wire, frozen=True):
-    """A backend server took no connection, or broke an answer off."""
+class ServerFailed(Wire, frozen=True, tag='ServerFailed'):
+    """Reports a refused connection or a broken response of a server."""
 
     service: str
-    # By id.
+    # Id of the backend server.
     server: str
-    # The entry VM that reports it.
+    # The entry VM that sends the report.
     holder: str
-    # Whether another server answered at its address, so that it is surely gone.
+    # Whether another server replied at its address, which proves that this one is
+    # removed.
     replaced: bool = False
 
 
 class Crash(Wire, frozen=True):
-    """A request that ran on a server as that ended."""
+    """A request that was running on a server when the server crashed."""
 
-    # The server's id, and when it started, Unix milliseconds.
+    # The server's id, and its start time, Unix milliseconds.
     server: str
     born: int
-    # Digest of the request; the same for all sends of it.
+    # Digest of the request; the same for all attempts.
     fingerprint: int
-    # For how long the server had run it, or had it if that is not known.
+    # How long the server had run the request, or had it if the run time is not
+    # known.
     ran_ms: int
-    # How long ago the server ended, as this is told, milliseconds.
+    # Time between the crash and the sending of this report, milliseconds.
     age_ms: int = 0
 
 
 class CrashReports(Wire, frozen=True):
-    """From an entry VM to the home of such reports."""
+    """Reports of an entry VM to the coordinator of crash reports."""
 
     crashes: tuple[Crash, ...] = ()
-    # Fingerprints of requests that are held and ran to their end there.
+    # Fingerprints of quarantined requests that ran to completion on this entry VM.
     cleared: tuple[int, ...] = ()
-    # Whether it goes to one that may be home next, and not to the home.
+    # Whether the receiver is a possible successor and not the coordinator.
     copy: bool = False
 
 
-class Quarantined(Wire, frozen=True):
-    """Which requests are sent to no server; answers that, and told to all."""
+class Quarantined(Wire, frozen=True, tag='Quarantined'):
+    """The quarantined requests, which are sent to no server.
+
+    It is the reply to `CrashReports`, and is announced to all entry VMs.
+    """
 
-    # Tells the process that says so from others.
+    # Identifies the coordinator process that sends it.
     judge: int
-    # For how long, seconds, by fingerprint.
+    # Remaining quarantine in seconds by fingerprint.
     held: dict[int, float] = {}
-    # For how long others can't be held, seconds.
+    # For other requests, remaining time during which they can't be quarantined,
+    # seconds by fingerprint.
     cleared: dict[int, float] = {}
 
 
-class SendAsk(Wire, frozen=True):
-    """What a VM heard of one server's limit, and what it wants to send there."""
+class SendAsk(Wire, frozen=True, tag='SendAsk'):
+    """A VM's record of one server's limit, and the sends it requests."""
 
-    # Requests a second; None if the server named no limit any more.
+    # Requests per second; None if the server no longer reports a limit.
     limit: float | None
-    # How long ago the server said so, seconds.
+    # Time since the server reported the limit, seconds.
     age_s: float
-    # Sends.
+    # Number of sends requested.
     wants: int
-    # Sends that it was lent and did not use in time.
+    # Number of granted sends that expired unused.
     lapsed: int = 0
 
 
-class SendGrant(Wire, frozen=True):
-    """What the home of server limits knows of one, and lends."""
+class SendGrant(Wire, frozen=True, tag='SendGrant'):
+    """The coordinator's record of one server's limit, and the sends it grants."""
 
     limit: float | None
     age_s: float
-    # Sends.
+    # Number of sends granted.
     tokens: int = 0
 
 
-class AskSends(Wire, frozen=True):
-    """From an entry VM to the home of server limits; by server."""
+class AskSends(Wire, frozen=True, tag='AskSends'):
+    """Request of an entry VM to the coordinator of server limits."""
 
     holder: str
+    # By server id.
     asks: dict[str, SendAsk]
 
 
-class Sends(Wire, frozen=True):
-    """Answers it; without tokens, told to all when a limit begins or ends."""
+class Sends(Wire, frozen=True, tag='Sends'):
+    """Reply to `AskSends`.
+
+    It is also announced to all entry VMs, without tokens, when a limit begins
+    or ends.
+    """
 
     grants: dict[str, SendGrant]
 
 
-class KeptPlace(Wire, frozen=True):
-    """A place in use."""
+class KeptPlace(Wire, frozen=True, tag='KeptPlace'):
+    """A placement in use."""
 
     request: str
     worker: str
@@ -505,63 +550,77 @@
     hinted: int
     longest: int
     age_ms: int = 0
-    # When its worker started, Unix milliseconds; 0 if that is not told.
+    # Start time of the worker, Unix milliseconds; 0 if it is not reported.
     born: int = 0
 
 
-class AskCredit(Wire, frozen=True):
-    """From an entry VM to the home of a client account: may a request run?"""
+class AskCredit(Wire, frozen=True, tag='AskCredit'):
+    """Request of an entry VM to admit a request of a client account.
+
+    The receiver is the coordinator of the account.
+    """
 
     account: str
-    # What it counts as, in units of the account's limit.
+    # Cost of the request, in units of the account's limit.
     cost: float
 
 
-class Credit(Wire, frozen=True):
-    """Answers it."""
+class Credit(Wire, frozen=True, tag='Credit'):
+    """Reply to `AskCredit`."""
 
-    # 0 if it may; else how long until it would, milliseconds.
+    # 0 if the request is admitted; otherwise the time until it would be,
+    # milliseconds.
     wait_ms: int
-    # What the account has left, units.
+    # Credit that the account has left, units.
     level: float
 
 
-class GiveBack(Wire, frozen=True):
-    """What was let in did not run; to the home of a client account."""
+class GiveBack(Wire, frozen=True, tag='GiveBack'):
+    """Refunds the cost of an admitted request that did not run.
+
+    The receiver is the coordinator of the client account.
+    """
 
     account: str
     cost: float
 
 
-class LetIn(Wire, frozen=True):
-    """What one home of client accounts let in, told to those that may follow.
+class LetIn(Wire, frozen=True, tag='LetIn'):
+    """Usage that a coordinator of client accounts admitted.
 
-    By account, units, less what was given back.
+    The coordinator sends it to its possible successors.
     """
 
+    # Admitted units less refunded units, by account.
     used: dict[str, float]
 
 
-class AskHome(Wire, frozen=True):
-    """Asks an entry VM whether it may be a home."""
+class AskHome(Wire, frozen=True, tag='AskHome'):
+    """Requests whether an entry VM may be a coordinator."""
 
 
-class HomeReply(Wire, frozen=True):
-    """Says so."""
+class HomeReply(Wire, frozen=True, tag='HomeReply'):
+    """Reply to `AskHome`."""
 
     fit: bool
-    # Whether it has been up for long enough to go before a new process.
+    # Whether the process has been up long enough to be preferred over a new one.
     grown: bool
 
 
-class AskHeld(Wire, frozen=True):
-    """From the home of a service to all entry VMs: what do they hold?"""
+class AskHeld(Wire, frozen=True, tag='AskHeld'):
+    """Request of a service's coordinator for the placements of an entry VM.
+
+    A new coordinator sends it to all entry VMs.
+    """
 
     service: str
 
 
-class KeepPlaces(Wire, frozen=True):
-    """All that one entry VM holds; rebuilds the plan of a new home."""
+class KeepPlaces(Wire, frozen=True, tag='KeepPlaces'):
+    """Renews all placements of one entry VM at the coordinator.
+
+    A new coordinator rebuilds its plan from these messages.
+    """
 
     service: str
     holder: str
@@ -619,7 +678,7 @@
     | KeepPlaces
 )
 
-# Longest message between processes, bytes; a longer one is not looked at.
+# Longest message between processes, bytes; a longer one is not decoded.
 MAX_BYTES: Final = 8 * 1024 * 1024
 
 _encoder: Final = msgspec.msgpack.Encoder()
