--- a/packages/core/foxtaildale/claimlog.py
+++ b/packages/core/foxtaildale/claimlog.py
@@ -1,10 +1,10 @@
-"""The stream of claims: its records and what they add up to.
+"""The stream of claims: its records and the state folded from them.
 
-The order of the records decides who may run a key. The first claim holds it;
-a release by the same request gives it free again, because that request was
-never started and never will be; a done record keeps the outcome. A release may
-stand before its claim: an append whose answer was lost can take effect late,
-and a claim that comes after its own release counts for nothing.
+The order of the records decides which request may run a key. The first claim
+holds the key. A release by the same request frees the key, because that request
+was never started and never will be. A done record has the outcome. A release
+may precede its claim: an append whose reply was lost can take effect late, and
+a claim after its own release is ignored.
 """
 
 import sys
@@ -20,41 +20,41 @@
 STREAM: Final = 'claims'
 
 _DEFAULT_LIMIT: Final = 20_000
-# Released requests remembered for one key.
+# Maximum number of released requests remembered per key.
 _MAX_RELEASED: Final = 8
 
 
 class Item(
     msgspec.Struct, frozen=True, kw_only=True, tag=True, array_like=True
 ):
-    """Base of what a record holds."""
+    """Base class of the items of a record."""
 
     # From `keys.identity`.
     identity: bytes
-    # The offset that the key carries.
+    # The log offset that the key contains.
     stamp: int
     request: str
 
 
 class Claim(Item, frozen=True, tag='c'):
-    """A request asks for the right to run its key."""
+    """Claims the right of a request to run its key."""
 
-    # Digest of the body, hex.
+    # Digest of the body, hexadecimal.
     body: str
 
 
 class Release(Item, frozen=True, tag='r'):
-    """A request was not started and never will be."""
+    """Frees a key: the request was not started and never will be."""
 
 
 class Done(Item, frozen=True, tag='d'):
-    """What came of a request that held its key."""
+    """Outcome of a request that held its key."""
 
     outcome: values.Outcome
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """One record of the log: what one keeper had to say at one time."""
+    """One record of the log: the items that one keeper appended together."""
 
     # Incarnation and address of the keeper.
     owner: str
@@ -62,7 +62,8 @@
     items: tuple[Claim | Release | Done, ...]
 
 
-# What a claim came to. Old: it came first, but an earlier one may be forgotten.
+# Result of a claim. Old: it is the first known one, but an earlier one may have
+# been forgotten.
 Result = Literal['won', 'lost', 'other-body', 'bad', 'old', 'void']
 
 _encoder: Final = msgspec.msgpack.Encoder()
@@ -75,7 +76,7 @@
 
 
 def decode(data: bytes) -> Record | None:
-    """Returns the record in `data`; None if something else wrote it."""
+    """Returns the record in `data`; None if it is not a valid record."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -83,7 +84,7 @@
 
 
 class Holding:
-    """What the log says of one key."""
+    """The state of one key according to the log."""
 
     __slots__ = (
         'address',
@@ -97,31 +98,33 @@
     )
 
     def __init__(self, offset: int, *, complete: bool) -> None:
-        # Offset of the first record seen of it.
+        # Offset of the first record read for the key.
         self.stamp: float = offset
-        # Whether no earlier record of it can have been missed.
+        # Whether no earlier record of the key can have been missed.
         self.complete = complete
-        # Digest of the first body; another is an error. Empty: none yet.
+        # Digest of the first body; a claim with another one is an error. Empty
+        # if there was no claim yet.
         self.body = ''
-        # The request that holds it; empty if none does.
+        # The request that holds the key; empty if none does.
         self.request = ''
-        # The keeper that claimed it.
+        # Incarnation of the keeper that claimed the key.
         self.owner = ''
         self.address = ''
         self.outcome: values.Outcome | None = None
-        # Requests whose claims count for nothing.
+        # Requests whose claims are ignored.
         self.released: tuple[str, ...] = ()
 
 
 class Fold:
-    """Adds up records in the order of the log."""
+    """Folds records into the state of each key, in log order."""
 
     __slots__ = ('_holdings', '_limit')
 
     def __init__(self, first: int, limit: int = _DEFAULT_LIMIT) -> None:
-        """Starts with the record at offset `first`."""
+        """Initializes an empty state before the record at offset `first`."""
         self._limit = limit
-        # A key that carries `first` or more has no earlier records.
+        # A key that contains the offset `first` or a later one has no earlier
+        # records.
         self._holdings: memory.Memory[bytes, Holding] = memory.Memory(
             limit, floor=first - 1
         )
@@ -130,7 +133,7 @@
         return len(self._holdings)
 
     def get(self, identity: bytes) -> Holding | None:
-        """Returns what is known of a key."""
+        """Returns the state of a key; None if it has no record."""
         return self._holdings.get(identity)
 
     def is_old(self, identity: bytes, stamp: int) -> bool:
@@ -141,13 +144,14 @@
         return not self._holdings.never_knew(identity, stamp)
 
     def expire(self, first: int) -> None:
-        """Forgets what the log no longer keeps."""
+        """Evicts keys whose first record the log no longer has."""
         self._holdings.expire(first)
 
     def apply(self, offset: int, record: Record, item: Item) -> Result:
-        """Adds one item of a record; the result is of use for claims."""
+        """Applies one item of a record; the result matters only for claims."""
         if item.stamp > offset:
-            # A key from the future would outlive its own records here.
+            # A key with a later offset than its own record would be remembered
+            # longer than its records.
             return 'bad'
         holding = self._holding(offset, item)
         match item:
@@ -193,8 +197,9 @@
     def _done(self, holding: Holding, item: Done) -> None:
         if holding.request != item.request:
             return
-        # A keeper writes "unknown" for a silent holder, which may yet wake
-        # and know better; a known outcome never changes.
+        # A keeper records "unknown" for a holder that does not reply, and the
+        # holder may still report its outcome later. A known outcome never
+        # changes.
         old = holding.outcome
         if old is None or codes.ran(old.code) == 'unknown':
             holding.outcome = values.interned(item.outcome)
--- a/packages/core/foxtaildale/messages.py
+++ b/packages/core/foxtaildale/messages.py
@@ -226,7 +226,7 @@
     service: str
     key: str
     outcome: values.Outcome
-    # The complete response as JSON, stored for a caller that did not receive it.
+    # The complete response as JSON, stored for a caller that did not get it.
     answer: bytes = b''
 
 
@@ -393,7 +393,7 @@
     request: str
     # The entry VM that sends the request.
     holder: str
-    # Tokens of the prompt, and the estimated and maximum tokens of the response.
+    # Prompt tokens, and the estimated and maximum tokens of the response.
     prompt: int
     hinted: int
     longest: int
@@ -437,8 +437,8 @@
 
     service: str
     request: str
-    # Durations and output tokens that the holder measured; 0 for a phase that was
-    # not reached.
+    # Durations and output tokens that the holder measured; 0 for a phase that
+    # was not reached.
     prefill_ms: int = 0
     decode_ms: int = 0
     tokens: int = 0
@@ -456,8 +456,8 @@
     server: str
     # The entry VM that sends the report.
     holder: str
-    # Whether another server replied at its address, which proves that this one is
-    # removed.
+    # Whether another server replied at its address, which proves that this one
+    # is removed.
     replaced: bool = False
 
 
@@ -480,7 +480,7 @@
     """Reports of an entry VM to the coordinator of crash reports."""
 
     crashes: tuple[Crash, ...] = ()
-    # Fingerprints of quarantined requests that ran to completion on this entry VM.
+    # Fingerprints of quarantined requests that ran to completion there.
     cleared: tuple[int, ...] = ()
     # Whether the receiver is a possible successor and not the coordinator.
     copy: bool = False
@@ -515,7 +515,7 @@
 
 
 class SendGrant(Wire, frozen=True, tag='SendGrant'):
-    """The coordinator's record of one server's limit, and the sends it grants."""
+    """The coordinator's record of a server's limit, and the granted sends."""
 
     limit: float | None
     age_s: float
@@ -603,7 +603,8 @@
     """Reply to `AskHome`."""
 
     fit: bool
-    # Whether the process has been up long enough to be preferred over a new one.
+    # Whether the process has been up long enough to be preferred over a new
+    # one.
     grown: bool
 
 
--- a/packages/core/foxtaildale/tickets.py
+++ b/packages/core/foxtaildale/tickets.py
@@ -1,20 +1,23 @@
-"""Tickets: who alone may run a request, and the one that does.
+"""Tickets: they ensure that a request runs at most once.
 
-A caller fetches tickets beforehand. Each names the incarnation of the daemon
-that may run it, the executor, and a witness on another VM. Any entry VM hands
-a ticket with its request to the executor, which asks the witness to note the
-start and only then sends the first byte:
+A caller fetches tickets in advance. Each ticket names the executor, which is
+the only daemon incarnation that may run the request, and a witness on another
+VM. Any entry VM may receive the ticket with its request and forwards both to
+the executor. The executor requests the witness to record the start, and sends
+the first byte only after that:
 
     admit -> SendNote -> the witness's reply -> on_witness -> Run -> finish
 
-Authority never moves: an executor that restarts is another incarnation and
-runs none of the former's tickets. An entry VM that can't reach the executor
-asks the witness to void the identity and answers by `verdict`.
+The right to run never passes to another process: an executor that restarts is
+another incarnation and runs no ticket of the former one. An entry VM that can't
+reach the executor requests the witness to void the identity, and uses `verdict`
+to choose the response.
 
-"Not run" about a ticket is said by the executor for an identity that it has
-given up, or by the witness's void, and by nobody else. An entry VM that wants
-to refuse for another reason (it is stopping, it has no preset) voids first: an
-earlier try of the same caller may be on its way through another VM.
+Only two sources may report "not run" for a ticket: the executor, for an
+identity that it has abandoned, and the witness, by a void. An entry VM that
+refuses a request for another reason (it is stopping, it has no preset) voids
+the identity first, since an earlier attempt of the same caller may be in
+transit through another VM.
 """
 
 import base64
@@ -33,12 +36,12 @@
 
 _DEFAULT_LIMIT: Final = 20_000
 _DEFAULT_ANSWER_BYTES: Final = 4 * 1024 * 1024
-# An executor remembers an identity for this many lives of its ticket, so that
-# it can still say "not run" of a ticket that came too late.
-_LIVES_REMEMBERED: Final = 2
-# Witnesses whose clocks are kept.
+# How long an executor remembers an identity, in ticket lifetimes. It can then
+# still report "not run" for a ticket that arrives too late.
+_REMEMBERED_LIFETIMES: Final = 2
+# Maximum number of witnesses whose clock readings are stored.
 _MAX_READINGS: Final = 64
-# Longest ticket in its text form, characters.
+# Maximum length of a ticket in text form, characters.
 _MAX_TEXT: Final = 2_048
 
 _encoder: Final = msgspec.msgpack.Encoder()
@@ -46,40 +49,43 @@
 
 
 class SendNote(msgspec.Struct, frozen=True):
-    """Ask the witness; the reply goes to `Executor.on_witness`."""
+    """Send the note to the witness; pass its reply to `Executor.on_witness`."""
 
     note: messages.Note
     address: str
 
 
 class Known(msgspec.Struct, frozen=True):
-    """The identity came to its end before."""
+    """The identity already has an outcome."""
 
     outcome: values.Outcome
-    # Empty if there is none or it is no longer kept.
+    # The response; empty if there is none or it is no longer stored.
     answer: bytes = b''
 
 
 class Refuse(msgspec.Struct, frozen=True):
-    """Answer with this code; nothing is to be run."""
+    """Respond with this code and run nothing."""
 
     code: codes.Code
 
 
 class Stranger(msgspec.Struct, frozen=True):
-    """The ticket names another incarnation, which is gone if it lived here."""
+    """The ticket names another incarnation.
+
+    If that incarnation ran on this VM, it no longer exists.
+    """
 
 
 class Run(msgspec.Struct, frozen=True):
-    """Send the request to a backend server, once; then call `finish`."""
+    """Send the request to a backend server once, then call `finish`."""
 
     identity: str
 
 
 class GiveUp(msgspec.Struct, frozen=True):
-    """It will never run. Make an outcome of the code and call `finish`.
+    """The request never runs. Make an outcome of the code and call `finish`.
 
-    `finish` gives the message that tells the witness.
+    `finish` returns the message that reports the outcome to the witness.
     """
 
     identity: str
@@ -87,10 +93,10 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What an entry VM may say of a ticket whose executor can't be reached."""
+    """The response for a ticket whose executor can't be reached."""
 
     code: codes.Code
-    # The executor's own outcome and answer, if the witness has them.
+    # The executor's own outcome and response, if the witness has them.
     outcome: values.Outcome | None = None
     answer: bytes = b''
 
@@ -99,10 +105,11 @@
 
 
 def verdict(reply: messages.WitnessReply | None) -> Verdict:
-    """Judges a witness's reply to a void; None stands for no reply.
+    """Returns the verdict for a witness's reply to a void; None is no reply.
 
-    Only a void of the witness itself is "not run". A noted start may be
-    running now; a stranger or an old ticket may have been noted and forgotten.
+    Only a void by the witness proves "not run". A request with a recorded start
+    may be running now. For a ticket of another incarnation and for an old
+    ticket, the start may have been recorded and forgotten.
     """
     if reply is None:
         return Verdict(codes.UNKNOWN)
@@ -117,13 +124,14 @@
 
 def digest(call: str, body: bytes) -> str:
     """Returns the digest that binds an identity to a call and its body."""
-    # The length keeps a call's end from passing for the body's beginning.
+    # The length separates the call from the body: no other pair of call and
+    # body has the same input.
     head = f'{len(call)}:{call}'.encode()
     return hashlib.blake2b(head + body, digest_size=16).hexdigest()
 
 
 def void(ticket: messages.Ticket, call: str, body: bytes) -> messages.Void:
-    """Returns the message that asks a ticket's witness to void it."""
+    """Returns the message that requests a ticket's witness to void it."""
     return messages.Void(
         identity=ticket.identity,
         witness=ticket.witness,
@@ -133,14 +141,14 @@
 
 
 def to_text(ticket: messages.Ticket) -> str:
-    """Returns a ticket as callers carry it, fit for an HTTP header."""
+    """Returns the text form of a ticket, which fits in an HTTP header."""
     return (
         base64.urlsafe_b64encode(_encoder.encode(ticket)).decode().rstrip('=')
     )
 
 
 def from_text(text: str) -> messages.Ticket | None:
-    """Returns the ticket in `text`, unchecked; None if there is none."""
+    """Returns the ticket in `text`, not verified; None if there is none."""
     if len(text) > _MAX_TEXT:
         return None
     try:
@@ -151,7 +159,7 @@
 
 
 class _Entry:
-    """What became of one identity here."""
+    """The state of one identity at this executor."""
 
     __slots__ = (
         'answer',
@@ -164,10 +172,10 @@
     )
 
     def __init__(self, ticket: messages.Ticket, body: str) -> None:
-        # noting, running, given-up (outcome not made yet) or done
+        # noting, running, given-up (without an outcome yet) or done
         self.status = 'noting'
         self.body = body
-        # When the ticket was minted, on this process's clock.
+        # Time of issue of the ticket, on this process's clock.
         self.stamp = ticket.minted_at
         self.witness = ticket.witness
         self.witness_at = ticket.witness_at
@@ -176,7 +184,7 @@
 
 
 class Executor:
-    """Mints tickets that name this incarnation, and runs them at most once.
+    """Issues tickets that name this incarnation, and runs them at most once.
 
     Times are seconds on this process's monotonic clock.
     """
@@ -184,13 +192,13 @@
     __slots__ = (
         '_address',
         '_answer_bytes',
-        '_count',
         '_entries',
         '_incarnation',
-        '_life_s',
+        '_issued',
+        '_lifetime_s',
         '_readings',
-        '_room',
         '_secret',
+        '_unused_answer_bytes',
     )
 
     def __init__(
@@ -206,23 +214,23 @@
         self._incarnation = incarnation
         self._address = address
         self._secret = secret
-        # How long after its minting a ticket may be run.
-        self._life_s = life_s
-        # Tickets minted so far.
-        self._count = 0
-        # Witness by its latest reading, and when that came here.
+        # How long after its issue a ticket may be run.
+        self._lifetime_s = life_s
+        # Number of tickets issued so far.
+        self._issued = 0
+        # Latest clock reading of each witness, and its time of arrival here.
         self._readings: dict[str, tuple[float, float]] = {}
         self._entries: memory.Memory[str, _Entry] = memory.Memory(limit)
-        # Bytes of answers that may be kept, and those still free.
+        # Bytes of responses that may be stored, and how many are still free.
         self._answer_bytes = answer_bytes
-        self._room = answer_bytes
+        self._unused_answer_bytes = answer_bytes
 
     def on_reading(
         self, now: float, witness: str, reply: messages.WitnessReply
     ) -> None:
-        """Takes a witness's clock from any of its replies.
+        """Records a witness's clock from any of its replies.
 
-        A reply that overtook another only makes tickets a little older.
+        A reply that arrives out of order only makes new tickets slightly older.
         """
         if reply.status == 'stranger':
             self._readings.pop(witness, None)
@@ -239,14 +247,15 @@
     ) -> messages.Ticket | None:
         """Returns a new ticket.
 
-        None: the witness's clock is not known or its reading is too old for
-        the ticket to live its full life; send `messages.AskReading` to the
-        witness, give the reply to `on_reading` and ask again.
+        Returns None if the witness's clock is not known, or if its reading is
+        too old for a ticket to be valid for its full lifetime. The caller then
+        sends `messages.AskReading` to the witness, passes the reply to
+        `on_reading` and calls this again.
         """
-        at, came = self._readings.get(witness, (0.0, float('-inf')))
-        if now - came > self._life_s / 2:
+        at, received_at = self._readings.get(witness, (0.0, float('-inf')))
+        if now - received_at > self._lifetime_s / 2:
             return None
-        self._count += 1
+        self._issued += 1
         ticket = messages.Ticket(
             identity=f'{self._incarnation}.{self._count}',
             service=service,
@@ -260,7 +269,7 @@
         return msgspec.structs.replace(ticket, mac=self._sign(ticket))
 
     def check(self, ticket: messages.Ticket, service: str) -> codes.Code | None:
-        """Returns what is wrong with a ticket, at any VM; None if nothing."""
+        """Verifies a ticket, on any VM; returns the error code, or None."""
         signed = self._sign(ticket).encode()
         if not hmac.compare_digest(signed, ticket.mac.encode()):
             return codes.TICKET_BAD
@@ -271,20 +280,20 @@
     def admit(
         self, now: float, ticket: messages.Ticket, call: str, body: bytes
     ) -> Admission:
-        """Decides on a checked ticket that came with its request."""
+        """Decides on a verified ticket that arrived with its request."""
         if ticket.executor != self._incarnation:
             return Stranger()
         self.expire(now)
         body_digest = digest(call, body)
         entry = self._entries.get(ticket.identity)
         if entry is not None:
-            return self._again(entry, body_digest)
+            return self._admit_again(entry, body_digest)
         if not self._entries.never_knew(ticket.identity, ticket.minted_at):
             return Refuse(codes.UNKNOWN)
-        if now - ticket.minted_at > self._life_s:
+        if now - ticket.minted_at > self._lifetime_s:
             return Refuse(codes.TICKET_OLD)
         entry = _Entry(ticket, body_digest)
-        self._free(self._entries.put(ticket.identity, entry))
+        self._reclaim(self._entries.put(ticket.identity, entry))
         note = messages.Note(
             identity=ticket.identity,
             witness=ticket.witness,
@@ -296,20 +305,21 @@
     def on_witness(
         self, now: float, identity: str, reply: messages.WitnessReply | None
     ) -> Run | GiveUp:
-        """Decides on the witness's reply to a note; None: no reply came.
+        """Decides on the witness's reply to a note; None means no reply.
 
-        The note may be sent again before this is called, not afterwards. If it
-        was decided before, as when a reply comes twice, or the identity had to
-        be forgotten meanwhile, the code is `codes.UNKNOWN`: whoever still
-        waits is told so, and `finish` is not called for it.
+        The note may be sent again before this call, but not after it. The code
+        is `codes.UNKNOWN` if there was an earlier decision (a duplicate reply)
+        or the identity was evicted meanwhile. Callers that still wait get that
+        code, and `finish` is not called for it.
         """
         entry = self._entries.get(identity)
         if entry is None or entry.status != 'noting':
             return GiveUp(identity, codes.UNKNOWN)
         if reply is not None:
             self.on_reading(now, entry.witness, reply)
-        if now - entry.stamp > self._life_s:
-            # A paused process wakes here; its caller has long gone elsewhere.
+        if now - entry.stamp > self._lifetime_s:
+            # This happens after a pause of the process; the caller has already
+            # turned to another VM.
             entry.status = 'given-up'
             return GiveUp(identity, codes.TICKET_OLD)
         if reply is None or reply.status != 'noted':
@@ -325,11 +335,11 @@
         outcome: values.Outcome,
         answer: bytes = b'',
     ) -> messages.Tell | None:
-        """Takes the outcome of a run or of a giving up, once.
+        """Records the outcome of a run or of an abandoned request, once.
 
-        Returns what the witness is to be told, best before the caller is
-        answered. None: nothing is known of the identity any more, or it had
-        its outcome already.
+        Returns the message for the witness, which is best sent before the
+        response to the caller. Returns None if the identity is no longer known
+        or already has an outcome.
         """
         self.expire(now)
         entry = self._entries.get(identity)
@@ -337,9 +347,9 @@
             return None
         entry.status = 'done'
         entry.outcome = outcome
-        if len(answer) <= self._room:
+        if len(answer) <= self._unused_answer_bytes:
             entry.answer = answer
-            self._room -= len(answer)
+            self._unused_answer_bytes -= len(answer)
         return messages.Tell(
             identity=identity,
             witness=entry.witness,
@@ -350,24 +360,26 @@
         )
 
     def expire(self, now: float) -> None:
-        """Forgets identities whose tickets are long too old to run."""
-        self._free(self._entries.expire(now - _LIVES_REMEMBERED * self._life_s))
+        """Evicts identities whose tickets expired long ago."""
+        self._reclaim(
+            self._entries.expire(now - _REMEMBERED_LIFETIMES * self._lifetime_s)
+        )
 
     def dump(self) -> Mapping[str, object]:
-        """Returns the state for people."""
+        """Returns the state for operators."""
         counts = {'noting': 0, 'running': 0, 'given-up': 0, 'done': 0}
         for _, entry in self._entries:
             counts[entry.status] += 1
         return {
             'incarnation': self._incarnation,
-            'minted': self._count,
+            'minted': self._issued,
             'identities': counts,
-            'answer_bytes': self._answer_bytes - self._room,
+            'answer_bytes': self._answer_bytes - self._unused_answer_bytes,
             'witnesses': sorted(self._readings),
         }
 
-    def _again(self, entry: _Entry, body_digest: str) -> Known | Refuse:
-        """Answers for an identity that was admitted before."""
+    def _admit_again(self, entry: _Entry, body_digest: str) -> Known | Refuse:
+        """Returns the decision for an identity that was admitted before."""
         if entry.body != body_digest:
             return Refuse(codes.OTHER_BODY)
         if entry.outcome is not None:
@@ -381,6 +393,6 @@
         data = _encoder.encode(unsigned)
         return hmac.new(self._secret, data, hashlib.sha256).hexdigest()
 
-    def _free(self, gone: list[_Entry]) -> None:
-        for entry in gone:
-            self._room += len(entry.answer)
+    def _reclaim(self, evicted: list[_Entry]) -> None:
+        for entry in evicted:
+            self._unused_answer_bytes += len(entry.answer)
--- a/packages/core/foxtaildale/witness.py
+++ b/packages/core/foxtaildale/witness.py
@@ -1,16 +1,16 @@
-"""The witness of tickets: notes starts and voids identities.
+"""The witness of tickets: records starts and voids identities.
 
 An executor sends the first byte of a ticket's request only after the witness
-has noted the start. Anyone who can't reach the executor may ask the witness to
-void the identity. Whichever reaches the witness first stands, so a void proves
-that the request did not run and never will.
-
-A void must outlive every note that may still come, however long that note was
-on its way and however the clocks drift or stop. So nobody compares clocks of
-two machines: a ticket carries a reading of the witness's own clock, taken
-before the ticket was minted. A void is remembered until the clock has passed
-that reading by `remember_s`, and a note that comes later is refused as old by
-the very same sum. A witness that restarts is another incarnation, which notes
+has recorded the start. A process that can't reach the executor may request the
+witness to void the identity. The first of the two messages to reach the witness
+takes effect, so a void proves that the request did not run and never will.
+
+A void must be remembered longer than any start message may be delayed, even if
+clocks drift or stop. Clocks of two machines are therefore never compared: a
+ticket has a reading of the witness's own clock, taken before the ticket was
+issued. A void is remembered until the clock has passed that reading by
+`remember_s`, and a start message that arrives later is refused as old by the
+same calculation. A witness that restarts is another incarnation, which records
 nothing for tickets of the former one.
 """
 
@@ -25,15 +25,15 @@
 _DEFAULT_ANSWER_BYTES: Final = 4 * 1024 * 1024
 
 
-class _Start:
-    """What became of one identity."""
+class _Identity:
+    """The state of one identity."""
 
     __slots__ = ('answer', 'body', 'outcome', 'stamp', 'status')
 
     def __init__(self, status: str, body: str, stamp: float) -> None:
         # noted, voided or told
         self.status = status
-        # Digest of the body that it is bound to.
+        # Digest of the body that the identity is bound to.
         self.body = body
         # The ticket's reading of this witness's clock.
         self.stamp = stamp
@@ -42,17 +42,17 @@
 
 
 class Witness:
-    """Remembers starts and voids for one keeper incarnation.
+    """Starts and voids recorded by one keeper incarnation.
 
     Times are seconds on this process's monotonic clock.
     """
 
     __slots__ = (
         '_answer_bytes',
+        '_identities',
         '_incarnation',
         '_remember_s',
-        '_room',
-        '_starts',
+        '_unused_answer_bytes',
     )
 
     def __init__(
@@ -63,101 +63,102 @@
         answer_bytes: int = _DEFAULT_ANSWER_BYTES,
     ) -> None:
         self._incarnation = incarnation
-        # How long an identity is remembered after its ticket's reading.
+        # How long an identity is remembered after the clock reading of its
+        # ticket.
         self._remember_s = remember_s
-        self._starts: memory.Memory[str, _Start] = memory.Memory(limit)
-        # Bytes of answers that may be kept, and those still free.
+        self._identities: memory.Memory[str, _Identity] = memory.Memory(limit)
+        # Bytes of responses that may be stored, and how many are still free.
         self._answer_bytes = answer_bytes
-        self._room = answer_bytes
+        self._unused_answer_bytes = answer_bytes
 
     def read(
         self, now: float, msg: messages.AskReading
     ) -> messages.WitnessReply:
-        """Tells an executor this witness's clock, for tickets to come."""
+        """Returns this witness's clock, which an executor needs for tickets."""
         if msg.witness != self._incarnation:
             return self._reply(now, 'stranger')
         return self._reply(now, 'reading')
 
     def note(self, now: float, msg: messages.Note) -> messages.WitnessReply:
-        """Notes a start, unless the identity was voided.
+        """Records a start, unless the identity was voided.
 
-        The same note may come twice: its sender is the only one that may start
-        the identity and does so once.
+        The same message may arrive twice. That is safe: only its sender may
+        start the identity, and it does so once.
         """
-        return self._first(now, msg, 'noted')
+        return self._record(now, msg, 'noted')
 
     def void(self, now: float, msg: messages.Void) -> messages.WitnessReply:
-        """Voids an identity, unless its start was noted."""
-        return self._first(now, msg, 'voided')
+        """Voids an identity, unless its start was recorded."""
+        return self._record(now, msg, 'voided')
 
     def tell(self, now: float, msg: messages.Tell) -> messages.WitnessReply:
-        """Keeps what came of an identity, for those who ask later.
+        """Stores the outcome of an identity for later requests.
 
-        An executor that gave up tells that too; its note may still be on the
-        way, or may never have come. A void stands whatever is told.
+        An executor also reports that it abandoned a request; its start message
+        may be delayed or lost. A void is final: no report replaces it.
         """
-        reply = self._first(now, msg, 'noted')
-        start = self._starts.get(msg.identity)
-        if reply.status != 'noted' or start is None:
+        reply = self._record(now, msg, 'noted')
+        entry = self._identities.get(msg.identity)
+        if reply.status != 'noted' or entry is None:
             return reply
-        start.status = 'told'
-        start.outcome = values.interned(msg.outcome)
-        if len(msg.answer) <= self._room:
-            start.answer = msg.answer
-            self._room -= len(msg.answer)
+        entry.status = 'told'
+        entry.outcome = values.interned(msg.outcome)
+        if len(msg.answer) <= self._unused_answer_bytes:
+            entry.answer = msg.answer
+            self._unused_answer_bytes -= len(msg.answer)
         return self._reply(now, 'told')
 
     def expire(self, now: float) -> None:
-        """Forgets what no note or void can ask for any more."""
-        self._free(self._starts.expire(now - self._remember_s))
+        """Evicts identities that no valid start or void message can name."""
+        self._reclaim(self._identities.expire(now - self._remember_s))
 
     def dump(self) -> dict[str, object]:
-        """Returns the state for people."""
+        """Returns the state for operators."""
         counts = {'noted': 0, 'voided': 0, 'told': 0}
-        for _, start in self._starts:
-            counts[start.status] += 1
+        for _, entry in self._identities:
+            counts[entry.status] += 1
         return {
             'incarnation': self._incarnation,
             'identities': counts,
-            'answer_bytes': self._answer_bytes - self._room,
-            'floor': max(self._starts.floor, 0.0),
+            'answer_bytes': self._answer_bytes - self._unused_answer_bytes,
+            'floor': max(self._identities.floor, 0.0),
         }
 
-    def _first(
+    def _record(
         self,
         now: float,
         msg: messages.Note | messages.Void | messages.Tell,
         status: str,
     ) -> messages.WitnessReply:
-        """Records `status` if nothing is recorded; returns what stands."""
+        """Records `status` if none is recorded; returns the recorded one."""
         if msg.witness != self._incarnation:
             return self._reply(now, 'stranger')
         self.expire(now)
-        start = self._starts.get(msg.identity)
-        if start is None:
+        entry = self._identities.get(msg.identity)
+        if entry is None:
             if not self._is_judgeable(now, msg.identity, msg.witness_at):
                 return self._reply(now, 'old')
-            start = _Start(status, msg.body, msg.witness_at)
-            self._free(self._starts.put(msg.identity, start))
-        if start.status != 'voided' and start.body != msg.body:
+            entry = _Identity(status, msg.body, msg.witness_at)
+            self._reclaim(self._identities.put(msg.identity, entry))
+        if entry.status != 'voided' and entry.body != msg.body:
             return self._reply(now, 'other-body')
-        return self._reply(now, start.status, start)
+        return self._reply(now, entry.status, entry)
 
     def _is_judgeable(self, now: float, identity: str, stamp: float) -> bool:
-        # A reading from the future is no reading of this clock.
+        # A reading later than now was not taken from this clock.
         if not now - self._remember_s <= stamp <= now:
             return False
-        return self._starts.never_knew(identity, stamp)
+        return self._identities.never_knew(identity, stamp)
 
     def _reply(
-        self, now: float, status: str, start: _Start | None = None
+        self, now: float, status: str, entry: _Identity | None = None
     ) -> messages.WitnessReply:
-        if start is None:
+        if entry is None:
             return messages.WitnessReply(status=status, at=now)
         return messages.WitnessReply(
-            status=status, at=now, outcome=start.outcome, answer=start.answer
+            status=status, at=now, outcome=entry.outcome, answer=entry.answer
         )
 
-    def _free(self, gone: list[_Start]) -> None:
-        for start in gone:
-            self._room += len(start.answer)
+    def _reclaim(self, evicted: list[_Identity]) -> None:
+        for entry in evicted:
+            self._unused_answer_bytes += len(entry.answer)
