--- a/packages/core/foxtaildale/claims.py
+++ b/packages/core/foxtaildale/claims.py
@@ -1,17 +1,17 @@
-"""Claims: how a keeper wins a key in the log before the key's request runs.
+"""Claims: a keeper claims a key in the log before the key's request runs.
 
-The entries of a VM ask their keeper; the keeper appends many claims at once,
-reads them back and answers:
+The entries of a VM send claim requests to their keeper. The keeper appends many
+claims at once, reads them back and replies:
 
     ask -> batch -> on_appended -> on_records -> won, lost, ...
 
-A claim that is not read back as the first of its key is never run. When the
-log doesn't answer, the asker is refused at once. An append without an answer
-may still take effect: its claims are given up for good and released as soon as
-the log takes records again, so that the key doesn't stay taken.
+A request runs only if its claim is read back as the first of its key. While the
+log doesn't reply, claim requests are refused at once. An append whose reply was
+lost may still take effect: its claims are abandoned, and are released as soon
+as the log accepts records again, so that the keys become free.
 
 The right to run belongs to the request that won, not to the keeper: an entry
-that has "won" in its hands may run although its keeper died.
+that received "won" may run the request even if its keeper has crashed.
 """
 
 from typing import Final
@@ -24,57 +24,59 @@
 from foxtaildale import ports
 from foxtaildale import values
 
-# One keeper appends at most this often.
+# Shortest interval between two appends of one keeper.
 _DEFAULT_INTERVAL_S: Final = 0.05
-# Appends a second of all keepers together. The log takes several hundred from
-# everybody; were it flooded with claims, presets could not be switched.
-_ALL_APPENDS_PER_S: Final = 160
-# Longest wait for a claim to be read back, beyond two intervals.
-_DEFAULT_PATIENCE_S: Final = 3.0
-# Silence of the log's reader after which asks are refused at once.
+# Appends per second of all keepers together. The log accepts several hundred
+# per second in total; if claims used them all, presets could not be switched.
+_MAX_APPENDS_PER_S: Final = 160
+# Longest wait for a claim to be read back, in addition to two intervals.
+_DEFAULT_TIMEOUT_S: Final = 3.0
+# Time without a read from the log after which claim requests are refused at
+# once.
 _DEFAULT_STALE_S: Final = 3.0
-# Asks that wait at once.
+# Maximum number of claim requests that wait at the same time.
 _MAX_WAITING: Final = 5_000
-# Given-up requests remembered, for asks that arrive after their end.
-_MAX_GIVEN_UP: Final = 10_000
+# Maximum number of abandoned requests remembered, for claim requests that
+# arrive late.
+_MAX_ABANDONED: Final = 10_000
 
 _Item = claimlog.Claim | claimlog.Release | claimlog.Done
 
-# A request and what it is to be told now.
+# A request and the reply to its claim request.
 Settled = tuple[str, messages.ClaimReply]
 
 
-class _Ask:
-    """A claim that is not settled yet."""
+class _PendingClaim:
+    """A claim with the entry that requested it."""
 
     __slots__ = ('asked_at', 'claim', 'holder')
 
     def __init__(self, now: float, claim: claimlog.Claim, holder: str) -> None:
-        self.asked_at = now
+        self.requested_at = now
         self.claim = claim
         self.holder = holder
 
 
 def covering(code: codes.Code, first_try: bool) -> codes.Code:
-    """Returns the code that a try under a key may be refused with.
+    """Returns the code with which an attempt under a key may be refused.
 
-    A caller takes "not run" for an answer to all that it sent under the key.
-    An earlier try may still be on its way through another VM and win later, so
-    each refusal of a key's request, for whatever reason, goes through here.
+    A caller takes "not run" to cover all attempts that it sent under the key.
+    An earlier attempt may still be in transit through another VM and win later,
+    so each refusal of a request with a key must use this function.
 
     Args:
         code: The reason of the refusal.
-        first_try: Whether the caller says that it has no earlier try under
-            this key, or that each was answered "not run".
+        first_try: Whether the caller states that it has no earlier attempt
+            under this key, or that the response to each was "not run".
     """
     if first_try or code.ran != 'no' or code is codes.OTHER_BODY:
-        # The log binds a key to its first body; another one never runs.
+        # The log binds a key to its first body; another body never runs.
         return code
     return codes.CLAIM_UNSURE
 
 
 def refusal(reply: messages.ClaimReply, first_try: bool) -> codes.Code | None:
-    """Returns the code to refuse with; None for "won" and "lost"."""
+    """Returns the code of a refusal; None for "won" and "lost"."""
     match reply.status:
         case 'won' | 'lost':
             return None
@@ -98,13 +100,13 @@
         '_appends',
         '_caught_up',
         '_fold',
-        '_given_up',
-        '_held',
+        '_abandoned',
+        '_won',
         '_incarnation',
         '_interval_s',
-        '_next',
-        '_patience_s',
-        '_read_at',
+        '_next_offset',
+        '_timeout_s',
+        '_last_read_at',
         '_stale_s',
         '_unlogged',
         '_waiting',
@@ -116,108 +118,108 @@
         address: str,
         *,
         interval_s: float = _DEFAULT_INTERVAL_S,
-        patience_s: float = _DEFAULT_PATIENCE_S,
+        patience_s: float = _DEFAULT_TIMEOUT_S,
         stale_s: float = _DEFAULT_STALE_S,
     ) -> None:
         self._incarnation = incarnation
         self._address = address
         self._interval_s = interval_s
         self._appends: appends.Appends[_Item] = appends.Appends(interval_s)
-        self._patience_s = patience_s
+        self._timeout_s = patience_s
         self._stale_s = stale_s
-        # Offset to read next; None until the first read.
-        self._next: int | None = None
+        # Offset of the next read; None before the first read.
+        self._next_offset: int | None = None
         self._fold = claimlog.Fold(0)
-        # Whether the stream was once read to its end.
+        # Whether the stream has been read to its end at least once.
         self._caught_up = False
-        self._read_at = float('-inf')
-        # Asks that are not read back yet, by request.
-        self._waiting: dict[str, _Ask] = {}
-        # Claims that were won and not ended, by request.
-        self._held: dict[str, _Ask] = {}
-        # Requests that must not win any more, oldest first.
-        self._given_up: dict[str, None] = {}
-        # Outcomes that are not read back yet, by identity.
+        self._last_read_at = float('-inf')
+        # Claims that are not read back yet, by request.
+        self._waiting: dict[str, _PendingClaim] = {}
+        # Claims that were won and have no outcome yet, by request.
+        self._won: dict[str, _PendingClaim] = {}
+        # Abandoned requests, which must not win any more, oldest first.
+        self._abandoned: dict[str, None] = {}
+        # Outcomes that are not read back yet, by key identity.
         self._unlogged: dict[bytes, values.Outcome] = {}
 
     def on_members(self, keepers: int) -> None:
-        """Takes the number of keepers; more of them append less often each."""
-        shared_s = keepers / _ALL_APPENDS_PER_S
+        """Sets the number of keepers, which share the rate of appends."""
+        shared_s = keepers / _MAX_APPENDS_PER_S
         self._appends.interval_s = max(self._interval_s, shared_s)
 
     def key_prefix(self) -> str | None:
-        """Returns the beginning of new keys; None while it is not known."""
-        if self._next is None or not self._caught_up:
+        """Returns the prefix of new keys; None until it is known."""
+        if self._next_offset is None or not self._caught_up:
             return None
-        return keys.prefix(self._next)
+        return keys.prefix(self._next_offset)
 
     def next_offset(self) -> int:
         """Returns the offset to read the stream from."""
-        return self._next or 0
+        return self._next_offset or 0
 
     def ask(
         self, now: float, msg: messages.AskClaim
     ) -> messages.ClaimReply | None:
-        """Asks whether a request may run its key; None: settled later."""
+        """Handles a claim request; returns None if the reply comes later."""
         stamp = keys.stamp(msg.key)
         if stamp is None:
             return messages.ClaimReply(status='bad')
         identity = keys.identity(msg.service, msg.key)
-        if known := self._judge(identity, stamp, msg.body, msg.request):
-            return known
+        if reply := self._known_reply(identity, stamp, msg.body, msg.request):
+            return reply
         if msg.request in self._waiting:
             return None
-        if msg.request in self._given_up or not self._is_up(now):
+        if msg.request in self._abandoned or not self._accepts_claims(now):
             return self._log_down(now)
         claim = claimlog.Claim(
             identity=identity, stamp=stamp, request=msg.request, body=msg.body
         )
-        self._waiting[msg.request] = _Ask(now, claim, msg.holder)
+        self._waiting[msg.request] = _PendingClaim(now, claim, msg.holder)
         self._appends.add(claim)
         return None
 
     def batch(self, now: float) -> list[bytes]:
         """Returns the records to append now; empty if there are none.
 
-        One append is in flight at a time. Its end is told by `on_appended` or
-        `on_append_failed`.
+        One append is in flight at a time. The caller reports its result with
+        `on_appended` or `on_append_failed`.
         """
-        taken = self._appends.take(now)
-        if not taken:
+        in_flight = self._appends.take(now)
+        if not in_flight:
             return []
-        items = tuple(item for item in taken if self._is_wanted(item))
+        items = tuple(item for item in in_flight if self._is_wanted(item))
         record = claimlog.Record(
             owner=self._incarnation, address=self._address, items=items
         )
         return [claimlog.encode(record)]
 
     def on_appended(self, now: float) -> None:
-        """The append in flight took effect; its claims are read back next."""
+        """Handles the success of the append; its claims are read back next."""
         self._appends.on_done(now)
 
     def on_append_failed(self, now: float, sent: bool) -> list[Settled]:
-        """The append in flight failed, or (`sent`) its answer was lost.
+        """Handles a failed append, or (if `sent`) an append with a lost reply.
 
-        Everybody who waits for an append is refused now. Claims that were
-        read back in the meantime are settled already and stay so.
+        All claims that wait for an append are refused now. Claims that were
+        read back in the meantime are already settled and don't change.
         """
-        taken, waited = self._appends.on_failed(now)
+        in_flight, queued = self._appends.on_failed(now)
         settled: list[Settled] = []
-        for item in taken + waited:
+        for item in in_flight + queued:
             if not isinstance(item, claimlog.Claim):
                 self._appends.add(item)
             elif self._waiting.pop(item.request, None):
                 settled.append((item.request, self._log_down(now)))
                 self._forbid(item.request)
-                if sent and item in taken:
+                if sent and item in in_flight:
                     self._release(item.identity, item.stamp, item.request)
         return settled
 
     def on_records(self, now: float, batch: ports.Batch) -> list[Settled]:
-        """Takes what was read from `next_offset` on."""
+        """Applies the records that were read from `next_offset` on."""
         settled: list[Settled] = []
-        self._read_at = now
-        if self._next is None:
+        self._last_read_at = now
+        if self._next_offset is None:
             self._start(batch.first)
         if batch.first > self.next_offset():
             settled += self.on_lapsed(now, batch.first)
@@ -225,7 +227,7 @@
             if record.offset > self.next_offset():
                 settled += self.on_lapsed(now, record.offset)
             if record.offset == self.next_offset():
-                self._next = record.offset + 1
+                self._next_offset = record.offset + 1
                 settled += self._apply(record)
         self._fold.expire(batch.first)
         if self.next_offset() >= batch.end:
@@ -233,35 +235,35 @@
         return settled
 
     def on_lapsed(self, now: float, first: int) -> list[Settled]:
-        """The records from `next_offset` to `first` can't be read any more.
+        """Handles the loss of the records from `next_offset` to `first`.
 
-        What they said is lost: own claims among them are given up, and no key
-        from before `first` can be won here.
+        Their content is not known: own claims among them are abandoned, and no
+        key from before `first` can be won by this keeper.
         """
         self._start(first)
-        return self._give_up(now, [*self._waiting])
+        return self._abandon(now, [*self._waiting])
 
     def expire(self, now: float) -> list[Settled]:
-        """Refuses those that waited too long."""
-        patience_s = self._patience_s + 2 * self._appends.interval_s
+        """Refuses claims that have waited too long."""
+        patience_s = self._timeout_s + 2 * self._appends.interval_s
         late = [
             request
-            for request, asked in self._waiting.items()
-            if now - asked.asked_at >= patience_s
+            for request, pending in self._waiting.items()
+            if now - pending.requested_at >= patience_s
         ]
-        return self._give_up(now, late)
+        return self._abandon(now, late)
 
     def end(self, now: float, msg: messages.EndClaim) -> None:
-        """A request is over; one that did not run gives its key free.
+        """Records the outcome of a request; frees the key if it did not run.
 
-        It may be a request of a former incarnation of this keeper.
+        The request may have won with a former incarnation of this keeper.
         """
         request = msg.outcome.request
         stamp = keys.stamp(msg.key)
         if stamp is None:
             return
         identity = keys.identity(msg.service, msg.key)
-        self._held.pop(request, None)
+        self._won.pop(request, None)
         if codes.ran(msg.outcome.code) == 'no':
             self._release(identity, stamp, request)
             return
@@ -275,79 +277,82 @@
         self._appends.add(done)
 
     def outcome(self, msg: messages.AskOutcome) -> values.Outcome | codes.Code:
-        """Answers another VM that found a claim of this keeper."""
+        """Returns the outcome of a claim of this keeper, for another VM."""
         identity = keys.identity(msg.service, msg.key)
-        if found := self._unlogged.get(identity):
-            return found
+        if outcome := self._unlogged.get(identity):
+            return outcome
         holding = self._fold.get(identity)
         if holding is None or not holding.request:
             return codes.CLAIM_UNSURE
         if holding.outcome is not None:
             return holding.outcome
-        if holding.request in self._held:
+        if holding.request in self._won:
             return codes.IN_PROGRESS
         return codes.UNKNOWN
 
     def held_by(self, holder: str) -> list[str]:
-        """Returns the requests that an entry has won and not ended."""
+        """Returns the requests of an entry that won and have no outcome."""
         return [
             request
-            for request, asked in self._held.items()
-            if asked.holder == holder
+            for request, pending in self._won.items()
+            if pending.holder == holder
         ]
 
     def holder_gone(self, holder: str) -> None:
-        """An entry died: nobody knows what came of the claims it had won.
+        """Removes the claims of a crashed entry; their outcomes are unknown.
 
-        Without this, whoever asks for one of them would be told for ever that
-        it is in progress.
+        Otherwise every later request for one of their outcomes would get "in
+        progress" as its reply.
         """
         for request in self.held_by(holder):
-            del self._held[request]
+            del self._won[request]
 
     def unwritten(self) -> int:
-        """Returns how many items wait to be appended, for a planned stop."""
+        """Returns how many items are not appended yet, for a planned stop."""
         return len(self._appends)
 
     def dump(self) -> dict[str, object]:
-        """Returns the state for people."""
+        """Returns the state for operators."""
         return {
             'incarnation': self._incarnation,
-            'next_offset': self._next,
+            'next_offset': self._next_offset,
             'caught_up': self._caught_up,
             'keys': len(self._fold),
             'waiting': len(self._waiting),
-            'held': sorted(self._held),
+            'held': sorted(self._won),
             'unwritten': self.unwritten(),
             'appends': self._appends.count,
         }
 
     def _start(self, first: int) -> None:
-        self._next = first
+        self._next_offset = first
         self._fold = claimlog.Fold(first)
 
     def _is_wanted(self, item: _Item) -> bool:
-        """Whether an item is not a claim that was given up in the queue."""
+        """Whether an item still has to be appended.
+
+        A claim that was abandoned while it was queued does not.
+        """
         if isinstance(item, claimlog.Claim):
             return item.request in self._waiting
         return True
 
-    def _is_up(self, now: float) -> bool:
-        fresh = now - self._read_at <= self._stale_s
-        room = len(self._waiting) < _MAX_WAITING
+    def _accepts_claims(self, now: float) -> bool:
+        recently_read = now - self._last_read_at <= self._stale_s
+        has_room = len(self._waiting) < _MAX_WAITING
         down = self._appends.is_down(now)
-        return self._caught_up and fresh and room and not down
+        return self._caught_up and recently_read and has_room and not down
 
-    def _judge(
+    def _known_reply(
         self, identity: bytes, stamp: int, body: str, request: str
     ) -> messages.ClaimReply | None:
-        """Returns what the log says of a key already, if that decides."""
+        """Returns the reply that the folded log already determines, or None."""
         holding = self._fold.get(identity)
         if holding is not None:
             if holding.body not in ('', body):
                 return messages.ClaimReply(status='other-body')
-            if holding.request == request and request in self._held:
-                # The entry asks again because the first reply was lost.
+            if holding.request == request and request in self._won:
+                # The entry repeats its request because the reply was lost.
                 return messages.ClaimReply(status='won', request=request)
             if holding.request:
                 return self._lost(holding)
@@ -372,14 +377,14 @@
     def _read_back(
         self, claim: claimlog.Claim, result: claimlog.Result
     ) -> list[Settled]:
-        asked = self._waiting.pop(claim.request, None)
-        if asked is None:
-            if result in ('won', 'old') and claim.request not in self._held:
-                # An append that was given up took effect after all.
+        pending = self._waiting.pop(claim.request, None)
+        if pending is None:
+            if result in ('won', 'old') and claim.request not in self._won:
+                # The append of an abandoned claim took effect after all.
                 self._release(claim.identity, claim.stamp, claim.request)
             return []
         if result == 'won':
-            self._held[claim.request] = asked
+            self._won[claim.request] = pending
             won = messages.ClaimReply(status='won', request=claim.request)
             return [(claim.request, won)]
         if result == 'old':
@@ -399,15 +404,15 @@
             outcome=holding.outcome,
         )
 
-    def _give_up(self, now: float, requests: list[str]) -> list[Settled]:
-        """Refuses asks for good; what may get into the log is released."""
+    def _abandon(self, now: float, requests: list[str]) -> list[Settled]:
+        """Refuses requests; releases their claims, which may be in the log."""
         for request in requests:
             claim = self._waiting[request].claim
             self._release(claim.identity, claim.stamp, request)
         return [(request, self._log_down(now)) for request in requests]
 
     def _release(self, identity: bytes, stamp: int, request: str) -> None:
-        """Says that a request never runs, whatever of it is in the log."""
+        """Appends that a request never runs, and forbids it to win."""
         self._waiting.pop(request, None)
         self._forbid(request)
         self._appends.add(
@@ -415,9 +420,9 @@
         )
 
     def _forbid(self, request: str) -> None:
-        self._given_up[request] = None
-        while len(self._given_up) > _MAX_GIVEN_UP:
-            del self._given_up[next(iter(self._given_up))]
+        self._abandoned[request] = None
+        while len(self._abandoned) > _MAX_ABANDONED:
+            del self._abandoned[next(iter(self._abandoned))]
 
     def _log_down(self, now: float) -> messages.ClaimReply:
         wait_ms = round(self._appends.wait_s(now) * 1000)
--- a/packages/core/foxtaildale/logevents.py
+++ b/packages/core/foxtaildale/logevents.py
@@ -1,9 +1,10 @@
-"""Registry of the router's log lines: each event, its fields, what it says.
+"""Registry of the router's log events: fields and sentence of each event.
 
-Every line has `at`, `level`, `role`, `entry_vm` and `event` beside them. Lines
-on a request also have `request`, `route`, `version` (of the configuration that
-it is served by) and `age_ms` (since it came). `docs/LOGS.md` shows them for
-operators; a test compares both with the code.
+Every log line also has `at`, `level`, `role`, `entry_vm` and `event`. Lines of a
+request also have `request`, `route`, `version` (the version of the configuration
+that it is served with) and `age_ms` (time since its arrival). `docs/LOGS.md`
+lists the events for operators and has to agree with this module and the log
+calls.
 """
 
 from typing import Final
@@ -12,24 +13,24 @@
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One kind of line."""
+    """One kind of log line."""
 
-    # What happened, for `foxtaildale explain`; a template over the fields.
+    # Description for `foxtaildale explain`, a template over the fields.
     sentence: str
     fields: tuple[str, ...] = ()
-    # Whether it is on one request.
+    # Whether the line belongs to one request.
     on_request: bool = True
 
 
 ON_REQUEST: Final[dict[str, Event]] = {
     'let in': Event(
         'client account {account} was within its limit by its {by}:'
-        ' it counts as {cost}, {remaining} are left',
+        ' the request costs {cost}, {remaining} remain',
         ('account', 'cost', 'remaining', 'by', 'took_ms'),
     ),
     'queued': Event(
-        'it waits behind {position} others, by the plan for {wait_ms} ms,'
-        ' for want of {short_of}',
+        'it was queued behind {position} others for an estimated {wait_ms} ms;'
+        ' missing resource: {short_of}',
         ('position', 'wait_ms', 'patience_ms', 'came_back', 'short_of'),
     ),
     'placed': Event(
@@ -45,28 +46,29 @@
         ),
     ),
     'place given up': Event(
-        '{server} takes no more since it was given', ('server',)
+        'the placement was released: {server} stopped taking requests',
+        ('server',),
     ),
     'reserved': Event(
         'without a plan, {server} reserved {tokens} tokens for it',
         ('server', 'tokens', 'prompt', 'longest', 'hinted'),
     ),
     'reservation failed': Event(
-        '{server} could not be asked for a place: {error}',
+        'the reservation request to {server} failed: {error}',
         ('server', 'error'),
     ),
     'prefilled': Event(
-        '{server} read its prompt in {took_ms} ms', ('server', 'took_ms')
+        '{server} prefilled its prompt in {took_ms} ms', ('server', 'took_ms')
     ),
     'prefill refused': Event(
-        '{server} did not read its prompt (status {status})',
+        '{server} refused the prefill (status {status})',
         ('server', 'status'),
     ),
     'prefill failed': Event(
-        '{server} did not read its prompt: {error}', ('server', 'error')
+        'the prefill at {server} failed: {error}', ('server', 'error')
     ),
     'prompt kept': Event(
-        'its prompt was read {held_ms} ms ago and is offered again',
+        'its prompt was prefilled {held_ms} ms ago; the result is used again',
         ('held_ms',),
     ),
     'sent': Event(
@@ -74,8 +76,8 @@
         ('server', 'attempt', 'fingerprint'),
     ),
     'server probed': Event(
-        'its connection to {server} broke after {ran_ms} ms; the server is'
-        ' now {reach}',
+        'its connection to {server} broke after {ran_ms} ms; a probe of the'
+        ' server returned: {reach}',
         ('server', 'reach', 'fingerprint', 'began', 'ran_ms'),
     ),
     'not run': Event(
@@ -83,22 +85,23 @@
         ('server', 'status'),
     ),
     'send failed': Event(
-        '{server} gave no whole answer: {error}', ('server', 'error')
+        '{server} sent no complete response: {error}', ('server', 'error')
     ),
     'answer put aside': Event(
-        '{server} answered {status} (ran: {ran}); another may be tried',
+        '{server} responded with status {status} (ran: {ran}); another server may'
+        ' be tried',
         ('server', 'status', 'ran'),
     ),
     'retry': Event(
         'another attempt was allowed: {allowed}',
         ('server', 'allowed'),
     ),
-    'first event': Event('the first event went to its caller'),
+    'first event': Event('the first event was sent to its caller'),
     'stream broken': Event(
         'the stream of {server} broke: {error}', ('server', 'error')
     ),
     'answered': Event(
-        'its caller got status {status}, whole: {whole}',
+        'its caller got status {status}, complete: {whole}',
         ('status', 'whole', 'blocks', 'position'),
     ),
     'refused': Event(
@@ -107,7 +110,7 @@
         ('code', 'status', 'retry_after_s'),
     ),
     'failed': Event(
-        'given up as {code} (status {status})',
+        'failed as {code} (status {status})',
         ('code', 'status', 'retry_after_s'),
     ),
 }
@@ -120,39 +123,51 @@
             'the router started',
             ('first_start', 'caller', 'ready', 'admin'),
         ),
-        ('stopping', 'told to stop with {busy} requests', ('busy',)),
-        ('stopped', 'ended with {busy} requests', ('busy',)),
-        ('reloaded', 'settings were read anew', ('store', 'seeds')),
-        ('reload failed', 'changed settings are wrong: {error}', ('error',)),
+        (
+            'stopping',
+            'the router is stopping with {busy} requests in progress',
+            ('busy',),
+        ),
+        (
+            'stopped',
+            'the router stopped with {busy} requests in progress',
+            ('busy',),
+        ),
+        ('reloaded', 'the settings were reloaded', ('store', 'seeds')),
+        (
+            'reload failed',
+            'the changed settings are not valid: {error}',
+            ('error',),
+        ),
         (
             'configuration in force',
-            'version {version} is in force, told by {source}',
+            'version {version} is in force, received from {source}',
             ('version', 'offset', 'routes', 'accounts', 'source'),
         ),
         (
             'configuration not sealed',
-            'a configuration was not kept, since its keys could not be told'
-            ' apart: {error}',
+            'a configuration was not stored, since its keys could not be'
+            ' replaced by digests: {error}',
             ('error',),
         ),
         (
             'key not readable',
-            'the record at {offset} names no key: {error}',
+            'the record at {offset} has no key: {error}',
             ('offset', 'error'),
         ),
         (
             'backend server started again',
-            '{server} started again; {lost} requests to it were ended',
+            '{server} restarted; {lost} requests to it were cancelled',
             ('server', 'born', 'before', 'lost', 'offset', 'source'),
         ),
         (
             'old entry passed over',
-            'an entry of an earlier start of {server} changes nothing',
+            'an entry of an earlier incarnation of {server} was ignored',
             ('server', 'born', 'known', 'offset', 'source'),
         ),
         (
             'record not readable',
-            'a record of {topic} was passed over: {error}',
+            'a record of {topic} was ignored: {error}',
             ('topic', 'key', 'offset', 'source', 'error'),
         ),
         (
@@ -162,131 +177,141 @@
         ),
         (
             'backend server leaving',
-            '{server} leaves and gets nothing new, told by {source}',
+            '{server} is leaving and gets no new requests, reported by {source}',
             ('server', 'service', 'address', 'stage', 'offset', 'source'),
         ),
         (
             'backend server gone',
-            '{server} is gone, told by {source}',
+            '{server} was removed, reported by {source}',
             ('server', 'offset', 'source'),
         ),
         (
             'backend server vanished',
-            '{server} vanished while the store was not well; used on a little',
+            '{server} vanished while the store was failing; it stays in use for'
+            ' a limited time',
             ('server', 'offset', 'source'),
         ),
         (
             'store epoch',
-            'the store came back from a copy: {topic} is of epoch {epoch} now, {before}'
-            ' before, told by {source}',
+            'the store was restored from a copy: {topic} is now of epoch'
+            ' {epoch}, previously {before}, reported by {source}',
             ('topic', 'epoch', 'before', 'offset', 'known', 'source'),
         ),
         (
             'old answer passed over',
-            'an answer of {topic} is of an epoch that is over',
+            'a reply for {topic} is of an earlier epoch and was ignored',
             ('topic', 'offset', 'known'),
         ),
-        ('store reached', 'the store answered first', ('topic', 'offset')),
-        ('store regained', 'the store answers again', ('topic', 'offset')),
+        (
+            'store reached',
+            'the store replied for the first time',
+            ('topic', 'offset'),
+        ),
+        ('store regained', 'the store replies again', ('topic', 'offset')),
         (
             'store lost',
-            'the store does not answer: {error}',
+            'the store does not reply: {error}',
             ('topic', 'error'),
         ),
         ('listing failed', 'listing this VM failed: {error}', ('error',)),
         (
             'reader passed over',
-            '{reader} has nothing fresh (answered: {answered})',
+            '{reader} has no recent records (replied: {answered})',
             ('reader', 'answered'),
         ),
         (
             'peer lost',
-            '{address} does not answer: {error}',
+            '{address} does not reply: {error}',
             ('address', 'error'),
         ),
         (
             'home lost',
-            '{entry_vm_asked} does not answer as home: {error}',
+            'the coordinator {entry_vm_asked} does not reply: {error}',
             ('entry_vm_asked', 'address', 'error'),
         ),
         (
             'home regained',
-            '{entry_vm_asked} answers as home again',
+            'the coordinator {entry_vm_asked} replies again',
             ('entry_vm_asked',),
         ),
         (
             'home taken',
-            '{answered} of {asked} VMs said what they hold of {service}',
+            '{answered} of {asked} VMs reported their placements of {service}',
             ('service', 'asked', 'answered', 'places', 'took_ms'),
         ),
         (
             'claim failed',
-            'the right to order engines of {service} was not had: {error}',
+            'the right to order engines of {service} was not obtained: {error}',
             ('service', 'error'),
         ),
         (
             'stage ordered',
-            '{server} was ordered to do {stage}, and said: {answer}',
+            '{server} was ordered to change to stage {stage} and replied:'
+            ' {answer}',
             ('server', 'service', 'stage', 'fence', 'answer'),
         ),
         (
             'server limit',
-            '{server} takes {limit} requests a second of all VMs together,'
-            ' {before} before',
+            '{server} accepts {limit} requests per second from all VMs'
+            ' together, previously {before}',
             ('server', 'limit', 'before'),
         ),
         (
             'header not readable',
-            'the header {header} of a server is no number: {text}',
+            'the header {header} of a server is not a number: {text}',
             ('header', 'text'),
         ),
         (
             'leave announced',
-            '{server} has said that it leaves, heard from {source}',
+            '{server} announced that it is leaving, reported by {source}',
             ('server', 'born', 'revision', 'source'),
         ),
         (
             'leave withdrawn',
-            '{server} does not leave any more, heard from {source}',
+            '{server} is no longer leaving, reported by {source}',
             ('server', 'born', 'revision', 'source'),
         ),
         (
             'backoff asked',
-            '{server} wants nothing from this VM for {backoff_s} s',
+            '{server} requested a backoff of {backoff_s} s from this VM',
             ('server', 'born', 'service', 'backoff_s'),
         ),
         (
             'request held',
-            'requests of this fingerprint go to no server for {left_s} s, by'
-            ' {source}',
+            'requests with this fingerprint are quarantined for {left_s} s,'
+            ' reported by {source}',
             ('fingerprint', 'left_s', 'source'),
         ),
         (
             'ends told',
-            'a new home of such reports is told all {reports} that are known'
-            ' here',
+            'all {reports} known crash reports were sent to their new'
+            ' coordinator',
             ('reports',),
         ),
         (
             'request cleared',
-            'requests of this fingerprint run to their end, and are held no'
-            ' more',
+            'requests with this fingerprint run to completion and are no longer'
+            ' quarantined',
             ('fingerprint',),
         ),
         (
             'quarantine not saved',
-            'the store was not told what is held: {error}',
+            'the quarantined requests were not written to the store: {error}',
             ('error',),
         ),
-        ('home not told', 'too much waited; lost: {what}', ('what',)),
+        (
+            'home not told',
+            'the queue of messages to the coordinator is full; dropped: {what}',
+            ('what',),
+        ),
         (
             'left to lapse',
-            'what {server} keeps was not given back',
+            'resources held by {server} were not released and will expire',
             ('server', 'error'),
         ),
         (
             'log lines left out',
-            '{count} lines were left out under load',
+            '{count} log lines were dropped under load',
             ('count',),
         ),
     )
--- a/packages/core/foxtaildale/ports.py
+++ b/packages/core/foxtaildale/ports.py
@@ -1,8 +1,9 @@
-"""Ports: what the decisions and roles need from outside.
+"""Ports: interfaces of the core to the outside.
 
-Adapters implement these protocols; tests put small fakes in their place. Each
+Adapters implement these protocols, and small fakes can replace them. Each
 method may raise `errors.UnreachableError` (nothing was sent) or
-`errors.AnswerLostError` (sent, no answer) unless it says otherwise.
+`errors.AnswerLostError` (sent, but no reply) unless its docstring says
+otherwise.
 """
 
 from collections.abc import Callable
@@ -34,7 +35,7 @@
 class Batch(msgspec.Struct, frozen=True):
     """Records read from the platform's log."""
 
-    # Oldest offset still kept.
+    # Oldest offset that the log still has.
     first: int
     # Offset that the next append will get.
     end: int
@@ -48,17 +49,17 @@
         """Appends all records at once and returns the first one's offset."""
 
     def read(self, stream: str, offset: int, limit: int = 1000) -> Batch:
-        """Reads from an offset.
+        """Reads records from an offset on.
 
         Raises:
-            errors.LapsedError: The offset is older than what is kept.
+            errors.LapsedError: The log no longer has the offset.
         """
 
 
 class Keyed(msgspec.Struct, frozen=True):
-    """What a keyed topic gave."""
+    """Records read from a keyed topic."""
 
-    # Position that the next record will get, as far as this answer knows.
+    # Position that the next record gets, as of this reply.
     end: int
     entries: tuple[mirror.Entry, ...]
 
@@ -70,37 +71,40 @@
         """Reads the newest record of every key."""
 
     def follow(self, topic: str, offset: int, wait_s: float) -> Keyed:
-        """Waits for records from a position on; none if none came in time.
+        """Waits for records from a position on; returns none after a timeout.
 
         Raises:
-            errors.LapsedError: The position is older than what is kept, or of an
-                epoch that is over.
+            errors.LapsedError: The topic no longer has the position, or it is
+                of an earlier epoch.
         """
 
     def put(self, topic: str, key: str, value: bytes) -> None:
         """Writes the newest record of a key; an empty value removes it."""
 
     def claim(self, topic: str, key: str, value: bytes, end: int) -> int:
-        """Writes a record if the topic still ends at a position; returns it.
+        """Writes a record if the topic still ends at `end`.
+
+        Returns the position of the record.
 
         Raises:
-            errors.RejectedError: Something else was written meanwhile, or the store
-                came back from a copy.
+            errors.RejectedError: Another record was written meanwhile, or the
+                store was restored from a copy.
         """
 
     def move(self, address: str) -> None:
-        """Goes to another address from the next call on."""
+        """Sets the address that is used from the next call on."""
 
 
 class RecordCodec(Protocol):
-    """What the records of the keyed topics mean.
+    """Encodes and decodes the records of the keyed topics.
 
-    Each decoder raises `errors.DecodeError` for a value that is none.
+    Each decoder raises `errors.DecodeError` for a value that is not valid.
     """
 
-    # Names of the topics: the operators' configuration, under one key; the
-    # backend servers, under their ids; the entry VMs, under their names; who
-    # may order the engines of a service, under its name.
+    # Names of the topics, with the key of a record: the operators'
+    # configuration (one key), the backend servers (server id), the entry VMs
+    # (VM name), and the holder of the right to order the engines of a service
+    # (service name).
     config_topic: str
     config_key: str
     servers_topic: str
@@ -108,7 +112,7 @@
     holders_topic: str
 
     def rank(self, topic: str, key: str, value: bytes) -> mirror.Rank:
-        """Ranks a record among those of its writer; raises nothing."""
+        """Returns the rank of a record among its writer's; raises nothing."""
 
     def seal(self, topic: str, value: bytes) -> bytes:
         """Returns a record with digests in place of secrets; raises nothing."""
@@ -123,47 +127,50 @@
         """Decodes an entry VM."""
 
     def held(self, value: bytes) -> forwarding.Held:
-        """Decodes a request that is held back."""
+        """Decodes a quarantined request."""
 
     def held_request(self, key: str) -> int | None:
-        """Returns the fingerprint that a key names; None for other keys."""
+        """Returns the fingerprint in the key of a quarantined request.
+
+        Returns None for other keys.
+        """
 
     def held_key(self, fingerprint: int) -> str:
-        """Returns the key of a request that is held back."""
+        """Returns the key of a quarantined request."""
 
     def encode_held(self, held: forwarding.Held) -> tuple[str, bytes]:
-        """Returns the key and value that keep a request back."""
+        """Returns the key and value of a quarantined request."""
 
     def encode_member(self, member: forwarding.EntryVm) -> bytes:
         """Encodes an entry VM."""
 
 
 class Flight(Protocol):
-    """One request on its way to one backend server."""
+    """One exchange of a request and its response with a backend server."""
 
     def send(self, timeout_s: float) -> None:
-        """Connects and sends.
+        """Connects and sends the request.
 
         Raises:
             errors.UnreachableError: Nothing was sent.
-            errors.AnswerLostError: A part may have been.
+            errors.AnswerLostError: A part may have been sent.
         """
 
     def head(self, timeout_s: float) -> forwarding.Head:
-        """Waits for the head of the answer."""
+        """Waits for the head of the response."""
 
     def read(self, timeout_s: float) -> bytes:
-        """Waits for a piece of the body; empty at its proper end."""
+        """Waits for a chunk of the body; empty when the body is complete."""
 
     def cancel(self) -> None:
-        """Ends it now, from any thread; the backend server sees a close."""
+        """Closes the connection now; any thread may call it."""
 
     def close(self) -> None:
-        """Frees the connection; only the thread that reads calls it."""
+        """Frees the connection; only the reading thread may call it."""
 
 
 class Workers(Protocol):
-    """Backend servers that take requests as they came."""
+    """Backend servers, which get requests in the form the caller sent."""
 
     def plain(
         self,
@@ -177,7 +184,7 @@
 
         Args:
             call: The request.
-            server: Where it goes.
+            server: The backend server to send it to.
             left_s: How long the server may work on it, seconds.
             repeatable: Whether it may be sent again if it is not known whether
                 it arrived.
@@ -186,7 +193,7 @@
     def prefill(
         self, call: forwarding.Call, server: forwarding.Backend, left_s: float
     ) -> Flight:
-        """Prepares a prefill of a request's prompt."""
+        """Prepares the prefill of a request."""
 
     def decode(
         self,
@@ -197,25 +204,25 @@
         *,
         repeatable: bool = False,
     ) -> Flight:
-        """Prepares the decoding of a request; see `plain`."""
+        """Prepares the decode of a request; see `plain` for the arguments."""
 
     def handle(self, body: bytes) -> str:
-        """Returns the handle that the answer of a prefill names.
+        """Returns the handle in the response to a prefill.
 
         Raises:
-            errors.DecodeError: It names none.
+            errors.DecodeError: The response has no handle.
         """
 
     def reserve(
         self, server: forwarding.Backend, tokens: int, ttl_s: float
     ) -> forwarding.Reply:
-        """Reserves a slot and memory; the reply's text names the reservation."""
+        """Reserves a slot and memory; the reply text is the reservation id."""
 
     def release(self, reserved: forwarding.Reserved) -> forwarding.Reply:
-        """Gives up a reservation that was not used."""
+        """Releases a reservation that was not used."""
 
     def free(self, prefilled: forwarding.Prefilled) -> forwarding.Reply:
-        """Frees a prefilled prompt that was not taken."""
+        """Releases a prefill result that was not used."""
 
     def order_stage(
         self,
@@ -224,39 +231,39 @@
         holder: str,
         fence: int,
     ) -> forwarding.Reply:
-        """Orders an engine to do another stage; the text is what it said.
+        """Orders an engine to change its stage; returns the engine's reply.
 
         Args:
             server: The engine.
-            stage: What it is to do.
-            holder: The entry VM that orders.
-            fence: Its fencing token.
+            stage: The new stage.
+            holder: The entry VM that sends the order.
+            fence: The fencing token of the holder.
         """
 
 
-# What became of a connection that was opened to see whether a server is up.
+# Result of a connection attempt that checks whether a server is up.
 Reach = Literal['open', 'refused', 'silent']
 
 
 class Probe(Protocol):
-    """Looks whether a backend server is up."""
+    """Checks whether a backend server is up."""
 
     def reach(self, address: str) -> Reach:
-        """Returns what became of a connection to 'IP:PORT'."""
+        """Returns the result of a connection attempt to 'IP:PORT'."""
 
 
 class Tidy(Protocol):
-    """Gives back what engines keep, without making anybody wait."""
+    """Releases resources of engines without blocking the calling thread."""
 
     def release(self, reserved: forwarding.Reserved) -> None:
-        """Gives up a reservation."""
+        """Releases a reservation."""
 
     def free(self, prefilled: forwarding.Prefilled) -> None:
-        """Frees a prefilled prompt."""
+        """Releases a prefill result."""
 
 
 class Directory(Protocol):
-    """The platform's lagging list of VMs."""
+    """The platform's list of VMs, which may lag behind."""
 
     def listing(self) -> values.Listing:
         """Reads the list."""
@@ -266,13 +273,16 @@
     """The events of one stream; iterating raises as the other calls do."""
 
     def __iter__(self) -> Iterator[backends.Piece | backends.Last]:
-        """Iterates up to the `Last`."""
+        """Returns an iterator over the events, which ends with a `Last`."""
 
     def __next__(self) -> backends.Piece | backends.Last:
         """Waits for the next event."""
 
     def close(self) -> None:
-        """Ends the connection; any thread may call it, also while one waits."""
+        """Closes the connection.
+
+        Any thread may call it, also while another one waits for an event.
+        """
 
 
 class Engines(Protocol):
@@ -294,7 +304,7 @@
     def decode(
         self, address: str, req: backends.DecodeReq, silence_s: float
     ) -> Pieces:
-        """Starts a stream; fails when silent for `silence_s`."""
+        """Starts a stream; it fails after `silence_s` without an event."""
 
     def resume(
         self,
@@ -304,38 +314,38 @@
         holder: str,
         silence_s: float,
     ) -> Pieces:
-        """Reads a stream on from a position."""
+        """Resumes a stream at a position."""
 
     def cancel(
         self, address: str, req: backends.CancelReq
     ) -> backends.CancelReply:
-        """Frees what is held."""
+        """Cancels a request and frees its resources."""
 
     def load(self, address: str) -> backends.Load:
-        """Reads the lagging load report."""
+        """Reads the load report, which may lag behind."""
 
     def holdings(self, address: str) -> backends.Holdings:
-        """Reads what the engine holds."""
+        """Reads the resources that the engine holds."""
 
     def cache(self, address: str, after: int) -> backends.CacheEvents:
-        """Reads cache events after a number."""
+        """Reads the cache events after a sequence number."""
 
     def order(self, address: str, order: backends.Order) -> backends.OrderReply:
-        """Orders a wanted state."""
+        """Orders the server to change to a wanted state."""
 
 
 class Orders(Protocol):
-    """Orders to backend servers, by address."""
+    """Sends orders to backend servers, by address."""
 
     def order(self, address: str, order: backends.Order) -> backends.OrderReply:
-        """Orders a wanted state."""
+        """Orders the server to change to a wanted state."""
 
     def observe(self, address: str) -> backends.Observed:
-        """Reads what the backend server is in fact set to."""
+        """Reads the actual state of the backend server."""
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A plain service's answer."""
+    """The response of a plain service."""
 
     status: int
     body: bytes
@@ -352,7 +362,7 @@
         request: str,
         timeout_s: float,
     ) -> Reply:
-        """Sends one call; `request` lets the service recognise it."""
+        """Sends one call; `request` identifies it to the service."""
 
 
 class Peers(Protocol):
@@ -365,9 +375,9 @@
 
 
 class PeerGroup(Peers, Protocol):
-    """Other processes that can be asked together."""
+    """Other processes that can get a message at the same time."""
 
     def ask_all(
         self, addresses: Sequence[str], msg: messages.Any, timeout_s: float
     ) -> dict[str, messages.Any]:
-        """Sends a message to several; returns the replies that came."""
+        """Sends a message to several; returns the received replies."""
--- a/packages/core/foxtaildale/tickets.py
+++ b/packages/core/foxtaildale/tickets.py
@@ -257,7 +257,7 @@
             return None
         self._issued += 1
         ticket = messages.Ticket(
-            identity=f'{self._incarnation}.{self._count}',
+            identity=f'{self._incarnation}.{self._issued}',
             service=service,
             executor=self._incarnation,
             executor_address=self._address,
