--- a/packages/core/foxtaildale/claims.py
+++ b/packages/core/foxtaildale/claims.py
@@ -49,7 +49,7 @@
 class _PendingClaim:
     """A claim with the entry that requested it."""
 
-    __slots__ = ('asked_at', 'claim', 'holder')
+    __slots__ = ('claim', 'holder', 'requested_at')
 
     def __init__(self, now: float, claim: claimlog.Claim, holder: str) -> None:
         self.requested_at = now
@@ -96,20 +96,20 @@
     """
 
     __slots__ = (
+        '_abandoned',
         '_address',
         '_appends',
         '_caught_up',
         '_fold',
-        '_abandoned',
-        '_won',
         '_incarnation',
         '_interval_s',
-        '_next_offset',
-        '_timeout_s',
         '_last_read_at',
+        '_next_offset',
         '_stale_s',
+        '_timeout_s',
         '_unlogged',
         '_waiting',
+        '_won',
     )
 
     def __init__(
@@ -279,8 +279,8 @@
     def outcome(self, msg: messages.AskOutcome) -> values.Outcome | codes.Code:
         """Returns the outcome of a claim of this keeper, for another VM."""
         identity = keys.identity(msg.service, msg.key)
-        if outcome := self._unlogged.get(identity):
-            return outcome
+        if unlogged := self._unlogged.get(identity):
+            return unlogged
         holding = self._fold.get(identity)
         if holding is None or not holding.request:
             return codes.CLAIM_UNSURE
--- a/packages/core/foxtaildale/logevents.py
+++ b/packages/core/foxtaildale/logevents.py
@@ -1,10 +1,9 @@
 """Registry of the router's log events: fields and sentence of each event.
 
-Every log line also has `at`, `level`, `role`, `entry_vm` and `event`. Lines of a
-request also have `request`, `route`, `version` (the version of the configuration
-that it is served with) and `age_ms` (time since its arrival). `docs/LOGS.md`
-lists the events for operators and has to agree with this module and the log
-calls.
+Every log line also has `at`, `level`, `role`, `entry_vm` and `event`. Lines of
+a request also have `request`, `route`, `version` (of the configuration that it
+is served with) and `age_ms` (time since its arrival). `docs/LOGS.md` lists the
+events for operators and has to agree with this module and the log calls.
 """
 
 from typing import Final
@@ -88,8 +87,8 @@
         '{server} sent no complete response: {error}', ('server', 'error')
     ),
     'answer put aside': Event(
-        '{server} responded with status {status} (ran: {ran}); another server may'
-        ' be tried',
+        '{server} responded with status {status} (ran: {ran}); another'
+        ' server may be tried',
         ('server', 'status', 'ran'),
     ),
     'retry': Event(
@@ -177,7 +176,7 @@
         ),
         (
             'backend server leaving',
-            '{server} is leaving and gets no new requests, reported by {source}',
+            '{server} is leaving and gets no new work, reported by {source}',
             ('server', 'service', 'address', 'stage', 'offset', 'source'),
         ),
         (
