--- a/packages/core/foxtaildale/claims.py
+++ b/packages/core/foxtaildale/claims.py
@@ -3,7 +3,7 @@
 The entries of a VM send claim requests to their keeper. The keeper appends many
 claims at once, reads them back and replies:
 
-    ask -> batch -> on_appended -> on_records -> won, lost, ...
+    `ask` -> `batch` -> `on_appended` -> `on_records` -> won, lost, ...
 
 A request runs only if its claim is read back as the first of its key. While the
 log doesn't reply, claim requests are refused at once. An append whose reply was
@@ -245,11 +245,11 @@
 
     def expire(self, now: float) -> list[Settled]:
         """Refuses claims that have waited too long."""
-        patience_s = self._timeout_s + 2 * self._appends.interval_s
+        timeout_s = self._timeout_s + 2 * self._appends.interval_s
         late = [
             request
             for request, pending in self._waiting.items()
-            if now - pending.requested_at >= patience_s
+            if now - pending.requested_at >= timeout_s
         ]
         return self._abandon(now, late)
 
--- a/packages/core/foxtaildale/messages.py
+++ b/packages/core/foxtaildale/messages.py
@@ -480,7 +480,7 @@
     """Reports of an entry VM to the coordinator of crash reports."""
 
     crashes: tuple[Crash, ...] = ()
-    # Fingerprints of quarantined requests that ran to completion there.
+    # Fingerprints of quarantined requests that completed on the sending VM.
     cleared: tuple[int, ...] = ()
     # Whether the receiver is a possible successor and not the coordinator.
     copy: bool = False
--- a/packages/core/foxtaildale/ports.py
+++ b/packages/core/foxtaildale/ports.py
@@ -163,7 +163,7 @@
         """Waits for a chunk of the body; empty when the body is complete."""
 
     def cancel(self) -> None:
-        """Closes the connection now; any thread may call it."""
+        """Cancels the exchange from any thread; the server sees a close."""
 
     def close(self) -> None:
         """Frees the connection; only the reading thread may call it."""
@@ -231,7 +231,9 @@
         holder: str,
         fence: int,
     ) -> forwarding.Reply:
-        """Orders an engine to change its stage; returns the engine's reply.
+        """Orders an engine to change its stage.
+
+        The reply text is the text that the engine sent.
 
         Args:
             server: The engine.
--- a/packages/core/foxtaildale/tickets.py
+++ b/packages/core/foxtaildale/tickets.py
@@ -1,17 +1,18 @@
-"""Tickets: they ensure that a request runs at most once.
+"""Tickets, which ensure that a request runs at most once.
 
 A caller fetches tickets in advance. Each ticket names the executor, which is
 the only daemon incarnation that may run the request, and a witness on another
 VM. Any entry VM may receive the ticket with its request and forwards both to
-the executor. The executor requests the witness to record the start, and sends
-the first byte only after that:
+the executor. The executor sends a start message to the witness, and sends the
+first byte of the request only after the witness has recorded the start:
 
-    admit -> SendNote -> the witness's reply -> on_witness -> Run -> finish
+    `admit` -> `SendNote` -> reply of the witness -> `on_witness` -> `Run`
+    -> `finish`
 
 The right to run never passes to another process: an executor that restarts is
 another incarnation and runs no ticket of the former one. An entry VM that can't
-reach the executor requests the witness to void the identity, and uses `verdict`
-to choose the response.
+reach the executor sends the witness a message that voids the identity, and uses
+`verdict` to choose the response.
 
 Only two sources may report "not run" for a ticket: the executor, for an
 identity that it has abandoned, and the witness, by a void. An entry VM that
@@ -35,7 +36,7 @@
 from foxtaildale import values
 
 _DEFAULT_LIMIT: Final = 20_000
-_DEFAULT_ANSWER_BYTES: Final = 4 * 1024 * 1024
+_DEFAULT_RESPONSE_BYTES: Final = 4 * 1024 * 1024
 # How long an executor remembers an identity, in ticket lifetimes. It can then
 # still report "not run" for a ticket that arrives too late.
 _REMEMBERED_LIFETIMES: Final = 2
@@ -49,7 +50,10 @@
 
 
 class SendNote(msgspec.Struct, frozen=True):
-    """Send the note to the witness; pass its reply to `Executor.on_witness`."""
+    """Send the start message to the witness.
+
+    The reply goes to `Executor.on_witness`.
+    """
 
     note: messages.Note
     address: str
@@ -131,7 +135,7 @@
 
 
 def void(ticket: messages.Ticket, call: str, body: bytes) -> messages.Void:
-    """Returns the message that requests a ticket's witness to void it."""
+    """Returns the message to a ticket's witness that voids the ticket."""
     return messages.Void(
         identity=ticket.identity,
         witness=ticket.witness,
@@ -191,14 +195,14 @@
 
     __slots__ = (
         '_address',
-        '_answer_bytes',
         '_entries',
         '_incarnation',
         '_issued',
         '_lifetime_s',
+        '_max_response_bytes',
         '_readings',
         '_secret',
-        '_unused_answer_bytes',
+        '_unused_response_bytes',
     )
 
     def __init__(
@@ -209,7 +213,7 @@
         life_s: float,
         *,
         limit: int = _DEFAULT_LIMIT,
-        answer_bytes: int = _DEFAULT_ANSWER_BYTES,
+        answer_bytes: int = _DEFAULT_RESPONSE_BYTES,
     ) -> None:
         self._incarnation = incarnation
         self._address = address
@@ -222,8 +226,8 @@
         self._readings: dict[str, tuple[float, float]] = {}
         self._entries: memory.Memory[str, _Entry] = memory.Memory(limit)
         # Bytes of responses that may be stored, and how many are still free.
-        self._answer_bytes = answer_bytes
-        self._unused_answer_bytes = answer_bytes
+        self._max_response_bytes = answer_bytes
+        self._unused_response_bytes = answer_bytes
 
     def on_reading(
         self, now: float, witness: str, reply: messages.WitnessReply
@@ -305,10 +309,10 @@
     def on_witness(
         self, now: float, identity: str, reply: messages.WitnessReply | None
     ) -> Run | GiveUp:
-        """Decides on the witness's reply to a note; None means no reply.
+        """Decides on the witness's reply to a start; None means no reply.
 
-        The note may be sent again before this call, but not after it. The code
-        is `codes.UNKNOWN` if there was an earlier decision (a duplicate reply)
+        The start message may be sent again before this call, but not after it.
+        The code is `codes.UNKNOWN` if there was an earlier decision (a duplicate reply)
         or the identity was evicted meanwhile. Callers that still wait get that
         code, and `finish` is not called for it.
         """
@@ -347,9 +351,9 @@
             return None
         entry.status = 'done'
         entry.outcome = outcome
-        if len(answer) <= self._unused_answer_bytes:
+        if len(answer) <= self._unused_response_bytes:
             entry.answer = answer
-            self._unused_answer_bytes -= len(answer)
+            self._unused_response_bytes -= len(answer)
         return messages.Tell(
             identity=identity,
             witness=entry.witness,
@@ -374,7 +378,8 @@
             'incarnation': self._incarnation,
             'minted': self._issued,
             'identities': counts,
-            'answer_bytes': self._answer_bytes - self._unused_answer_bytes,
+            'answer_bytes': self._max_response_bytes
+            - self._unused_response_bytes,
             'witnesses': sorted(self._readings),
         }
 
@@ -395,4 +400,4 @@
 
     def _reclaim(self, evicted: list[_Entry]) -> None:
         for entry in evicted:
-            self._unused_answer_bytes += len(entry.answer)
+            self._unused_response_bytes += len(entry.answer)
--- a/packages/core/foxtaildale/witness.py
+++ b/packages/core/foxtaildale/witness.py
@@ -1,9 +1,10 @@
 """The witness of tickets: records starts and voids identities.
 
 An executor sends the first byte of a ticket's request only after the witness
-has recorded the start. A process that can't reach the executor may request the
-witness to void the identity. The first of the two messages to reach the witness
-takes effect, so a void proves that the request did not run and never will.
+has recorded the start. A process that can't reach the executor may send the
+witness a message that voids the identity. The first of the two messages to
+reach the witness takes effect, so a void proves that the request did not run
+and never will.
 
 A void must be remembered longer than any start message may be delayed, even if
 clocks drift or stop. Clocks of two machines are therefore never compared: a
@@ -22,7 +23,7 @@
 
 _DEFAULT_LIMIT: Final = 20_000
 _DEFAULT_REMEMBER_S: Final = 1_200.0
-_DEFAULT_ANSWER_BYTES: Final = 4 * 1024 * 1024
+_DEFAULT_RESPONSE_BYTES: Final = 4 * 1024 * 1024
 
 
 class _Identity:
@@ -48,11 +49,11 @@
     """
 
     __slots__ = (
-        '_answer_bytes',
         '_identities',
         '_incarnation',
+        '_max_response_bytes',
         '_remember_s',
-        '_unused_answer_bytes',
+        '_unused_response_bytes',
     )
 
     def __init__(
@@ -60,7 +61,7 @@
         incarnation: str,
         remember_s: float = _DEFAULT_REMEMBER_S,
         limit: int = _DEFAULT_LIMIT,
-        answer_bytes: int = _DEFAULT_ANSWER_BYTES,
+        answer_bytes: int = _DEFAULT_RESPONSE_BYTES,
     ) -> None:
         self._incarnation = incarnation
         # How long an identity is remembered after the clock reading of its
@@ -68,8 +69,8 @@
         self._remember_s = remember_s
         self._identities: memory.Memory[str, _Identity] = memory.Memory(limit)
         # Bytes of responses that may be stored, and how many are still free.
-        self._answer_bytes = answer_bytes
-        self._unused_answer_bytes = answer_bytes
+        self._max_response_bytes = answer_bytes
+        self._unused_response_bytes = answer_bytes
 
     def read(
         self, now: float, msg: messages.AskReading
@@ -103,9 +104,9 @@
             return reply
         entry.status = 'told'
         entry.outcome = values.interned(msg.outcome)
-        if len(msg.answer) <= self._unused_answer_bytes:
+        if len(msg.answer) <= self._unused_response_bytes:
             entry.answer = msg.answer
-            self._unused_answer_bytes -= len(msg.answer)
+            self._unused_response_bytes -= len(msg.answer)
         return self._reply(now, 'told')
 
     def expire(self, now: float) -> None:
@@ -120,7 +121,8 @@
         return {
             'incarnation': self._incarnation,
             'identities': counts,
-            'answer_bytes': self._answer_bytes - self._unused_answer_bytes,
+            'answer_bytes': self._max_response_bytes
+            - self._unused_response_bytes,
             'floor': max(self._identities.floor, 0.0),
         }
 
@@ -161,4 +163,4 @@
 
     def _reclaim(self, evicted: list[_Identity]) -> None:
         for entry in evicted:
-            self._unused_answer_bytes += len(entry.answer)
+            self._unused_response_bytes += len(entry.answer)
