--- a/packages/core/foxtaildale/tickets.py
+++ b/packages/core/foxtaildale/tickets.py
@@ -312,9 +312,9 @@
         """Decides on the witness's reply to a start; None means no reply.
 
         The start message may be sent again before this call, but not after it.
-        The code is `codes.UNKNOWN` if there was an earlier decision (a duplicate reply)
-        or the identity was evicted meanwhile. Callers that still wait get that
-        code, and `finish` is not called for it.
+        The code is `codes.UNKNOWN` if there was an earlier decision (a
+        duplicate reply) or the identity was evicted meanwhile. Callers that
+        still wait get that code, and `finish` is not called for it.
         """
         entry = self._entries.get(identity)
         if entry is None or entry.status != 'noting':
