--- a/packages/daemon/foxtaildaled/__init__.py
+++ b/packages/daemon/foxtaildaled/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: roles, their actors, and the composition root that wires them."""
+"""The daemon: roles, their actors, and the composition root of each role."""
--- a/packages/daemon/foxtaildaled/__main__.py
+++ b/packages/daemon/foxtaildaled/__main__.py
@@ -1,10 +1,10 @@
-"""Starts the program `foxtaildaled`, before anything else is loaded.
+"""Entry point of the program `foxtaildaled`; ignores SIGHUP before imports.
 
-Loading the libraries takes half a second or more of a small VM. A SIGHUP that
-came in that time, because settings changed just as the process was started,
-would end it: that is what the signal does until the daemon handles it. Nothing
-is missed by ignoring it, since settings are read after that, and again every
-few seconds.
+Importing the libraries takes half a second or more on a small VM. If settings
+change during that time, the process receives SIGHUP, whose default action ends
+the process until the daemon installs its handler. No change is missed while
+SIGHUP is ignored, since the settings are read afterwards, and again every few
+seconds.
 """
 
 import gc
@@ -15,8 +15,8 @@
 def main() -> None:
     """Entry point of the program."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # What is loaded stays; looking through it for garbage meanwhile, and ever
-    # after, finds none.
+    # Imported modules are never freed, so the garbage collector is off during
+    # the imports and `gc.freeze` excludes their objects from later collections.
     gc.disable()
     if len(sys.argv) > 1:
         from foxtaildaled import main as program
@@ -25,7 +25,8 @@
         gc.enable()
         program.main()
         return
-    # Without arguments there is nothing to parse.
+    # Without arguments the command line parser is not needed, so `main` is not
+    # imported.
     from foxtaildaled import start
 
     gc.freeze()
--- a/packages/daemon/foxtaildaled/actors.py
+++ b/packages/daemon/foxtaildaled/actors.py
@@ -1,9 +1,9 @@
 """State owned by one actor.
 
-Several threads of a process need the same state: handlers of messages, loops,
-callers' threads. The state lives in one pykka actor, which runs one *turn* at a
-time on it, so decisions need no locks of their own. A turn is a function of the
-state and the time; it must not wait for anything.
+Several threads of a process use the same state: message handlers, loops and the
+threads of callers. One pykka actor owns the state and runs one *turn* at a time
+on it, so the code of a turn needs no locks. A turn is a function of the state
+and the time; it must not block.
 """
 
 from collections.abc import Callable
@@ -22,9 +22,10 @@
 
 
 class _Actor(pykka.ThreadingActor):
-    """Runs turns on a state."""
+    """Runs turns on the state, one at a time."""
 
-    # A daemon thread: a process that ends must not wait for its actors.
+    # The thread is a daemon thread, so that the exit of the process does not
+    # wait for its actors.
     use_daemon_thread = True
 
     def __init__(self, state: object, clock: ports.Clock) -> None:
@@ -35,12 +36,14 @@
     def on_receive(self, message: object) -> object:
         """Runs one turn and returns its result."""
         if not callable(message):
-            raise errors.InvariantError(f'not a turn: {message!r}')
+            raise errors.InvariantError(
+                f'actor received a message that is not a turn: {message!r}'
+            )
         return message(self._state, self._clock())
 
 
 class Owner(Generic[_State]):
-    """Handle on a state that an actor owns."""
+    """Runs turns on a state that an actor owns."""
 
     __slots__ = ('_ref',)
 
@@ -52,10 +55,10 @@
     def run(self, turn: Callable[[_State, float], _Result]) -> _Result:
         """Runs a turn and waits for its result.
 
-        An exception of the turn is raised here, and the actor lives on.
+        An exception of the turn is raised here; the actor continues to run.
         """
         return cast(_Result, self._ref.ask(cast(Any, turn)))
 
     def stop(self) -> None:
-        """Ends the actor after the turns already given."""
+        """Stops the actor after the turns that are already queued."""
         self._ref.stop()
--- a/packages/daemon/foxtaildaled/keeper.py
+++ b/packages/daemon/foxtaildaled/keeper.py
@@ -1,10 +1,11 @@
-"""Decisions of a keeper, behind one actor.
-
-A keeper follows the platform's log, speaks with the other keepers, tells the
-entries of its VM which preset is in force, witnesses tickets, settles claims,
-and is the home of some services' pools. `Keeper` holds that state and answers
-messages; it does no I/O, so a test drives it under a paused clock. The
-process keeps it behind an `actors.Owner`, which gives each message its turn.
+"""Decisions of a keeper; one actor owns its state.
+
+A keeper follows the platform's log, exchanges heartbeats with the other
+keepers, reports the preset in force to the entries of its VM, witnesses
+tickets, settles claims, and coordinates the pools of some services. `Keeper`
+holds that state and replies to messages. It does no I/O and receives the time
+as an argument, so its decisions don't depend on a real clock. The process
+accesses it through an `actors.Owner`, which handles one message at a time.
 """
 
 from collections.abc import Callable
@@ -29,10 +30,11 @@
 from foxtaildale import witness
 from foxtaildaled import pools
 
-# Longest wait of an entry for its claim to be read back, seconds.
+# Maximum time that an entry waits until its claim has been read back from the
+# log, seconds.
 CLAIM_WAIT_S: Final = 5.0
-# Incarnations that are remembered as ended.
-_DEPARTED: Final = 256
+# Maximum number of stopped incarnations that are stored.
+_MAX_DEPARTED: Final = 256
 
 
 class EntryState:
@@ -42,8 +44,9 @@
 
     incarnation: str
     address: str
-    # Revision it says it works by.
+    # Highest preset revision that the entry has used, as it reported.
     revision: int
+    # Time of its last `Hello`.
     heard_at: float
 
     def __init__(self, msg: messages.Hello, now: float) -> None:
@@ -54,7 +57,7 @@
 
 
 class Keeper:
-    """State of a keeper and its answers."""
+    """State of a keeper and its replies to messages."""
 
     __slots__ = (
         'ahead',
@@ -79,30 +82,32 @@
 
     me: values.Keeper
     silence_s: float
-    # What the log and the peers say of presets.
+    # Presets, as read from the log and reported by peers.
     follower: spread.Follower
-    # What the VM list and the peers say of VMs.
+    # VMs, as reported by the VM list and the peers.
     members: members.Members
     claims: claims.Claims
-    # Whole answers of claims, for callers that lost theirs.
+    # Complete responses of claims, for callers that did not receive theirs.
     answers: kept.Answers
     witness: witness.Witness
     pools: pools.Pools
     # Entries of this VM, by incarnation.
     entries: dict[str, EntryState]
-    # Claims not settled yet, by request.
+    # Claims that are not settled yet, by request.
     waiting: dict[str, pykka.Future[messages.ClaimReply]]
     orders: orders.Orders
-    # Offset of the switch whose settings are ordered now; -1 before one.
+    # Offset of the preset switch whose engine settings are ordered; -1 before
+    # the first one.
     ordered_by: int
     gossip: gossip.Gossip
     homes: homes.Homes
-    # Incarnations that ended by plan, oldest first; their last beats may
-    # still be on the way.
+    # Incarnations that stopped as planned, oldest first; their last heartbeats
+    # may still be in transit.
     departed: dict[str, None]
-    # Addresses of peers that beat to this keeper and are ahead of it.
+    # Addresses of peers that sent a heartbeat to this keeper and are ahead of
+    # it.
     ahead: dict[str, None]
-    # Keepers to beat to while no list is known.
+    # Addresses of keepers that receive heartbeats while no VM list is known.
     seeds: tuple[str, ...]
     # Whether this process is being stopped.
     stopping: bool
@@ -130,19 +135,19 @@
         self.stopping = False
 
     def handle(self, now: float, msg: messages.Any) -> messages.Any:
-        """Answers a message from another process."""
-        # Each handler takes its own kind of message, which no type of a
-        # table can say.
+        """Returns the reply to a message from another process."""
+        # Each handler accepts its own message type; the type of a dictionary
+        # can't express that.
         handlers: dict[type, Callable[[float, Any], messages.Any]] = {
-            messages.Hello: self._hello,
-            messages.Beat: self._beat,
-            messages.Bye: self._bye,
-            messages.Pull: self._pull,
+            messages.Hello: self._handle_hello,
+            messages.Beat: self._handle_heartbeat,
+            messages.Bye: self._handle_bye,
+            messages.Pull: self._handle_pull,
             messages.AskSlot: self.pools.ask,
             messages.EndSlot: self.pools.end,
             messages.KeepSlots: self.pools.keep,
-            messages.EndClaim: self._end_claim,
-            messages.AskOutcome: self._ask_outcome,
+            messages.EndClaim: self._handle_end_claim,
+            messages.AskOutcome: self._handle_ask_outcome,
             messages.AskReading: self.witness.read,
             messages.Note: self.witness.note,
             messages.Void: self.witness.void,
@@ -156,7 +161,10 @@
     def claim(
         self, now: float, msg: messages.AskClaim
     ) -> 'pykka.Future[messages.ClaimReply]':
-        """Answers a claim, now or when the log has settled it."""
+        """Returns a future reply, completed when the claim is settled.
+
+        It is already complete if the reply is known at once.
+        """
         fut: pykka.Future[messages.ClaimReply] = pykka.ThreadingFuture()
         reply = self.claims.ask(now, msg)
         if reply is None:
@@ -166,14 +174,14 @@
         return fut
 
     def settle(self, settled: list[tuple[str, messages.ClaimReply]]) -> None:
-        """Hands out the claims that the log has settled."""
+        """Completes the futures of claims that the log has settled."""
         for request, reply in settled:
             fut = self.waiting.pop(request, None)
             if fut is not None:
                 fut.set(reply)
 
     def beat(self) -> messages.Beat:
-        """Returns what this keeper tells its peers."""
+        """Returns the heartbeat that this keeper sends to its peers."""
         return messages.Beat(
             entry_vm=self.me.name,
             incarnation=self.me.incarnation,
@@ -188,28 +196,28 @@
         )
 
     def on_beat(self, now: float, beat: messages.Beat) -> bool:
-        """Takes a peer's beat; returns whether to pull its state."""
+        """Handles a peer's heartbeat; returns whether to pull its state."""
         self.members.on_beat(now, beat)
         return self.follower.on_peer(now, beat)
 
     def on_listing(self, now: float, listing: values.Listing | None) -> None:
-        """Takes the platform's or a peer's list of VMs."""
+        """Applies a list of VMs from the platform or a peer."""
         if self.members.on_listing(now, listing):
             self.pools.serve(now)
 
     def on_config(self, now: float, batch: ports.Batch) -> None:
-        """Takes records of the configuration stream."""
+        """Applies records of the configuration stream."""
         if self.follower.on_batch(now, batch):
             self.pools.serve(now)
 
     def on_pull(self, now: float, reply: messages.PullReply) -> None:
-        """Takes the folded state of a peer that is ahead."""
+        """Applies the folded state of a peer that is ahead."""
         if self.follower.on_pull(now, reply):
             self.pools.serve(now)
         self.on_listing(now, reply.listing)
 
     def tick(self, now: float) -> None:
-        """Lets what is old lapse."""
+        """Expires old state and removes silent entries and peers."""
         self.witness.expire(now)
         self.members.forget(now)
         self.claims.on_members(len(self.keepers(now)))
@@ -225,7 +233,7 @@
             self.claims.holder_gone(name)
 
     def homed(self, now: float) -> tuple[values.BackendServer, ...]:
-        """Returns the model workers of the pools that are at home here."""
+        """Returns the model workers whose pools this keeper coordinates."""
         names = self._keeper_names(now)
         return tuple(
             server
@@ -235,7 +243,10 @@
         )
 
     def reaped(self, now: float) -> tuple[values.BackendServer, ...]:
-        """Returns the workers whose abandoned work this keeper cancels."""
+        """Returns the workers whose abandoned requests this keeper cancels.
+
+        It also orders the engine settings of these workers.
+        """
         names = self._keeper_names(now)
         return tuple(
             server
@@ -245,13 +256,13 @@
         )
 
     def targets(self, now: float) -> tuple[str, ...]:
-        """Returns the addresses of the keepers to beat to."""
+        """Returns the addresses of the keepers for the next heartbeats."""
         del now
         addresses = [vm.keeper for vm in self.members.peers()]
         return self.gossip.targets(addresses or self.seeds)
 
     def keepers(self, now: float) -> tuple[values.Keeper, ...]:
-        """Returns the keepers that are there, this one among them."""
+        """Returns the available keepers, with this one unless it stops."""
         others = tuple(
             values.Keeper(
                 name=beat.entry_vm,
@@ -265,7 +276,7 @@
         return others if self.stopping else (self.me, *others)
 
     def census(self, now: float) -> reaper.Census:
-        """Returns which entries are known to be alive."""
+        """Returns which entries are alive and which VMs reported theirs."""
         alive = set(self.entries)
         heard = {self.me.name}
         for beat in self.members.keepers(now):
@@ -276,31 +287,36 @@
         )
 
     def orders_due(self, now: float) -> tuple[values.BackendServer, ...]:
-        """Returns the workers to look at for their settings now.
+        """Returns the workers whose engine settings are due for a check.
 
-        None while the preset in force may be an old one: an order by it would
-        undo the newer one's.
+        Returns none while the preset in force may be outdated: an order for it
+        would revert the settings of the newer preset.
         """
         if not self.follower.vouched(now):
             return ()
-        self._want(now)
+        self._update_orders(now)
         due = frozenset(self.orders.due(now))
         return tuple(s for s in self.reaped(now) if s.name in due)
 
-    def _want(self, now: float) -> None:
-        """Wants what the preset in force says of the workers at home here."""
+    def _update_orders(self, now: float) -> None:
+        """Sets the wanted engine settings of the workers of this keeper.
+
+        They come from the preset in force.
+        """
         in_force = self.follower.in_force
         if in_force is None:
             return
         if in_force.offset != self.ordered_by:
-            # What an earlier preset wanted and this one does not mention is
-            # wanted no more.
+            # A setting that only an earlier preset specifies is no longer
+            # ordered.
             self.orders = orders.Orders()
             self.ordered_by = in_force.offset
-        mine = self.reaped(now)
-        for name in self.orders.servers() - {server.name for server in mine}:
+        assigned = self.reaped(now)
+        for name in self.orders.servers() - {
+            server.name for server in assigned
+        }:
             self.orders.forget(name)
-        for server in mine:
+        for server in assigned:
             service = in_force.preset.services.get(server.service)
             if service is None:
                 continue
@@ -327,11 +343,11 @@
     def _keeper_names(self, now: float) -> tuple[str, ...]:
         return tuple(keeper.name for keeper in self.keepers(now))
 
-    def _hello(self, now: float, msg: messages.Hello) -> messages.Any:
+    def _handle_hello(self, now: float, msg: messages.Hello) -> messages.Any:
         self.entries[msg.incarnation] = EntryState(msg, now)
         self.follower.on_revision(msg.revision)
-        news = [self.members.on_leaving(key) for key in msg.leaving]
-        if any(news):
+        leaving_changes = [self.members.on_leaving(key) for key in msg.leaving]
+        if any(leaving_changes):
             self.pools.serve(now)
         vouched = self.follower.vouched(now)
         return messages.HelloReply(
@@ -342,42 +358,44 @@
             key_prefix=self.claims.key_prefix() or '',
         )
 
-    def _beat(self, now: float, msg: messages.Beat) -> messages.Any:
+    def _handle_heartbeat(self, now: float, msg: messages.Beat) -> messages.Any:
         if self.on_beat(now, msg):
-            # A VM that was started in an outage has no list and so beats to
-            # nobody; its peers' beats are all that it hears.
+            # A VM that was started during an outage has no VM list and thus
+            # sends no heartbeats; it learns only from its peers' heartbeats.
             self.ahead[msg.address] = None
         return self.beat()
 
     def take_ahead(self) -> tuple[str, ...]:
-        """Returns the peers to pull from that beat to this keeper, once."""
+        """Returns and clears the addresses of peers that are ahead."""
         ahead = tuple(self.ahead)
         self.ahead.clear()
         return ahead
 
-    def _bye(self, _now: float, msg: messages.Bye) -> messages.Any:
+    def _handle_bye(self, _now: float, msg: messages.Bye) -> messages.Any:
         self.entries.pop(msg.incarnation, None)
         self.departed[msg.incarnation] = None
-        while len(self.departed) > _DEPARTED:
+        while len(self.departed) > _MAX_DEPARTED:
             del self.departed[next(iter(self.departed))]
         return messages.Pong()
 
-    def _pull(self, _now: float, _msg: messages.Pull) -> messages.Any:
+    def _handle_pull(self, _now: float, _msg: messages.Pull) -> messages.Any:
         return msgspec.structs.replace(
             self.follower.pull_reply(), listing=self.members.listing
         )
 
-    def _end_claim(self, now: float, msg: messages.EndClaim) -> messages.Any:
+    def _handle_end_claim(
+        self, now: float, msg: messages.EndClaim
+    ) -> messages.Any:
         self.claims.end(now, msg)
         if msg.answer:
             self.answers.put(msg.service, msg.key, msg.answer)
         return messages.Pong()
 
-    def _ask_outcome(
+    def _handle_ask_outcome(
         self, _now: float, msg: messages.AskOutcome
     ) -> messages.Any:
-        found = self.claims.outcome(msg)
-        if isinstance(found, values.Outcome):
+        outcome_or_code = self.claims.outcome(msg)
+        if isinstance(outcome_or_code, values.Outcome):
             answer = self.answers.get(msg.service, msg.key)
-            return messages.RunReply(outcome=found, answer=answer)
-        return messages.Fail(code=found.name)
+            return messages.RunReply(outcome=outcome_or_code, answer=answer)
+        return messages.Fail(code=outcome_or_code.name)
--- a/packages/daemon/foxtaildaled/main.py
+++ b/packages/daemon/foxtaildaled/main.py
@@ -1,4 +1,4 @@
-"""The program `foxtaildaled`: one daemon, its role taken from its settings."""
+"""The program `foxtaildaled`: a daemon whose role is set in its settings."""
 
 import pathlib
 import sys
@@ -19,15 +19,16 @@
     check: bool = False,
     metrics_port: int = start.METRICS_PORT,
 ) -> int:
-    """Runs the daemon until it is told to stop.
+    """Runs the daemon until it receives SIGTERM or SIGINT.
 
-    Without a settings file it runs as the router of a platform that writes one
-    itself and names it in the environment variable FOXTAILDALE_BOOT.
+    Without a settings file it runs as a router. The platform then writes the
+    settings and gives the path in the environment variable FOXTAILDALE_BOOT.
 
-    :param settings_file: JSON with comments; docs/SETTINGS.md names the fields.
-    :param check: Only check the settings.
-    :param metrics_port: Where a router serves metrics, state and liveness.
-    :return: Exit status: 0, 78 for wrong settings.
+    :param settings_file: JSON with comments; docs/SETTINGS.md lists the fields.
+    :param check: Check the settings and exit.
+    :param metrics_port: Port on which a router serves metrics, state and
+        liveness.
+    :return: Exit status: 0, or 78 for invalid settings.
     """
     if settings_file is None:
         return start.run(metrics_port, check=check)
--- a/packages/daemon/foxtaildaled/pools.py
+++ b/packages/daemon/foxtaildaled/pools.py
@@ -1,8 +1,8 @@
-"""The pools of services that a keeper is the home of.
+"""The pools of the services that a keeper coordinates.
 
-A pool is made when somebody first asks for a slot of its service; whoever asks
-has worked out that this keeper is its home. It is kept up to date with the
-preset in force and the members.
+A pool is created on the first request for a slot of its service. The requester
+has determined that this keeper is the coordinator of the service. A pool is
+updated when the preset in force or the members change.
 """
 
 from foxtaildale import backends
@@ -14,7 +14,7 @@
 
 
 class Pools:
-    """Pools by service, and the messages about them."""
+    """Holds the pools by service and handles the messages for them."""
 
     __slots__ = ('_follower', '_members', '_pools')
 
@@ -23,59 +23,62 @@
     _pools: dict[str, pool.Pool]
 
     def __init__(
-        self, follower: spread.Follower, listed: members.Members
+        self, follower: spread.Follower, member_list: members.Members
     ) -> None:
         self._follower = follower
-        self._members = listed
+        self._members = member_list
         self._pools = {}
 
     def ask(self, now: float, msg: messages.AskSlot) -> messages.Any:
-        """Answers who wants a slot."""
-        item = self._get(now, msg.service)
-        if item is None:
+        """Returns the reply to a request for a slot."""
+        service_pool = self._get(now, msg.service)
+        if service_pool is None:
             return messages.Fail(code='no-service')
-        return item.ask(now, msg)
+        return service_pool.ask(now, msg)
 
     def end(self, now: float, msg: messages.EndSlot) -> messages.Any:
-        """Takes a grant back."""
-        item = self._get(now, msg.service)
-        if item is not None:
-            item.end(now, msg)
+        """Releases a grant."""
+        service_pool = self._get(now, msg.service)
+        if service_pool is not None:
+            service_pool.end(now, msg)
         return messages.Pong()
 
     def keep(self, now: float, msg: messages.KeepSlots) -> messages.Any:
-        """Takes a holder's repeat of what it holds."""
-        item = self._get(now, msg.service)
-        if item is not None:
-            item.keep(now, msg)
+        """Renews the grants that a holder lists."""
+        service_pool = self._get(now, msg.service)
+        if service_pool is not None:
+            service_pool.keep(now, msg)
         return messages.Pong()
 
     def on_load(self, now: float, server: str, load: backends.Load) -> None:
-        """Takes a worker's load report."""
-        for item in self._pools.values():
-            item.on_load(now, server, load)
+        """Applies a worker's load report."""
+        for service_pool in self._pools.values():
+            service_pool.on_load(now, server, load)
 
     def on_cache(
         self, server: str, service: str, events: backends.CacheEvents
     ) -> None:
-        """Takes a prefill worker's cache events."""
-        item = self._pools.get(service)
-        if item is not None:
-            item.on_cache(server, events.events)
+        """Applies a prefill worker's cache events."""
+        service_pool = self._pools.get(service)
+        if service_pool is not None:
+            service_pool.on_cache(server, events.events)
 
     def serve(self, now: float) -> None:
-        """Brings every pool up to date with the preset and the members."""
+        """Updates every pool from the preset in force and the members."""
         for name in self._pools:
-            self._serve(now, name)
+            self._update(now, name)
 
     def expire(self, now: float) -> None:
-        """Lets grants lapse that nobody repeats."""
-        for item in self._pools.values():
-            item.expire(now)
+        """Expires grants that are not renewed."""
+        for service_pool in self._pools.values():
+            service_pool.expire(now)
 
     def dump(self) -> dict[str, object]:
-        """Returns the state for people."""
-        return {name: item.dump() for name, item in self._pools.items()}
+        """Returns the state for operators."""
+        return {
+            name: service_pool.dump()
+            for name, service_pool in self._pools.items()
+        }
 
     def _get(self, now: float, name: str) -> pool.Pool | None:
         in_force = self._follower.in_force
@@ -83,20 +86,22 @@
             return None
         if name not in self._pools:
             self._pools[name] = pool.Pool(name)
-            self._serve(now, name)
+            self._update(now, name)
         return self._pools[name]
 
-    def _serve(self, now: float, name: str) -> None:
+    def _update(self, now: float, name: str) -> None:
         in_force = self._follower.in_force
         if in_force is None:
-            raise errors.InvariantError('a pool without a preset in force')
-        item = self._pools[name]
+            raise errors.InvariantError(
+                'a pool exists but no preset is in force'
+            )
+        service_pool = self._pools[name]
         service = in_force.preset.services.get(name)
         if service is not None:
-            item.on_service(service, in_force.preset.weights)
+            service_pool.on_service(service, in_force.preset.weights)
         servers = tuple(
             server
             for role in ('prefill', 'decode')
             for server in self._members.servers(name, role)
         )
-        item.on_servers(now, servers)
+        service_pool.on_servers(now, servers)
--- a/packages/daemon/foxtaildaled/process.py
+++ b/packages/daemon/foxtaildaled/process.py
@@ -1,8 +1,8 @@
-"""Life of a daemon process: periodic loops, signals, graceful shutdown.
+"""Lifecycle of a daemon process: periodic loops, signals, graceful shutdown.
 
-A role hands its loops to `Loops`; each runs in a thread of its own and is
-woken early when there is work. SIGTERM and SIGINT set one event, on which the
-main thread sleeps; the role then stops in its own order.
+Each `Loop` of a role runs in its own thread and can be woken early when there
+is work. SIGTERM and SIGINT set an event that the main thread waits for; the
+role then stops its parts in its own order.
 """
 
 from collections.abc import Callable
@@ -17,21 +17,21 @@
 from foxtaildale import errors
 from foxtaildale_adapters import logs
 
-# Status of a process that stopped because an invariant broke.
+# Exit status of a process that stopped because an invariant was violated.
 BROKEN_STATUS = 70
-# Longest time until a reload is noticed, seconds.
+# Maximum time between SIGHUP and the reload, seconds.
 SIGNAL_POLL_S = 0.5
-# Time between looks at settings that no signal announced, seconds; reading the
-# file takes half a millisecond.
+# Interval at which the settings are read without a signal, seconds; reading
+# the file takes half a millisecond.
 RELOAD_S = 5.0
 
 
 class Loop:
-    """Calls a step again and again until stopped."""
+    """Calls a function periodically in a thread until it is stopped."""
 
     __slots__ = ('_period_s', '_step', '_stop', '_thread', '_wake', 'name')
 
-    # For logs and the state dump.
+    # Name in logs and the state dump.
     name: str
     _step: Callable[[], None]
     _period_s: float | Callable[[], float]
@@ -45,13 +45,13 @@
         period_s: float | Callable[[], float],
         step: Callable[[], None],
     ) -> None:
-        """Prepares it.
+        """Creates the loop without starting it.
 
         Args:
-            name: For logs and the state dump.
-            period_s: Time between steps, seconds; where it depends on what is
-                going on, returns it.
-            step: What to repeat.
+            name: Name in logs and the state dump.
+            period_s: Time between two calls, seconds, or a function that
+                returns it if it varies.
+            step: Function that is called periodically.
         """
         self.name = name
         self._step = step
@@ -67,30 +67,30 @@
         self._thread.start()
 
     def wake(self) -> None:
-        """Makes the next step come at once."""
+        """Starts the next step without waiting for the period to end."""
         self._wake.set()
 
     def end(self) -> None:
-        """Ends the loop after the step in progress, without waiting for it."""
+        """Requests the end of the loop after the current step; doesn't wait."""
         self._stop.set()
         self._wake.set()
 
     def stop(self) -> None:
-        """Ends the loop after the step in progress."""
+        """Ends the loop after the current step and waits for its thread."""
         self.end()
         self._thread.join()
 
     def _run(self) -> None:
         while not self._stop.is_set():
-            self._guarded()
+            self._run_step()
             period_s = self._period_s
             self._wake.wait(period_s() if callable(period_s) else period_s)
             self._wake.clear()
 
-    def _guarded(self) -> None:
-        # A step that raises would end its thread without a word, and the
-        # process would look alive while it no longer follows the log. A fault
-        # of one round is logged and the next round tries again; a broken
+    def _run_step(self) -> None:
+        # An uncaught exception would end the thread silently, and the process
+        # would appear healthy while it no longer follows the log. Thus an
+        # exception is logged and the next step is run as usual; a violated
         # invariant stops the process.
         try:
             self._step()
@@ -104,10 +104,10 @@
 
 
 def stop_on_broken_invariants() -> None:
-    """Ends the process when an invariant breaks in any thread.
+    """Ends the process when an invariant is violated in any thread.
 
-    A thread that dies of one would leave a process that goes on deciding with
-    a state that can't be right.
+    If only the thread ended, the process would continue to make decisions
+    based on an invalid state.
     """
 
     def on_exception(args: threading.ExceptHookArgs) -> None:
@@ -119,12 +119,13 @@
 
 
 def wait_for_stop(reload: Callable[[], None] | None = None) -> None:
-    """Returns when the process is told to stop.
+    """Returns when the process receives SIGTERM or SIGINT.
 
     Args:
-        reload: Called on SIGHUP, and now and then, since settings may change
-            without a signal. Without it the signal is ignored: its default
-            would end the process and cut every request in progress.
+        reload: Called on SIGHUP, and every `RELOAD_S` since settings may
+            change without a signal. If it is None, SIGHUP is ignored: the
+            default action of SIGHUP would end the process and abort every
+            request in progress.
     """
     reload_at = time.monotonic() + RELOAD_S
     stop = threading.Event()
--- a/packages/daemon/foxtaildaled/router.py
+++ b/packages/daemon/foxtaildaled/router.py
@@ -1,9 +1,9 @@
-"""The router role: requests that pass through as callers sent them.
+"""The router role: passes requests through as callers sent them.
 
-Each request is decoded, matched with the configuration in force and the client
-account that has its key, let in by the account's limit, and handed to `forward`
-or `generate`. A refusal names its reason, its figures and when to
-come back.
+Each request is decoded, matched with a route of the configuration in force and
+with the client account of its key, admitted by the limit of the account, and
+passed to `forward` or `generate`. A refusal states its reason, its figures and
+when to retry.
 """
 
 from collections.abc import Callable
@@ -25,12 +25,13 @@
 from foxtaildaled import limits
 from foxtaildaled import passage
 
-# When to come back to an entry VM that knows no configuration yet, seconds.
+# Delay after which callers retry while the entry VM has no configuration yet,
+# seconds.
 UNREADY_S: Final = 0.3
 
 
 class Decode(Protocol):
-    """Decodes what a caller sent."""
+    """Decodes a request of a caller."""
 
     def __call__(
         self, exchange: callers.Exchange, *, keyed: bool = False
@@ -38,11 +39,13 @@
         """Returns the request.
 
         Args:
-            exchange: What came.
-            keyed: Whether a key of a client account is expected.
+            exchange: The exchange with the caller.
+            keyed: Whether the request is expected to contain the key of a
+                client account.
 
         Raises:
-            errors.DecodeError: It is none; says why, without its key.
+            errors.DecodeError: The request is invalid; the text states the
+                reason and does not contain the key.
         """
 
 
@@ -57,9 +60,9 @@
         '_entry_vm',
         '_forward',
         '_generate',
-        '_held_s',
         '_limiter',
         '_matcher',
+        '_quarantine_left_s',
     )
 
     def __init__(
@@ -77,23 +80,23 @@
         held_s: Callable[[int], float],
     ) -> None:
         self._entry_vm = entry_vm
-        # Returns when this process ends at the latest; infinity while it is not
-        # being stopped.
+        # Returns the time at which this process ends at the latest; infinity
+        # while the process is not being stopped.
         self._ends_at = ends_at
-        # Returns how long a request must be sent to no server, seconds, by its
-        # fingerprint.
-        self._held_s = held_s
+        # Returns how long a request stays in quarantine, seconds, by its
+        # fingerprint; a quarantined request must not be sent to any server.
+        self._quarantine_left_s = held_s
         self._matcher = matcher
         self._decode = decode
         self._forward = plain
         self._generate = model
-        # Keeps client accounts to their limits.
+        # Enforces the limits of client accounts.
         self._limiter = limiter
         self._counts = counts
         self._clock = clock
 
     def handle(self, exchange: callers.Exchange) -> None:
-        """Serves one request."""
+        """Serves or refuses one request."""
         matcher = self._matcher()
         if matcher is None:
             self._refuse(exchange, codes.NO_PRESET, UNREADY_S)
@@ -108,11 +111,11 @@
         if route is None:
             self._refuse(exchange, codes.NO_ROUTE, version=version)
             return
-        req = self._passage(exchange, call, matcher, route)
-        if self._is_let_in(req, matcher):
+        req = self._make_passage(exchange, call, matcher, route)
+        if self._is_admitted(req, matcher):
             self._serve(req)
 
-    def _passage(
+    def _make_passage(
         self,
         exchange: callers.Exchange,
         call: forwarding.Call,
@@ -133,13 +136,15 @@
             clock=self._clock,
             ends_at=self._ends_at(),
             account=account,
-            held_s=self._held_s,
+            held_s=self._quarantine_left_s,
         )
 
-    def _is_let_in(self, req: passage.Passage, matcher: routes.Matcher) -> bool:
-        """Refuses what has no account, or lies beyond its account's limit."""
+    def _is_admitted(
+        self, req: passage.Passage, matcher: routes.Matcher
+    ) -> bool:
+        """Checks the account and its limit; refuses the request if needed."""
         if req.account is not None:
-            return self._keeps_limit(req, req.account)
+            return self._is_within_limit(req, req.account)
         if not matcher.keyed or req.route.public:
             return True
         reason = 'no client account has its key'
@@ -149,20 +154,20 @@
         req.refuse(codes.UNAUTHORIZED, {'reason': reason})
         return False
 
-    def _keeps_limit(
+    def _is_within_limit(
         self, req: passage.Passage, account: accounts.Account
     ) -> bool:
         limit = account.limit
         if not limit.rate:
             return True
         cost = limit.cost(req.call.prompt_tokens, req.call.output_tokens)
-        began = self._clock()
-        verdict = self._limiter.admit(account, cost)
-        took_ms = int((self._clock() - began) * 1000)
-        remaining = int(verdict.level)
-        if not verdict.wait_s:
+        started_at = self._clock()
+        decision = self._limiter.admit(account, cost)
+        took_ms = int((self._clock() - started_at) * 1000)
+        remaining = int(decision.level)
+        if not decision.wait_s:
             req.on_not_run = lambda: self._limiter.give_back(
-                account, cost, verdict
+                account, cost, decision
             )
             self._counts.accounts.add(1, account.name, codes.OK.name)
             req.log(
@@ -170,7 +175,7 @@
                 account=account.name,
                 cost=cost,
                 remaining=remaining,
-                by=verdict.by,
+                by=decision.by,
                 took_ms=took_ms,
             )
             return True
@@ -182,10 +187,10 @@
             'rate': limit.rate,
             'burst': limit.burst,
             'unit': limit.unit,
-            'by': verdict.by,
+            'by': decision.by,
             'took_ms': took_ms,
         }
-        req.refuse(codes.OVER_LIMIT, figures, verdict.wait_s)
+        req.refuse(codes.OVER_LIMIT, figures, decision.wait_s)
         return False
 
     def _serve(self, req: passage.Passage) -> None:
--- a/packages/daemon/foxtaildaled/start.py
+++ b/packages/daemon/foxtaildaled/start.py
@@ -1,9 +1,8 @@
-"""Starts the router of a platform that writes its settings itself.
+"""Starts the router with settings that the platform writes.
 
-How soon a VM serves again after it lost power is, for the most part, how long
-its process takes to load what it runs on. So this module loads the router and
-nothing else: the command line's parser, the settings' schema and the other
-roles stand in `main`.
+After a power loss of a VM, most of the time until it serves again is spent on
+loading modules. So this module imports only what the router needs; the command
+line parser, the schema of the settings and the other roles are in `main`.
 """
 
 import logging
@@ -22,24 +21,24 @@
 from foxtaildaled import process
 from foxtaildaled import routing
 
-# Where a router serves metrics, state and liveness, unless told otherwise.
+# Default port on which a router serves metrics, state and liveness.
 METRICS_PORT = 9100
-# Status for settings that are wrong, as sysexits names it.
+# Exit status for invalid settings, EX_CONFIG of sysexits.h.
 CONFIG_STATUS = 78
 
 
 def run(metrics_port: int = METRICS_PORT, *, check: bool = False) -> int:
-    """Runs the router until it is told to stop.
+    """Runs the router until it receives SIGTERM or SIGINT.
 
     Args:
-        metrics_port: Where it serves metrics, state and liveness.
-        check: Whether to check the settings only.
+        metrics_port: Port on which it serves metrics, state and liveness.
+        check: Whether to only check the settings.
 
     Returns:
-        Exit status: 0, 78 for wrong settings.
+        Exit status: 0, or 78 for invalid settings.
     """
     try:
-        cfg = _settings()
+        cfg = _read_settings()
     except (OSError, errors.SettingsError) as exc:
         print(exc, file=sys.stderr)
         return CONFIG_STATUS
@@ -61,19 +60,19 @@
 
 
 def _reload(daemon: routing.RouterDaemon) -> None:
-    """Reads the platform's settings anew; wrong ones change nothing."""
+    """Reads the platform's settings again; invalid ones are not applied."""
     try:
-        daemon.reload(_settings())
+        daemon.reload(_read_settings())
     except (OSError, errors.SettingsError) as exc:
         logs.event(logging.ERROR, 'reload failed', error=str(exc))
 
 
-def _settings() -> options.RouterOptions:
+def _read_settings() -> options.RouterOptions:
     """Reads the settings file that the platform wrote.
 
     Raises:
-        errors.SettingsError: It is wrong, or not named.
-        OSError: It can't be read.
+        errors.SettingsError: The file is invalid, or its path is not given.
+        OSError: The file can't be read.
     """
     name = os.environ.get(boot.VARIABLE)
     if not name:
--- a/packages/daemon/foxtaildaled/view.py
+++ b/packages/daemon/foxtaildaled/view.py
@@ -1,8 +1,8 @@
-"""What an entry knows: preset, VM list and keepers, as its keeper tells them.
+"""The state of an entry: preset, VM list and keepers, reported by its keeper.
 
-The view is one immutable snapshot, replaced about once a second; a caller's
-thread reads it once and works by it to the end of its request, so a switch in
-the middle of a request can't mix two presets.
+The view is one immutable snapshot that is replaced about once a second. The
+thread of a caller reads the snapshot once and uses it until the request ends,
+so a preset switch during a request can't mix two presets.
 """
 
 import threading
@@ -20,19 +20,19 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """What was known at one moment."""
+    """Immutable state of an entry at one time."""
 
     # None while no keeper vouches for a preset.
     in_force: values.InForce | None = None
     listing: values.Listing = values.Listing(0, (), ())
     keepers: tuple[values.Keeper, ...] = ()
-    # Beginning of new idempotency keys; empty while it is not known.
+    # Prefix of new idempotency keys; empty while it is not known.
     key_prefix: str = ''
     # Client accounts of the preset in force, by key.
     holders: accounts.Accounts = accounts.Accounts(())
 
     def service(self, name: str) -> values.Service | None:
-        """Returns what the preset in force says of a service."""
+        """Returns a service of the preset in force; None if it has none."""
         if self.in_force is None:
             return None
         return self.in_force.preset.services.get(name)
@@ -43,7 +43,7 @@
         return self.in_force.revision if self.in_force else 0
 
     def home(self, service: str) -> str | None:
-        """Returns the address of the keeper that is home of a service."""
+        """Returns the address of the keeper that coordinates a service."""
         if not self.keepers:
             return None
         names = tuple(keeper.name for keeper in self.keepers)
@@ -53,7 +53,7 @@
     def live(
         self, service: str, role: values.Role
     ) -> tuple[values.BackendServer, ...]:
-        """Returns the backend servers that may get new work."""
+        """Returns the backend servers that may receive new requests."""
         return tuple(
             server
             for server in self.listing.backend_servers
@@ -69,14 +69,14 @@
         )
 
     def witness(self, me: options.Options) -> values.Keeper | None:
-        """Returns a keeper to witness tickets.
+        """Returns a keeper that can witness tickets; None if there is none.
 
-        It is on another VM, since a VM dies with all its processes, and in
-        another data centre where there is one.
+        The keeper is on another VM, since the failure of a VM stops all its
+        processes, and in another data centre if a keeper exists there.
         """
         others = [k for k in self.keepers if k.name != me.entry_vm]
-        far = [k for k in others if k.data_centre != me.data_centre]
-        for group in (far, others):
+        elsewhere = [k for k in others if k.data_centre != me.data_centre]
+        for group in (elsewhere, others):
             if group:
                 names = tuple(keeper.name for keeper in group)
                 name = homes.home(me.entry_vm, names)
@@ -85,17 +85,17 @@
 
 
 class View:
-    """Keeps the snapshot fresh; its step is a loop of the entry."""
+    """Updates the snapshot; a loop of the entry calls its `step`."""
 
     __slots__ = (
         '_address',
         '_cfg',
         '_clock',
-        '_heard_at',
-        '_highest',
+        '_confirmed_at',
         '_incarnation',
         '_leaving',
         '_lock',
+        '_max_revision',
         '_peers',
         '_snapshot',
     )
@@ -106,14 +106,17 @@
     _peers: ports.Peers
     _clock: ports.Clock
     _snapshot: Snapshot
-    # When the keeper was last heard; None before the first time.
-    _heard_at: float | None
+    # When the last request that the keeper replied to was sent; None before
+    # the first reply.
+    _confirmed_at: float | None
     _lock: threading.Lock
-    # Backend servers that refused as leaving, as `members.key_of` names them.
+    # Backend servers that refused requests because they are leaving; the keys
+    # are those of `members.key_of`.
     _leaving: dict[str, None]
-    # Highest revision that was ever worked by; kept also while the keeper
-    # vouches for none, so that its next word can't take this entry back.
-    _highest: int
+    # Highest revision that this entry has used. It is retained while the keeper
+    # vouches for no preset, so that its next reply can't revert this entry to
+    # a lower revision.
+    _max_revision: int
 
     def __init__(
         self,
@@ -129,55 +132,56 @@
         self._peers = peers
         self._clock = clock
         self._snapshot = Snapshot()
-        self._heard_at = None
+        self._confirmed_at = None
         self._lock = threading.Lock()
         self._leaving = {}
-        self._highest = 0
+        self._max_revision = 0
 
     @property
     def now(self) -> Snapshot:
-        """The snapshot to work by.
+        """The current snapshot.
 
-        A keeper that has been silent for longer than the freshness bound may
-        have missed a switch; working on by the old preset would put two
-        presets in force at once, so the snapshot then names none.
+        If the keeper has not replied for longer than the freshness bound, a
+        preset switch may have been missed. Further use of the old preset would
+        put two presets in force at once, so the snapshot then contains no
+        preset.
         """
         with self._lock:
-            snapshot, heard_at = self._snapshot, self._heard_at
-        if heard_at is None:
+            snapshot, confirmed_at = self._snapshot, self._confirmed_at
+        if confirmed_at is None:
             return snapshot
-        if self._clock() - heard_at <= self._cfg.freshness_s:
+        if self._clock() - confirmed_at <= self._cfg.freshness_s:
             return snapshot
         return msgspec.structs.replace(snapshot, in_force=None)
 
     def step(self) -> None:
-        """Asks the keeper once."""
+        """Requests the state from the keeper once and applies the reply."""
         msg = messages.Hello(
             incarnation=self._incarnation,
             address=self._address,
-            revision=self._highest,
+            revision=self._max_revision,
             leaving=tuple(self._leaving),
         )
-        asked_at = self._clock()
+        requested_at = self._clock()
         try:
             reply = self._peers.ask(self._cfg.keeper, msg, self._cfg.silence_s)
         except errors.PortError:
             return
         if isinstance(reply, messages.HelloReply):
-            self._take(reply, asked_at)
+            self._apply(reply, requested_at)
 
     def report_leaving(self, server: values.BackendServer) -> None:
-        """Notes that a backend server refused work because it is leaving."""
+        """Records that a backend server refused a request as it is leaving."""
         key = members.key_of(server)
         with self._lock:
             self._leaving[key] = None
-            old = self._snapshot
+            previous = self._snapshot
             self._snapshot = msgspec.structs.replace(
-                old, listing=_without(old.listing, self._leaving)
+                previous, listing=_mark_leaving(previous.listing, self._leaving)
             )
 
     def goodbye(self) -> None:
-        """Tells the keeper that this entry ends by plan."""
+        """Notifies the keeper that this entry stops as planned."""
         try:
             self._peers.ask(
                 self._cfg.keeper,
@@ -187,38 +191,41 @@
         except errors.PortError:
             return
 
-    def _take(self, reply: messages.HelloReply, asked_at: float) -> None:
+    def _apply(self, reply: messages.HelloReply, requested_at: float) -> None:
         with self._lock:
-            old = self._snapshot
+            previous = self._snapshot
             in_force = reply.in_force
-            # A keeper that was just restarted may know less than this entry:
-            # going back to a lower revision would revert an accepted preset.
-            if in_force and in_force.revision < self._highest:
+            # A keeper that was just restarted may have an older state than this
+            # entry. A lower revision would revert an accepted preset.
+            if in_force and in_force.revision < self._max_revision:
                 return
-            self._highest = max(self._highest, _revision(in_force))
-            listing = reply.listing or old.listing
-            if listing.version < old.listing.version:
-                listing = old.listing
-            named = {members.key_of(s) for s in listing.backend_servers}
-            self._leaving = {k: None for k in self._leaving if k in named}
+            self._max_revision = max(self._max_revision, _revision_of(in_force))
+            listing = reply.listing or previous.listing
+            if listing.version < previous.listing.version:
+                listing = previous.listing
+            listed = {members.key_of(s) for s in listing.backend_servers}
+            self._leaving = {k: None for k in self._leaving if k in listed}
             self._snapshot = Snapshot(
                 in_force=in_force,
-                listing=_without(listing, self._leaving),
+                listing=_mark_leaving(listing, self._leaving),
                 keepers=reply.keepers,
                 key_prefix=reply.key_prefix,
-                holders=_holders(old, in_force),
+                holders=_client_accounts(previous, in_force),
             )
-            self._heard_at = asked_at
+            self._confirmed_at = requested_at
 
 
-def _holders(
-    old: Snapshot, in_force: values.InForce | None
+def _client_accounts(
+    previous: Snapshot, in_force: values.InForce | None
 ) -> accounts.Accounts:
-    """Returns the accounts of a preset; worked out once for each."""
+    """Returns the client accounts of a preset; computed once per preset."""
     if in_force is None:
         return accounts.Accounts(())
-    if old.in_force is not None and old.in_force.digest == in_force.digest:
-        return old.holders
+    if (
+        previous.in_force is not None
+        and previous.in_force.digest == in_force.digest
+    ):
+        return previous.holders
     return accounts.Accounts(
         tuple(
             accounts.Account(
@@ -233,14 +240,14 @@
     )
 
 
-def _revision(in_force: values.InForce | None) -> int:
+def _revision_of(in_force: values.InForce | None) -> int:
     return in_force.revision if in_force else 0
 
 
-def _without(
+def _mark_leaving(
     listing: values.Listing, leaving: dict[str, None]
 ) -> values.Listing:
-    """Returns the list with more backend servers called leaving."""
+    """Returns the list with the given backend servers marked as leaving."""
     return msgspec.structs.replace(
         listing,
         backend_servers=tuple(
--- a/packages/daemon/foxtaildaled/wiring.py
+++ b/packages/daemon/foxtaildaled/wiring.py
@@ -1,7 +1,8 @@
-"""Composition root of the daemon: makes every part and joins them.
+"""Composition root of the daemon: creates its parts and connects them.
 
-Nothing else constructs adapters. A role is a list of loops, a server for the
-other processes, one for operators, and for an entry one for callers.
+For these roles no other module constructs adapters. A role consists of a list
+of loops, a server for the other processes, a server for operators, and, for an
+entry, a server for callers.
 """
 
 import json
@@ -48,15 +49,17 @@
 from foxtaildaled import view
 from foxtaildaled import visit
 
-# Threads that answer other processes. A claim holds one until the log has
-# settled it, a ticket that was passed on until its call has ended.
+# Number of threads that reply to other processes. A claim occupies a thread
+# until the log has settled the claim; a forwarded ticket occupies a thread
+# until its call has ended.
 _PEER_THREADS = 16
-# Time between two tries of cancels, seconds.
-_QUICK_S = 0.1
-# Time between two flushes of outcomes, seconds.
-_FLUSH_S = 1.0
-# Longest body that any service may take, bytes.
-_BODY_MAX = 16 * 1024 * 1024
+# Interval at which due cancels are sent, and at which a stopping keeper checks
+# for unfinished work, seconds.
+_POLL_S = 0.1
+# Interval at which outcomes are written to the store, seconds.
+_FLUSH_INTERVAL_S = 1.0
+# Maximum request body of any service, bytes.
+_MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
 class Daemon(Protocol):
@@ -66,11 +69,11 @@
         """Starts serving."""
 
     def stop(self) -> None:
-        """Ends gracefully: cuts no request in progress."""
+        """Stops gracefully: does not abort requests in progress."""
 
 
 def make(cfg: options.Options) -> Daemon:
-    """Returns the daemon that the settings ask for."""
+    """Returns the daemon for the role in the settings."""
     return KeeperDaemon(cfg) if cfg.role == 'keeper' else EntryDaemon(cfg)
 
 
@@ -86,7 +89,7 @@
         '_owner',
         '_peers',
         '_responder',
-        '_settle',
+        '_settle_loop',
     )
 
     _cfg: options.Options
@@ -95,7 +98,7 @@
     _metrics: metrics.Metrics
     _owner: actors.Owner[keeper.Keeper]
     _gossip: gossip.Gossip
-    _settle: process.Loop
+    _settle_loop: process.Loop
     _loops: list[process.Loop]
     _admin: admin.Admin
 
@@ -107,7 +110,7 @@
         )
 
     def start(self) -> None:
-        """Binds, then starts the loops."""
+        """Binds the peer address, then starts the loops."""
         cfg = self._cfg
         address = self._responder.start()
         me = values.Keeper(
@@ -122,11 +125,11 @@
         claims_store = platform.Platform(cfg.platform, cfg.platform_timeout_s)
         workers = engines.Engines()
         self._gossip = gossip.Gossip(self._owner, self._peers, cfg.silence_s)
-        self._settle = process.Loop(
+        self._settle_loop = process.Loop(
             'settle', cfg.poll_s, follow.Settle(self._owner, claims_store).step
         )
         self._loops = [
-            self._settle,
+            self._settle_loop,
             process.Loop(
                 'follow',
                 cfg.poll_s,
@@ -152,16 +155,20 @@
         )
         for loop in self._loops:
             loop.start()
-        _announce(cfg, peer=address, admin=self._admin.start())
+        _report_addresses(cfg, peer=address, admin=self._admin.start())
 
     def stop(self) -> None:
-        """Stays until the entries have ended and claims are written."""
-        self._owner.run(_leave)
+        """Stops the keeper gracefully.
+
+        It waits, for `drain_s` at most, until the entries of the VM have
+        stopped and all claims are written.
+        """
+        self._owner.run(_mark_stopping)
         deadline = time.monotonic() + self._cfg.drain_s
         while time.monotonic() < deadline:
-            if not self._owner.run(_unfinished):
+            if not self._owner.run(_has_unfinished_work):
                 break
-            time.sleep(_QUICK_S)
+            time.sleep(_POLL_S)
         self._gossip.goodbye()
         for loop in self._loops:
             loop.stop()
@@ -173,7 +180,7 @@
     def _handle(self, msg: messages.Any) -> messages.Any:
         if isinstance(msg, messages.AskClaim):
             fut = self._owner.run(lambda state, now: state.claim(now, msg))
-            self._settle.wake()
+            self._settle_loop.wake()
             return fut.get(timeout=keeper.CLAIM_WAIT_S)
         if isinstance(msg, messages.Dump):
             return messages.DumpReply(state=self._state())
@@ -186,7 +193,7 @@
         vouched = self._owner.run(
             lambda state, now: state.follower.vouched(now)
         )
-        return '' if vouched else 'no fresh word of the preset in force'
+        return '' if vouched else 'no current report of the preset in force'
 
     def _state(self) -> bytes:
         return self._owner.run(lambda state, now: state.dump(now))
@@ -236,17 +243,17 @@
         )
 
     def start(self) -> None:
-        """Binds, then starts the loops and serves callers."""
+        """Binds the peer address, then starts the loops and serves callers."""
         cfg = self._cfg
         address = self._responder.start()
         counts = self._metrics = metrics.Metrics()
-        self._wire(address, counts)
+        self._make_parts(address, counts)
         for loop in self._loops:
             loop.start()
         self._admin = admin.Admin(
             cfg.admin_address, self._ready, self._state, self._render
         )
-        _announce(
+        _report_addresses(
             cfg,
             peer=address,
             admin=self._admin.start(),
@@ -254,7 +261,12 @@
         )
 
     def stop(self) -> None:
-        """Not ready, no new connections, drain, flush, goodbye."""
+        """Stops gracefully.
+
+        The entry reports that it is not ready, accepts no new connections,
+        drains the requests in progress, writes the outcomes to the store and
+        notifies the keeper, in this order.
+        """
         self._gate.stopping = True
         self._server.stop_accepting()
         drained = self._server.drain(self._cfg.drain_s)
@@ -270,12 +282,12 @@
         self._responder.close()
         self._peers.close()
 
-    def _wire(self, address: str, counts: metrics.Metrics) -> None:
+    def _make_parts(self, address: str, counts: metrics.Metrics) -> None:
         cfg = self._cfg
         clock = time.monotonic
         store = platform.Platform(cfg.platform, cfg.platform_timeout_s)
         workers = engines.Engines()
-        budget = retries.Retries(clock)
+        budgets = retries.Retries(clock)
         self._pump = pump.Pump()
         self._pump.start()
         self._view = view.View(
@@ -284,8 +296,8 @@
         self._records = records.Records(store, counts)
         replies = visit.Replies(cfg.entry_vm, self._records)
         self._cancels = cancels.Cancels(workers, clock)
-        plain_calls = plain.Plain(services.Services(), budget)
-        own = slots.Slots(
+        plain_calls = plain.Plain(services.Services(), budgets)
+        slot_client = slots.Slots(
             self._peers, self._view, cfg.entry_vm, self._incarnation, clock
         )
         model = answers.Answers(
@@ -293,8 +305,8 @@
             engines=workers,
             seen=self._view,
             carrier=self._pump,
-            getter=own,
-            budget=budget,
+            getter=slot_client,
+            budget=budgets,
             counts=counts,
             clock=clock,
         )
@@ -316,8 +328,8 @@
             seen=self._view,
             stamp=replies.stamp,
         )
-        parts = limits.Shares(lambda: len(self._view.now.keepers), clock)
-        self._gate = gate.Gate(self._desk, replies, parts)
+        local_shares = limits.Shares(lambda: len(self._view.now.keepers), clock)
+        self._gate = gate.Gate(self._desk, replies, local_shares)
         claim_desk = claiming.Claiming(
             cfg, self._incarnation, self._peers, replies
         )
@@ -350,21 +362,21 @@
             handler,
             cfg.threads,
             cfg.caller_timeout_s,
-            _BODY_MAX,
+            _MAX_BODY_BYTES,
             entry_vm=cfg.entry_vm,
         )
-        cancel_loop = process.Loop('cancels', _QUICK_S, self._cancel)
+        cancel_loop = process.Loop('cancels', _POLL_S, self._send_due_cancels)
         self._cancels.wake = cancel_loop.wake
         self._loops = [
             process.Loop('view', cfg.heartbeat_s, self._view.step),
             process.Loop('tickets', cfg.heartbeat_s, self._desk.step),
-            process.Loop('slots', cfg.heartbeat_s, own.step),
-            process.Loop('records', _FLUSH_S, self._records.step),
+            process.Loop('slots', cfg.heartbeat_s, slot_client.step),
+            process.Loop('records', _FLUSH_INTERVAL_S, self._records.step),
             cancel_loop,
         ]
 
-    def _cancel(self) -> None:
-        """Sends what cancels are due, but none to engines that are gone."""
+    def _send_due_cancels(self) -> None:
+        """Sends the due cancels; drops those for engines that were removed."""
         listing = self._view.now.listing
         if listing.version:
             self._cancels.forget(
@@ -410,29 +422,29 @@
         return json.dumps(state, default=str, sort_keys=True).encode()
 
 
-def _leave(state: keeper.Keeper, _now: float) -> None:
+def _mark_stopping(state: keeper.Keeper, _now: float) -> None:
     state.stopping = True
 
 
-def _unfinished(state: keeper.Keeper, _now: float) -> bool:
+def _has_unfinished_work(state: keeper.Keeper, _now: float) -> bool:
     return bool(state.entries) or state.claims.unwritten() > 0
 
 
 def _render(
-    counts: metrics.Metrics, asked: peers.Peers, served: wire.Responder
+    counts: metrics.Metrics, requester: peers.Peers, responder: wire.Responder
 ) -> bytes:
-    """Returns the metrics, with what passed between processes so far."""
-    sides = (asked.counts, served.counts)
+    """Returns the metrics, with the message counts between processes."""
+    all_counts = (requester.counts, responder.counts)
     for direction, total, size in (
         (
             'sent',
-            sum(side.sent for side in sides),
-            sum(side.sent_bytes for side in sides),
+            sum(item.sent for item in all_counts),
+            sum(item.sent_bytes for item in all_counts),
         ),
         (
             'received',
-            sum(side.received for side in sides),
-            sum(side.received_bytes for side in sides),
+            sum(item.received for item in all_counts),
+            sum(item.received_bytes for item in all_counts),
         ),
     ):
         counts.messages.set(total, direction)
@@ -440,13 +452,17 @@
     return counts.render()
 
 
-def _announce(cfg: options.Options, **addresses: str) -> None:
-    """Tells the addresses in use, for settings that leave them to the kernel."""
+def _report_addresses(cfg: options.Options, **addresses: str) -> None:
+    """Logs the bound addresses and writes them to the address file.
+
+    The settings may leave the choice of a port to the kernel.
+    """
     logs.event(absl_logging.INFO, 'started', **addresses)
     if not cfg.address_file:
         return
-    # Written aside and renamed: a reader must never see half of it.
-    partial = f'{cfg.address_file}.partial'
-    with open(partial, 'w', encoding='utf-8') as file:
+    # The file is written under another name and renamed, so that a reader never
+    # sees a partial file.
+    partial_path = f'{cfg.address_file}.partial'
+    with open(partial_path, 'w', encoding='utf-8') as file:
         json.dump(addresses, file)
-    os.replace(partial, cfg.address_file)
+    os.replace(partial_path, cfg.address_file)
