--- a/packages/daemon/foxtaildaled/router.py
+++ b/packages/daemon/foxtaildaled/router.py
@@ -54,7 +54,6 @@
 
     __slots__ = (
         '_clock',
-        '_counts',
         '_decode',
         '_ends_at',
         '_entry_vm',
@@ -63,6 +62,7 @@
         '_limiter',
         '_matcher',
         '_quarantine_left_s',
+        '_request_metrics',
     )
 
     def __init__(
@@ -92,7 +92,7 @@
         self._generate = model
         # Enforces the limits of client accounts.
         self._limiter = limiter
-        self._counts = counts
+        self._request_metrics = counts
         self._clock = clock
 
     def handle(self, exchange: callers.Exchange) -> None:
@@ -132,7 +132,7 @@
             service=matcher.table.service(name),
             version=matcher.table.version,
             entry_vm=self._entry_vm,
-            counts=self._counts,
+            counts=self._request_metrics,
             clock=self._clock,
             ends_at=self._ends_at(),
             account=account,
@@ -150,7 +150,7 @@
         reason = 'no client account has its key'
         if req.call.key is None:
             reason = 'it has no key of a client account'
-        self._counts.accounts.add(1, '', codes.UNAUTHORIZED.name)
+        self._request_metrics.accounts.add(1, '', codes.UNAUTHORIZED.name)
         req.refuse(codes.UNAUTHORIZED, {'reason': reason})
         return False
 
@@ -169,7 +169,7 @@
             req.on_not_run = lambda: self._limiter.give_back(
                 account, cost, decision
             )
-            self._counts.accounts.add(1, account.name, codes.OK.name)
+            self._request_metrics.accounts.add(1, account.name, codes.OK.name)
             req.log(
                 'let in',
                 account=account.name,
@@ -179,7 +179,9 @@
                 took_ms=took_ms,
             )
             return True
-        self._counts.accounts.add(1, account.name, codes.OVER_LIMIT.name)
+        self._request_metrics.accounts.add(
+            1, account.name, codes.OVER_LIMIT.name
+        )
         figures: dict[str, float | str] = {
             'account': account.name,
             'cost': cost,
@@ -218,5 +220,5 @@
             target=exchange.target[:200],
             **figures,
         )
-        self._counts.requests.add(1, '', code.name)
+        self._request_metrics.requests.add(1, '', code.name)
         passage.refuse(exchange, code, figures, self._entry_vm, retry_after_s)
