--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -1,8 +1,9 @@
-"""The world of one key that several VMs claim, for the exhaustive search.
+"""The state space of a key that several VMs claim, for the exhaustive search.
 
-Two keepers share a fake log. Bytes once sent to the log stay under way: they
-may take effect now, after everybody gave up, twice or never. Records lapse,
-keepers restart, entries give up, pause with a win in hand, or ask again.
+Two keepers share a fake log. Bytes sent to the log stay in transit: they may
+be appended now, after every entry stopped waiting, twice or never. Records
+expire, keepers restart, and entries time out, pause after they won a claim, or
+repeat a request.
 """
 
 from collections.abc import Callable
@@ -19,23 +20,23 @@
 from tests import search
 
 SERVICE = 'reader'
-# The world needs no clock: failures are reported as long past, and waiting
-# asks expire as if it were much later.
+# Times in seconds. The world needs no clock: it reports failures with a time
+# far in the past, and expires waiting requests with a time far in the future.
 NOW = 0.0
-LONG_PAST = -1_000.0
-MUCH_LATER = 1_000.0
+FAR_PAST = -1_000.0
+FAR_FUTURE = 1_000.0
 
 
-class Try(msgspec.Struct, frozen=True):
-    """One try of a caller under the key."""
+class Attempt(msgspec.Struct, frozen=True):
+    """One attempt of a caller to run a request under the key."""
 
     request: str
-    # Name of the keeper of the VM that got it.
+    # Name of the keeper at the VM that received the attempt.
     keeper: str
 
 
 class Rules(msgspec.Struct, frozen=True):
-    """Which objects and which rules a world uses; proofs take some out."""
+    """The classes and rules that a world uses; tests replace some of them."""
 
     keeper: type[claims.Claims] = claims.Claims
     refusal: Callable[[messages.ClaimReply, bool], codes.Code | None] = (
@@ -43,172 +44,176 @@
     )
     covering: Callable[[codes.Code, bool], codes.Code] = claims.covering
     key: str = 'c0.tower'
-    tries: tuple[Try, ...] = (Try('r1', 'x'), Try('r2', 'y'))
-    # Failures that may happen in one trace.
+    attempts: tuple[Attempt, ...] = (Attempt('r1', 'x'), Attempt('r2', 'y'))
+    # Maximum number of failures in one trace.
     failures: int = 3
 
 
 class World:
-    """The log, the keepers and the entries with their tries."""
+    """State of the log, the keepers, and the entries with their attempts."""
 
     __slots__ = (
-        'asked',
-        'ended',
         'failures',
-        'first',
+        'finished',
+        'first_offset',
         'in_flight',
-        'in_hand',
         'keepers',
         'log',
-        'open',
+        'reported_not_run',
         'rules',
         'sent',
-        'starts',
-        'told_no',
+        'started',
+        'submitted',
+        'waiting',
+        'won',
     )
 
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
-        # Records of the log, and the offset of the oldest one kept.
+        # Records of the log, and the offset of the oldest unexpired one.
         self.log: tuple[bytes, ...] = ()
-        self.first = 0
+        self.first_offset = 0
         self.keepers = {
-            name: rules.keeper(f'{name}1', name, stale_s=MUCH_LATER)
+            name: rules.keeper(f'{name}1', name, stale_s=FAR_FUTURE)
             for name in ('x', 'y')
         }
         for keeper in self.keepers.values():
             read(self, keeper)
-        # What each keeper's append in flight holds; empty if there is none.
+        # Data of each keeper's append in flight; empty if there is none.
         self.in_flight = {'x': b'', 'y': b''}
-        # Bytes that the log may still take.
+        # Data that may still be appended to the log.
         self.sent: frozenset[bytes] = frozenset()
         self.failures = 0
-        # Tries in the order in which callers sent them.
-        self.asked: tuple[str, ...] = ()
-        # Tries whose entry still waits for its keeper.
-        self.open: frozenset[str] = frozenset()
-        self.in_hand: frozenset[str] = frozenset()
-        self.starts: tuple[str, ...] = ()
-        self.ended: frozenset[str] = frozenset()
-        # Tries that were answered "not run".
-        self.told_no: frozenset[str] = frozenset()
-
-    def is_alone(self, request: str) -> bool:
-        """Whether each earlier try was answered "not run"."""
-        earlier = self.asked[: self.asked.index(request)]
-        return self.told_no.issuperset(earlier)
-
-    def tell(self, request: str, code: codes.Code) -> None:
-        """Answers a caller."""
-        self.open -= {request}
+        # Attempts in the order in which callers sent them.
+        self.submitted: tuple[str, ...] = ()
+        # Attempts whose entry still waits for its keeper.
+        self.waiting: frozenset[str] = frozenset()
+        self.won: frozenset[str] = frozenset()
+        self.started: tuple[str, ...] = ()
+        self.finished: frozenset[str] = frozenset()
+        # Attempts that were reported to their callers as "not run".
+        self.reported_not_run: frozenset[str] = frozenset()
+
+    def earlier_did_not_run(self, request: str) -> bool:
+        """Returns whether each earlier attempt was reported as "not run"."""
+        earlier = self.submitted[: self.submitted.index(request)]
+        return self.reported_not_run.issuperset(earlier)
+
+    def respond(self, request: str, code: codes.Code) -> None:
+        """Records the response to a caller."""
+        self.waiting -= {request}
         if code.ran == 'no':
-            self.told_no |= {request}
+            self.reported_not_run |= {request}
 
 
 def read(world: World, keeper: claims.Claims) -> list[claims.Settled]:
-    """Lets a keeper read the log to its end."""
-    start = max(keeper.next_offset(), world.first)
+    """Makes a keeper read the log to its end."""
+    start = max(keeper.next_offset(), world.first_offset)
     records = tuple(
         ports.Record(offset, data)
         for offset, data in enumerate(world.log)
         if offset >= start
     )
-    batch = ports.Batch(world.first, len(world.log), records)
+    batch = ports.Batch(world.first_offset, len(world.log), records)
     return keeper.on_records(NOW, batch)
 
 
 def moves(world: World) -> Iterator[search.Move[World]]:
-    """Yields everything that can happen next."""
-    # The VMs are alike, so that the first try is always the first to be sent.
-    for attempt in world.rules.tries[: len(world.asked) + 1]:
-        yield _move('ask', _ask, attempt)
-        if attempt.request in world.in_hand:
+    """Yields every move that is possible in `world`."""
+    # The VMs are interchangeable, so attempts are sent in a fixed order.
+    for attempt in world.rules.attempts[: len(world.submitted) + 1]:
+        yield _move('request', _request_claim, attempt)
+        if attempt.request in world.won:
             yield _move('start', _start, attempt)
-            yield _move('refuse unstarted', _refuse, attempt)
-        if attempt.request in world.starts:
-            yield _move('end', _end, attempt)
+            yield _move('refuse before the start', _refuse, attempt)
+        if attempt.request in world.started:
+            yield _move('finish', _finish, attempt)
     for name in world.keepers:
         if world.in_flight[name]:
-            yield _move('answer lost of', _lose, name)
+            yield _move('append reply lost at', _lose_append_reply, name)
         if world.in_flight[name] in world.log:
-            yield _move('append answered', _answer, name)
+            yield _move('append acknowledged at', _acknowledge_append, name)
         if not world.in_flight[name]:
-            yield _move('append', _append, name)
-        yield _move('read', _read, name)
+            yield _move('append by', _append, name)
+        yield _move('read by', _read, name)
     for data in sorted(world.sent):
         if world.log.count(data) < 2:
-            yield _move('log takes', _take, data)
+            yield _move('log appends', _append_in_transit, data)
     if world.failures < world.rules.failures:
         yield from _failures(world)
 
 
 def _failures(world: World) -> Iterator[search.Move[World]]:
-    for attempt in world.rules.tries:
-        if attempt.request in world.open:
-            yield _failure('the entry gives up', _give_up, attempt)
+    for attempt in world.rules.attempts:
+        if attempt.request in world.waiting:
+            yield _failure('entry times out', _time_out, attempt)
     for name in world.keepers:
-        yield _failure('asks expire at', _expire, name)
-        yield _failure('keeper dies', _restart, name)
+        yield _failure('requests expire at', _expire_requests, name)
+        yield _failure('keeper crashes', _restart, name)
         if not world.in_flight[name]:
-            yield _failure('slow append', _append_slowly, name)
-            yield _failure('append can not be sent', _fail, name)
-    if world.first < len(world.log):
-        yield _failure('all records lapse', _lapse, '')
+            yield _failure('slow append by', _append_slowly, name)
+            yield _failure('append cannot be sent by', _fail_append, name)
+    if world.first_offset < len(world.log):
+        yield _failure('all records expire', _expire_records, '')
 
 
 def fault(world: World) -> str:
-    """Returns what must never be; empty if all is well.
+    """Returns the invariant that `world` violates; empty if there is none.
 
-    "Not run" speaks of the try that it answers and of all earlier ones.
+    A "not run" response covers its own attempt and all earlier attempts.
     """
-    if len(world.starts) > 1:
+    if len(world.started) > 1:
         return f'started {len(world.starts)} times'
-    for start in world.starts:
-        later = world.asked[world.asked.index(start) :]
-        if world.told_no.intersection(later):
+    for start in world.started:
+        later = world.submitted[world.submitted.index(start) :]
+        if world.reported_not_run.intersection(later):
             return 'told "not run" of a request that was started'
     return ''
 
 
 def _move(
-    name: str, make: Callable[..., None], arg: object
+    name: str, change: Callable[..., None], arg: object
 ) -> search.Move[World]:
-    return search.Move(f'{name} {arg}', functools.partial(_call, make, arg))
+    return search.Move(f'{name} {arg}', functools.partial(_apply, change, arg))
 
 
 def _failure(
-    name: str, make: Callable[..., None], arg: object
+    name: str, change: Callable[..., None], arg: object
 ) -> search.Move[World]:
-    return search.Move(f'{name} {arg}', functools.partial(_fail_by, make, arg))
+    return search.Move(
+        f'{name} {arg}', functools.partial(_apply_failure, change, arg)
+    )
 
 
-def _fail_by(make: Callable[..., None], arg: object, world: World) -> None:
+def _apply_failure(
+    change: Callable[..., None], arg: object, world: World
+) -> None:
     world.failures += 1
-    make(world, arg)
+    change(world, arg)
 
 
-def _call(make: Callable[..., None], arg: object, world: World) -> None:
-    make(world, arg)
+def _apply(change: Callable[..., None], arg: object, world: World) -> None:
+    change(world, arg)
 
 
 def _settle(world: World, settled: list[claims.Settled]) -> None:
     for request, reply in settled:
-        if request not in world.open:
+        if request not in world.waiting:
             continue
-        code = world.rules.refusal(reply, world.is_alone(request))
+        code = world.rules.refusal(reply, world.earlier_did_not_run(request))
         if code is not None:
-            world.tell(request, code)
+            world.respond(request, code)
         elif reply.status == 'won':
-            world.open -= {request}
-            world.in_hand |= {request}
+            world.waiting -= {request}
+            world.won |= {request}
         else:
-            world.tell(request, codes.IN_PROGRESS)
+            world.respond(request, codes.IN_PROGRESS)
 
 
-def _ask(world: World, attempt: Try) -> None:
-    if attempt.request not in world.asked:
-        world.asked = (*world.asked, attempt.request)
-        world.open |= {attempt.request}
+def _request_claim(world: World, attempt: Attempt) -> None:
+    if attempt.request not in world.submitted:
+        world.submitted = (*world.submitted, attempt.request)
+        world.waiting |= {attempt.request}
     reply = world.keepers[attempt.keeper].ask(
         NOW,
         messages.AskClaim(
@@ -223,7 +228,7 @@
         _settle(world, [(attempt.request, reply)])
 
 
-def _end_claim(world: World, attempt: Try, code: codes.Code) -> None:
+def _record_outcome(world: World, attempt: Attempt, code: codes.Code) -> None:
     outcome = values.Outcome(
         request=attempt.request,
         code=code.name,
@@ -238,28 +243,34 @@
     world.keepers[attempt.keeper].end(NOW, msg)
 
 
-def _give_up(world: World, attempt: Try) -> None:
-    alone = world.is_alone(attempt.request)
-    world.tell(attempt.request, world.rules.covering(codes.LOG_DOWN, alone))
-    _end_claim(world, attempt, codes.LOG_DOWN)
+def _time_out(world: World, attempt: Attempt) -> None:
+    earlier_did_not_run = world.earlier_did_not_run(attempt.request)
+    world.respond(
+        attempt.request,
+        world.rules.covering(codes.LOG_DOWN, earlier_did_not_run),
+    )
+    _record_outcome(world, attempt, codes.LOG_DOWN)
 
 
-def _refuse(world: World, attempt: Try) -> None:
-    world.in_hand -= {attempt.request}
-    alone = world.is_alone(attempt.request)
-    world.tell(attempt.request, world.rules.covering(codes.NO_BACKEND, alone))
-    _end_claim(world, attempt, codes.NO_BACKEND)
+def _refuse(world: World, attempt: Attempt) -> None:
+    world.won -= {attempt.request}
+    earlier_did_not_run = world.earlier_did_not_run(attempt.request)
+    world.respond(
+        attempt.request,
+        world.rules.covering(codes.NO_BACKEND, earlier_did_not_run),
+    )
+    _record_outcome(world, attempt, codes.NO_BACKEND)
 
 
-def _start(world: World, attempt: Try) -> None:
-    world.in_hand -= {attempt.request}
-    world.starts = (*world.starts, attempt.request)
+def _start(world: World, attempt: Attempt) -> None:
+    world.won -= {attempt.request}
+    world.started = (*world.started, attempt.request)
 
 
-def _end(world: World, attempt: Try) -> None:
-    if attempt.request not in world.ended:
-        world.ended |= {attempt.request}
-        _end_claim(world, attempt, codes.OK)
+def _finish(world: World, attempt: Attempt) -> None:
+    if attempt.request not in world.finished:
+        world.finished |= {attempt.request}
+        _record_outcome(world, attempt, codes.OK)
 
 
 def _append_slowly(world: World, name: str) -> None:
@@ -275,20 +286,20 @@
         world.keepers[name].on_appended(NOW)
 
 
-def _answer(world: World, name: str) -> None:
+def _acknowledge_append(world: World, name: str) -> None:
     world.in_flight[name] = b''
     world.keepers[name].on_appended(NOW)
 
 
-def _lose(world: World, name: str) -> None:
+def _lose_append_reply(world: World, name: str) -> None:
     world.in_flight[name] = b''
-    settled = world.keepers[name].on_append_failed(LONG_PAST, sent=True)
+    settled = world.keepers[name].on_append_failed(FAR_PAST, sent=True)
     _settle(world, settled)
 
 
-def _fail(world: World, name: str) -> None:
+def _fail_append(world: World, name: str) -> None:
     if world.keepers[name].batch(NOW):
-        settled = world.keepers[name].on_append_failed(LONG_PAST, sent=False)
+        settled = world.keepers[name].on_append_failed(FAR_PAST, sent=False)
         _settle(world, settled)
 
 
@@ -296,20 +307,20 @@
     _settle(world, read(world, world.keepers[name]))
 
 
-def _expire(world: World, name: str) -> None:
-    _settle(world, world.keepers[name].expire(MUCH_LATER))
+def _expire_requests(world: World, name: str) -> None:
+    _settle(world, world.keepers[name].expire(FAR_FUTURE))
 
 
 def _restart(world: World, name: str) -> None:
     incarnation = f'{name}{world.failures + 1}'
-    keeper = world.rules.keeper(incarnation, name, stale_s=MUCH_LATER)
+    keeper = world.rules.keeper(incarnation, name, stale_s=FAR_FUTURE)
     world.keepers[name] = keeper
     world.in_flight[name] = b''
 
 
-def _take(world: World, data: bytes) -> None:
+def _append_in_transit(world: World, data: bytes) -> None:
     world.log = (*world.log, data)
 
 
-def _lapse(world: World, _: object) -> None:
-    world.first = len(world.log)
+def _expire_records(world: World, _: object) -> None:
+    world.first_offset = len(world.log)
--- a/tests/search.py
+++ b/tests/search.py
@@ -1,8 +1,9 @@
-"""A small exhaustive search over copies of real decision objects.
+"""An exhaustive state space search over copies of production objects.
 
-A world is a plain class with slots that holds the objects under test, the
-messages under way and what was told to callers. The search visits every world
-that its moves can reach, shortest traces first, and stops at the first fault.
+A world is one state: a class with `__slots__` that holds the objects under
+test, the messages in transit and the responses to callers. The search visits
+every state that the moves can reach, breadth first, and stops at the first
+fault. Breadth first order gives the shortest trace to a fault.
 """
 
 import collections
@@ -16,7 +17,7 @@
 
 import msgspec
 
-_PLAIN = (
+_IMMUTABLE_TYPES = (
     str,
     bytes,
     int,
@@ -28,31 +29,31 @@
     type,
     types.FunctionType,
 )
-# Counters for the metrics; they would make every world a new one.
-_IGNORED = frozenset({'count'})
+# Metric counters are ignored: they would make every state distinct.
+_IGNORED_SLOTS = frozenset({'count'})
 
 W = TypeVar('W')
-# The path before a move, and the move's name; paths share their beginnings.
+# The path before a move, and the move's name. Paths share their prefixes.
 _Path = tuple[()] | tuple['_Path', str]
 
 
 class Move(Generic[W]):
-    """One thing that can happen in a world; `make` changes a copy."""
+    """A state transition; `apply` modifies a copy of the state in place."""
 
-    __slots__ = ('make', 'name')
+    __slots__ = ('apply', 'name')
 
-    def __init__(self, name: str, make: Callable[[W], None]) -> None:
+    def __init__(self, name: str, apply: Callable[[W], None]) -> None:
         self.name = name
-        self.make = make
+        self.apply = apply
 
 
 class Result:
-    """What a search found.
+    """Result of a search.
 
     Attributes:
-        states: Worlds visited.
+        states: Number of states visited.
         trace: Names of the moves to the first fault; empty if there is none.
-        fault: What is wrong there.
+        fault: Description of the fault; empty if there is none.
     """
 
     __slots__ = ('fault', 'states', 'trace')
@@ -69,33 +70,33 @@
         return f'{self.fault}; {self.states} states, trace:\n  {steps}'
 
 
-def _slots(obj: object) -> Iterator[str]:
+def _slot_names(obj: object) -> Iterator[str]:
     for cls in type(obj).__mro__:
         slots = cls.__dict__.get('__slots__', ())
         yield from (slots,) if isinstance(slots, str) else slots
 
 
 def clone(obj: W) -> W:
-    """Returns a deep copy; immutable parts are shared."""
+    """Returns a deep copy that shares immutable parts."""
     return cast(W, _copy(obj))
 
 
 def _copy(obj: object) -> object:
-    if isinstance(obj, _PLAIN):
+    if isinstance(obj, _IMMUTABLE_TYPES):
         return obj
     if isinstance(obj, dict):
         return {key: _copy(value) for key, value in obj.items()}
     if isinstance(obj, list):
         return [_copy(value) for value in obj]
     new: object = object.__new__(type(obj))
-    for name in _slots(obj):
+    for name in _slot_names(obj):
         setattr(new, name, _copy(getattr(obj, name)))
     return new
 
 
 def freeze(obj: object) -> Hashable:
-    """Returns a hashable value that is equal for equal objects."""
-    if isinstance(obj, _PLAIN):
+    """Returns a hashable snapshot; equal objects have equal snapshots."""
+    if isinstance(obj, _IMMUTABLE_TYPES):
         return cast(Hashable, obj)
     if isinstance(obj, dict):
         return tuple((key, freeze(value)) for key, value in obj.items())
@@ -103,8 +104,8 @@
         return tuple(freeze(value) for value in obj)
     return tuple(
         freeze(getattr(obj, name))
-        for name in _slots(obj)
-        if name not in _IGNORED
+        for name in _slot_names(obj)
+        if name not in _IGNORED_SLOTS
     )
 
 
@@ -114,35 +115,36 @@
     fault: Callable[[W], str],
     limit: int = 300_000,
 ) -> Result:
-    """Visits every reachable world, breadth first.
+    """Visits every reachable state, breadth first.
 
     Raises:
-        RuntimeError: More than `limit` states; nothing is proved then.
+        RuntimeError: There are more than `limit` states, so the search is
+            incomplete and proves nothing.
     """
-    # Digests in place of whole states; that two of a million states share 64
-    # bits is less likely than one in ten million.
+    # Stores 64-bit hashes in place of states to save memory. The probability
+    # that two of a million states collide is below one in ten million.
     seen = {hash(freeze(start))}
-    todo: collections.deque[tuple[W, _Path]] = collections.deque()
-    todo.append((start, ()))
-    while todo:
-        world, path = todo.popleft()
+    queue: collections.deque[tuple[W, _Path]] = collections.deque()
+    queue.append((start, ()))
+    while queue:
+        world, path = queue.popleft()
         for move in moves(world):
-            after = clone(world)
-            move.make(after)
-            longer = (path, move.name)
-            found = fault(after)
-            if found:
-                return Result(len(seen), _names(longer), found)
-            key = hash(freeze(after))
+            next_world = clone(world)
+            move.apply(next_world)
+            new_path = (path, move.name)
+            fault_text = fault(next_world)
+            if fault_text:
+                return Result(len(seen), _move_names(new_path), fault_text)
+            key = hash(freeze(next_world))
             if key not in seen:
                 seen.add(key)
-                todo.append((after, longer))
+                queue.append((next_world, new_path))
         if len(seen) > limit:
             raise RuntimeError(f'more than {limit} states')
     return Result(len(seen), (), '')
 
 
-def _names(path: _Path) -> tuple[str, ...]:
+def _move_names(path: _Path) -> tuple[str, ...]:
     names: list[str] = []
     while path:
         path, name = path
--- a/tests/test_claimsearch.py
+++ b/tests/test_claimsearch.py
@@ -1,9 +1,9 @@
-"""A key runs at most once, whatever becomes of the log and its readers.
+"""Tests that a key runs at most once under failures of log and keepers.
 
-The search goes through every state of one key that two VMs claim, with a
-number of failures at any points: appends that are lost, late or doubled,
-keepers that restart, entries that give up, and records that lapse. Each proof
-takes one mechanism out and shows that the search finds what then goes wrong.
+The search visits every state of one key that two VMs claim, with a limited
+number of failures at any points: appends that are lost, late or duplicated,
+keepers that restart, entries that time out, and records that expire. Further
+tests remove one mechanism each and check that the search detects the fault.
 """
 
 import msgspec
@@ -16,12 +16,12 @@
 from tests import claimworld
 from tests import search
 
-_STARTED = 'told "not run" of a request that was started'
-_TWICE = 'started 2 times'
-_THREE_TRIES = (
-    claimworld.Try('r1', 'x'),
-    claimworld.Try('r2', 'y'),
-    claimworld.Try('r3', 'y'),
+_FALSE_NOT_RUN = 'told "not run" of a request that was started'
+_STARTED_TWICE = 'started 2 times'
+_THREE_ATTEMPTS = (
+    claimworld.Attempt('r1', 'x'),
+    claimworld.Attempt('r2', 'y'),
+    claimworld.Attempt('r3', 'y'),
 )
 
 
@@ -29,8 +29,8 @@
     return request, messages.ClaimReply(status='won', request=request)
 
 
-class _RunUnread(claims.Claims):
-    """Runs as soon as the append is answered, without reading it back."""
+class _WinWithoutReadBack(claims.Claims):
+    """Wins a claim without reading its record back from the log."""
 
     __slots__ = ()
 
@@ -44,7 +44,7 @@
 
 
 class RunAfterLostAppend(claims.Claims):
-    """Takes an append without an answer for one that took effect."""
+    """Treats an append without a reply as one that took effect."""
 
     __slots__ = ()
 
@@ -54,8 +54,8 @@
         return [_won(request) for request in waiting] if sent else settled
 
 
-class _NoStart(claims.Claims):
-    """Takes what it never read for what never was."""
+class _IgnoreFirstOffset(claims.Claims):
+    """Treats keys whose records expired unread as unused."""
 
     __slots__ = ()
 
@@ -64,8 +64,8 @@
         self._fold = claimlog.Fold(0)
 
 
-class _FirstComeNoFold(claimlog.Fold):
-    """Takes a key that carries an offset from the future."""
+class _AcceptFutureKeys(claimlog.Fold):
+    """Accepts a key that carries an offset beyond the end of the log."""
 
     __slots__ = ()
 
@@ -75,8 +75,8 @@
         return super().apply(max(offset, item.stamp), record, item)
 
 
-class _ReleaseOfAnother(claimlog.Fold):
-    """Lets a release free the key whoever holds it."""
+class _ReleaseByAnyRequest(claimlog.Fold):
+    """Releases the key even if another request holds it."""
 
     __slots__ = ()
 
@@ -97,36 +97,43 @@
     )
 
 
-def test_no_state_of_a_key_is_false_with_one_failure() -> None:
-    """A summary's caller tries at two VMs while one thing goes wrong.
+def test_no_reachable_state_of_a_key_has_a_fault_with_one_failure() -> None:
+    """A caller sends a request to two VMs while one failure occurs.
 
-    A user would pay for the summary twice, or be told that it did not run and
-    find it on the bill. A search with two failures takes minutes; see
-    docs/design/once.md for its command.
+    A fault would run it twice, or report "not run" though it ran. See
+    docs/design/once.md for the search with two failures, which takes minutes.
     """
     result = _search(claimworld.Rules(failures=1))
     assert not result.fault, str(result)
-    # Fewer would mean that moves are no longer tried.
+    # A lower count means that the search no longer tries some moves.
     assert result.states > 4_000
 
 
 @pytest.mark.parametrize(
     ('rules', 'fault', 'steps'),
     [
-        (claimworld.Rules(keeper=_RunUnread, failures=0), _TWICE, 4),
+        (
+            claimworld.Rules(keeper=_WinWithoutReadBack, failures=0),
+            _STARTED_TWICE,
+            4,
+        ),
         (
             claimworld.Rules(keeper=RunAfterLostAppend, failures=1),
-            _TWICE,
+            _STARTED_TWICE,
             8,
         ),
-        (claimworld.Rules(keeper=_NoStart, failures=1), _TWICE, 10),
-        (claimworld.Rules(covering=_not_run, failures=1), _STARTED, 6),
+        (
+            claimworld.Rules(keeper=_IgnoreFirstOffset, failures=1),
+            _STARTED_TWICE,
+            10,
+        ),
+        (claimworld.Rules(covering=_not_run, failures=1), _FALSE_NOT_RUN, 6),
     ],
 )
-def test_the_search_finds_what_each_mechanism_prevents(
+def test_the_search_detects_a_removed_mechanism(
     rules: claimworld.Rules, fault: str, steps: int
 ) -> None:
-    """One mechanism is missing; a double bill is a few steps away."""
+    """Without one mechanism, few moves lead to a second run or a false reply."""
     result = _search(rules)
     assert result.fault == fault, str(result)
     assert len(result.trace) == steps, str(result)
@@ -136,27 +143,27 @@
     ('fold', 'rules', 'fault', 'steps'),
     [
         (
-            _FirstComeNoFold,
+            _AcceptFutureKeys,
             claimworld.Rules(key='c2.tower', failures=1),
-            _TWICE,
+            _STARTED_TWICE,
             10,
         ),
         (
-            _ReleaseOfAnother,
-            claimworld.Rules(tries=_THREE_TRIES, failures=1),
-            _TWICE,
+            _ReleaseByAnyRequest,
+            claimworld.Rules(attempts=_THREE_ATTEMPTS, failures=1),
+            _STARTED_TWICE,
             10,
         ),
     ],
 )
-def test_the_search_finds_a_fold_that_forgets(
+def test_the_search_detects_an_incorrect_fold(
     fold: type[claimlog.Fold],
     rules: claimworld.Rules,
     fault: str,
     steps: int,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The records are added up by other rules; a double bill is near."""
+    """A fold that violates one rule lets a request run twice."""
     monkeypatch.setattr(claimlog, 'Fold', fold)
     result = _search(rules)
     assert result.fault == fault, str(result)
@@ -164,6 +171,6 @@
 
 
 def test_a_future_key_is_safe_in_every_state() -> None:
-    """A caller forges a key that carries an offset to come."""
+    """A caller forges a key with an offset beyond the end of the log."""
     result = _search(claimworld.Rules(key='c2.tower', failures=1))
     assert not result.fault, str(result)
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -1,4 +1,4 @@
-"""Executors and witnesses at the edges that the search doesn't reach."""
+"""Tests executors and witnesses in cases the state search doesn't cover."""
 
 import hypothesis
 from hypothesis import strategies
@@ -11,17 +11,19 @@
 from foxtaildale import values
 from foxtaildale import witness
 
-_LIFE_S = 10.0
+_LIFETIME_S = 10.0
 
 
-def _executor(limit: int = 100, answer_bytes: int = 100) -> tickets.Executor:
+def _executor(
+    limit: int = 100, max_response_bytes: int = 100
+) -> tickets.Executor:
     executor = tickets.Executor(
         'e',
         '127.0.0.1:1',
         b'secret',
-        _LIFE_S,
+        _LIFETIME_S,
         limit=limit,
-        answer_bytes=answer_bytes,
+        answer_bytes=max_response_bytes,
     )
     executor.on_reading(0.0, 'w', messages.WitnessReply(status='reading'))
     return executor
@@ -44,17 +46,17 @@
     )
 
 
-def _run(
-    executor: tickets.Executor, ticket: messages.Ticket, answer: bytes
+def _admit_and_finish(
+    executor: tickets.Executor, ticket: messages.Ticket, response: bytes
 ) -> None:
     assert isinstance(executor.admit(0.0, ticket, 'c', b''), tickets.SendNote)
     noted = messages.WitnessReply(status='noted')
     run = executor.on_witness(0.0, ticket.identity, noted)
     assert isinstance(run, tickets.Run)
-    assert executor.finish(0.0, ticket.identity, _outcome(), answer)
+    assert executor.finish(0.0, ticket.identity, _outcome(), response)
 
 
-def test_a_ticket_survives_a_header() -> None:
+def test_a_ticket_round_trips_through_a_header() -> None:
     ticket = _ticket(_executor())
     text = tickets.to_text(ticket)
     assert text.isascii()
@@ -64,9 +66,9 @@
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(strategies.text(max_size=300) | strategies.binary().map(str))
 def test_garbage_is_no_ticket(text: str) -> None:
-    """A caller sends anything in the ticket's header.
+    """A caller may send arbitrary text in the ticket header.
 
-    An entry that died of it would take other callers' requests with it.
+    A crash of the entry process would fail other callers' requests too.
     """
     ticket = tickets.from_text(text)
     assert ticket is None or isinstance(ticket, messages.Ticket)
@@ -85,85 +87,88 @@
     ],
 )
 def test_a_forged_ticket_is_refused(change: dict[str, object]) -> None:
-    """A caller changes a ticket to give it a longer life or another witness."""
+    """A caller alters a ticket to extend its lifetime or change its witness."""
     executor = _executor()
     forged = msgspec.structs.replace(_ticket(executor), **change)
     assert executor.check(forged, 'desk') is codes.TICKET_BAD
 
 
 def test_a_ticket_of_another_service_is_refused() -> None:
-    """A caller sends a ticket of one service to another."""
+    """A caller presents the ticket of one service to another service."""
     executor = _executor()
     assert executor.check(_ticket(executor), 'desk') is None
     assert executor.check(_ticket(executor), 'queue') is codes.TICKET_BAD
 
 
 def test_another_vm_checks_the_same_secret() -> None:
-    other = tickets.Executor('x', '127.0.0.1:3', b'secret', _LIFE_S)
+    other = tickets.Executor('x', '127.0.0.1:3', b'secret', _LIFETIME_S)
     assert other.check(_ticket(_executor()), 'desk') is None
 
 
-def test_no_ticket_is_minted_without_a_fresh_reading() -> None:
-    """The witness has been silent for long, or was replaced.
+def test_no_ticket_is_minted_without_a_recent_reading() -> None:
+    """The witness has not replied for a ticket lifetime, or was replaced.
 
-    A ticket with its old reading would be refused by it when it is used.
+    It would refuse a ticket that carries its outdated clock reading.
     """
     executor = _executor()
     assert executor.mint(0.0, 'desk', 'other', '127.0.0.1:2') is None
-    assert executor.mint(_LIFE_S, 'desk', 'w', '127.0.0.1:2') is None
+    assert executor.mint(_LIFETIME_S, 'desk', 'w', '127.0.0.1:2') is None
     stranger = messages.WitnessReply(status='stranger')
     executor.on_reading(0.0, 'w', stranger)
     assert executor.mint(0.0, 'desk', 'w', '127.0.0.1:2') is None
 
 
-def test_a_late_ticket_did_not_run_and_a_forgotten_one_is_unknown() -> None:
-    """A caller keeps a ticket for too long, used or unused.
+def test_an_expired_ticket_did_not_run_and_an_evicted_one_is_unknown() -> None:
+    """A caller presents an expired ticket, used or unused.
 
-    While the executor remembers, it can still say that it did not run; after
-    that it must not.
+    The executor may report "not run" only while it retains the ticket's
+    entry; after that the outcome is unknown.
     """
     executor = _executor()
     ticket = _ticket(executor)
-    late = executor.admit(_LIFE_S + 1, ticket, 'c', b'')
+    late = executor.admit(_LIFETIME_S + 1, ticket, 'c', b'')
     assert late == tickets.Refuse(codes.TICKET_OLD)
     used = _ticket(executor)
-    _run(executor, used, b'')
-    forgotten = executor.admit(2 * _LIFE_S + 1, used, 'c', b'')
-    assert forgotten == tickets.Refuse(codes.UNKNOWN)
+    _admit_and_finish(executor, used, b'')
+    after_eviction = executor.admit(2 * _LIFETIME_S + 1, used, 'c', b'')
+    assert after_eviction == tickets.Refuse(codes.UNKNOWN)
 
 
-def test_a_full_executor_never_runs_what_it_may_have_forgotten() -> None:
-    """More check-ins arrive than an executor can remember."""
+def test_a_full_executor_never_runs_a_ticket_it_may_have_evicted() -> None:
+    """More requests arrive than the executor can retain entries for."""
     executor = _executor(limit=2)
     used = [_ticket(executor, now=0.001 * n) for n in range(3)]
     for ticket in used:
-        _run(executor, ticket, b'')
-    again = executor.admit(0.0, used[0], 'c', b'')
-    assert again == tickets.Refuse(codes.UNKNOWN)
-    known = executor.admit(0.0, used[2], 'c', b'')
-    assert known == tickets.Known(_outcome())
+        _admit_and_finish(executor, ticket, b'')
+    second_reply = executor.admit(0.0, used[0], 'c', b'')
+    assert second_reply == tickets.Refuse(codes.UNKNOWN)
+    latest_reply = executor.admit(0.0, used[2], 'c', b'')
+    assert latest_reply == tickets.Known(_outcome())
 
 
-def test_answers_share_a_bounded_room() -> None:
-    """Long answers would fill the memory; then only outcomes are kept."""
-    executor = _executor(answer_bytes=10)
+def test_retained_responses_share_a_memory_limit() -> None:
+    """Beyond the limit for response bytes, only outcomes are retained.
+
+    Long responses would otherwise exhaust the memory.
+    """
+    executor = _executor(max_response_bytes=10)
     first = _ticket(executor)
     second = _ticket(executor)
-    _run(executor, first, b'12345678')
-    _run(executor, second, b'12345678')
-    kept = executor.admit(0.0, first, 'c', b'')
-    assert kept == tickets.Known(_outcome(), b'12345678')
-    dropped = executor.admit(0.0, second, 'c', b'')
-    assert dropped == tickets.Known(_outcome())
-    executor.expire(2 * _LIFE_S + 1)
+    _admit_and_finish(executor, first, b'12345678')
+    _admit_and_finish(executor, second, b'12345678')
+    retained = executor.admit(0.0, first, 'c', b'')
+    assert retained == tickets.Known(_outcome(), b'12345678')
+    evicted = executor.admit(0.0, second, 'c', b'')
+    assert evicted == tickets.Known(_outcome())
+    executor.expire(2 * _LIFETIME_S + 1)
     assert executor.dump()['answer_bytes'] == 0
 
 
-def test_a_full_witness_calls_old_what_it_may_have_forgotten() -> None:
-    """More identities are voided than a witness can remember.
+def test_a_full_witness_reports_identities_it_may_have_evicted_as_old() -> None:
+    """More identities are voided than the witness can retain.
 
-    If it took a forgotten void for a new identity, the late note of the
-    executor would start a request that was called "not run".
+    If it treated an evicted void as a new identity, a late note of the
+    executor would start a request that was reported as "not run".
     """
     keeper = witness.Witness('w', remember_s=100.0, limit=2)
     for n in range(3):
@@ -176,8 +181,8 @@
     assert keeper.note(3.0, note).status == 'old'
 
 
-def test_a_stranger_notes_nothing() -> None:
-    """A keeper restarts at the address of the one that a ticket names."""
+def test_a_replaced_witness_records_no_note() -> None:
+    """A new witness runs at the address of the one that the ticket names."""
     keeper = witness.Witness('w2')
     note = messages.Note(identity='i', witness='w', body='b', witness_at=0.0)
     assert keeper.note(0.0, note).status == 'stranger'
@@ -186,8 +191,8 @@
     assert verdict.code is codes.UNKNOWN
 
 
-def test_a_told_answer_reaches_who_asks_the_witness() -> None:
-    """The executor dies after the run; the caller asks at another VM."""
+def test_the_witness_returns_a_response_that_the_executor_reported() -> None:
+    """The executor crashes after the run; the caller retries at another VM."""
     executor = _executor()
     keeper = witness.Witness('w')
     ticket = _ticket(executor)
@@ -206,10 +211,13 @@
     assert tickets.verdict(keeper.void(0.0, other)).code is codes.OTHER_BODY
 
 
-def test_an_identity_forgotten_before_its_note_is_answered_never_runs() -> None:
-    """So many check-ins arrive that one is forgotten while its note is out.
+def test_an_identity_evicted_before_its_note_is_acknowledged_never_runs() -> (
+    None
+):
+    """An entry is evicted under load while its note awaits the reply.
 
-    The executor no longer knows whether it started it, so it must not.
+    The executor no longer knows whether it started the request, so it must
+    not start it.
     """
     executor = _executor(limit=1)
     first = _ticket(executor)
--- a/tests/test_ticketsearch.py
+++ b/tests/test_ticketsearch.py
@@ -1,9 +1,9 @@
-"""Tickets run at most once, whatever comes late, twice or never.
+"""Tests that a ticket runs at most once under message loss and crashes.
 
-The search goes through every state of one ticket that asks, voids, notes and
-replies can reach while executor and witness die and their clocks drift or
-stand still. Each proof takes one mechanism out and shows that the search finds
-what then goes wrong.
+The search visits every state of one ticket that requests, voids, notes and
+replies can reach while the executor and the witness crash and their clocks
+drift or stand still. Further tests remove one mechanism each and check that
+the search detects the resulting fault.
 """
 
 import msgspec
@@ -16,13 +16,13 @@
 from tests import search
 from tests import ticketworld
 
-_STARTED = 'told "not run" of a request that was started'
-_TWICE = 'started 2 times'
-_CROSSED = 'told the answer of another request'
+_FALSE_NOT_RUN = 'told "not run" of a request that was started'
+_STARTED_TWICE = 'started 2 times'
+_WRONG_RESPONSE = 'told the answer of another request'
 
 
 class StartWithoutNote(tickets.Executor):
-    """Starts without hearing from the witness."""
+    """Starts a request whatever the witness replies, or without a reply."""
 
     __slots__ = ()
 
@@ -33,8 +33,8 @@
         return super().on_witness(now, identity, noted)
 
 
-class _TakeEveryReply(tickets.Executor):
-    """Starts for each "noted", also when it decided before."""
+class _StartOnEveryReply(tickets.Executor):
+    """Starts a request for each "noted" reply, even after its decision."""
 
     __slots__ = ()
 
@@ -47,7 +47,7 @@
 
 
 class _NoFloor(tickets.Executor):
-    """Takes what it forgot for what it never knew."""
+    """Treats tickets with evicted entries as new tickets."""
 
     __slots__ = ()
 
@@ -56,8 +56,8 @@
         self._entries.floor = float('-inf')
 
 
-class _ForgetfulWitness(witness.Witness):
-    """Notes whatever it doesn't know, however old."""
+class _NoAgeLimitWitness(witness.Witness):
+    """Accepts notes for unknown identities of any age."""
 
     __slots__ = ()
 
@@ -66,7 +66,7 @@
 
 
 class _ArrivalWitness(witness.Witness):
-    """Counts lives from when it first hears of an identity."""
+    """Measures the age of an identity from the arrival of its note."""
 
     __slots__ = ()
 
@@ -85,13 +85,13 @@
 
 
 _START_WITHOUT_NOTE = ticketworld.Rules(executor_type=StartWithoutNote)
-_TAKE_EVERY_REPLY = ticketworld.Rules(executor_type=_TakeEveryReply)
+_START_ON_EVERY_REPLY = ticketworld.Rules(executor_type=_StartOnEveryReply)
 _NO_FLOOR = ticketworld.Rules(executor_type=_NoFloor)
-_FORGETFUL_WITNESS = ticketworld.Rules(witness_type=_ForgetfulWitness)
+_NO_AGE_LIMIT_WITNESS = ticketworld.Rules(witness_type=_NoAgeLimitWitness)
 _ARRIVAL_WITNESS = ticketworld.Rules(witness_type=_ArrivalWitness)
-_LOOSE_VERDICT = ticketworld.Rules(verdict=_unknown_is_not_run)
-_SAME_EXECUTOR = ticketworld.Rules(fresh_executor=False)
-_SAME_WITNESS = ticketworld.Rules(fresh_witness=False)
+_UNKNOWN_IS_NOT_RUN = ticketworld.Rules(verdict=_unknown_is_not_run)
+_REUSED_EXECUTOR_NAME = ticketworld.Rules(new_executor_name=False)
+_REUSED_WITNESS_NAME = ticketworld.Rules(new_witness_name=False)
 
 
 def _search(rules: ticketworld.Rules) -> search.Result:
@@ -100,35 +100,35 @@
     )
 
 
-def test_no_state_of_a_ticket_is_false() -> None:
-    """A check-in's messages are lost, doubled and late while processes die.
+def test_no_reachable_state_of_a_ticket_has_a_fault() -> None:
+    """Messages are lost, duplicated and delayed while processes crash.
 
-    A user would see a check-in logged twice, or repeat one that was called
-    "not run" and is in the roster all the same.
+    A fault would run a request twice, or make a caller repeat one that was
+    reported as "not run" although it ran.
     """
     result = _search(ticketworld.Rules())
     assert not result.fault, str(result)
-    # Fewer would mean that moves are no longer tried.
+    # A lower count means that the search no longer tries some moves.
     assert result.states > 5_000
 
 
 @pytest.mark.parametrize(
     ('rules', 'fault', 'steps'),
     [
-        (_START_WITHOUT_NOTE, _STARTED, 4),
-        (_TAKE_EVERY_REPLY, _STARTED, 5),
-        (_NO_FLOOR, _STARTED, 7),
-        (_FORGETFUL_WITNESS, _STARTED, 6),
-        (_ARRIVAL_WITNESS, _STARTED, 6),
-        (_LOOSE_VERDICT, _STARTED, 5),
-        (_SAME_EXECUTOR, _STARTED, 7),
-        (_SAME_WITNESS, _STARTED, 6),
+        (_START_WITHOUT_NOTE, _FALSE_NOT_RUN, 4),
+        (_START_ON_EVERY_REPLY, _FALSE_NOT_RUN, 5),
+        (_NO_FLOOR, _FALSE_NOT_RUN, 7),
+        (_NO_AGE_LIMIT_WITNESS, _FALSE_NOT_RUN, 6),
+        (_ARRIVAL_WITNESS, _FALSE_NOT_RUN, 6),
+        (_UNKNOWN_IS_NOT_RUN, _FALSE_NOT_RUN, 5),
+        (_REUSED_EXECUTOR_NAME, _FALSE_NOT_RUN, 7),
+        (_REUSED_WITNESS_NAME, _FALSE_NOT_RUN, 6),
     ],
 )
-def test_the_search_finds_what_each_mechanism_prevents(
+def test_the_search_detects_a_removed_mechanism(
     rules: ticketworld.Rules, fault: str, steps: int
 ) -> None:
-    """One mechanism is missing; a false answer is a few steps away."""
+    """Without one mechanism, a caller gets a false response after few moves."""
     result = _search(rules)
     assert result.fault == fault, str(result)
     assert len(result.trace) == steps, str(result)
@@ -136,31 +136,32 @@
 
 @pytest.mark.parametrize(
     ('rules', 'steps'),
-    [(_TAKE_EVERY_REPLY, 6), (_SAME_EXECUTOR, 8)],
+    [(_START_ON_EVERY_REPLY, 6), (_REUSED_EXECUTOR_NAME, 8)],
 )
-def test_the_search_finds_a_second_start(
+def test_the_search_detects_a_second_start(
     rules: ticketworld.Rules, steps: int
 ) -> None:
-    """A reply counts twice, or a restart keeps its name; two trucks go out."""
+    """A repeated reply or a reused executor name starts a request twice."""
     result = search.search(
         ticketworld.World(rules), ticketworld.moves, _second_start
     )
-    assert result.fault == _TWICE, str(result)
+    assert result.fault == _STARTED_TWICE, str(result)
     assert len(result.trace) == steps, str(result)
 
 
 def _second_start(world: ticketworld.World) -> str:
-    return _TWICE if len(world.starts) > 1 else ''
+    return _STARTED_TWICE if len(world.started) > 1 else ''
 
 
-def test_the_search_finds_an_unbound_body(
+def test_the_search_detects_an_unbound_body(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A caller uses one ticket for two different check-ins.
+    """A caller uses one ticket for two requests with different bodies.
 
-    Without the binding the second is answered with the first one's answer.
+    If the ticket isn't bound to a body, the second request gets the response
+    to the first.
     """
     monkeypatch.setattr(tickets, 'digest', lambda call, body: 'same')
     result = _search(ticketworld.Rules())
-    assert result.fault == _CROSSED, str(result)
+    assert result.fault == _WRONG_RESPONSE, str(result)
     assert len(result.trace) == 6, str(result)
--- a/tests/ticketworld.py
+++ b/tests/ticketworld.py
@@ -1,8 +1,9 @@
-"""The world of one ticket, for the exhaustive search.
+"""The state space of one ticket, for the exhaustive search.
 
-A message once sent stays under way: it may arrive now, later, again or never,
-so loss, doubling, delay and reordering need no moves of their own. Executor
-and witness have clocks of their own that any move may advance, or not.
+A sent message stays in transit: it may arrive now, later, again or never, so
+loss, duplication, delay and reordering need no separate moves. The executor
+and the witness have separate clocks that advance independently of each other
+and of all other moves.
 """
 
 from collections.abc import Callable
@@ -18,39 +19,41 @@
 from foxtaildale import witness
 from tests import search
 
-LIFE_S = 10.0
-REMEMBER_S = 20.0
-# Readings that the clocks can show: fresh, past the life, past every memory.
-EXECUTOR_TIMES = (0.0, LIFE_S + 1, 2 * LIFE_S + 1)
-WITNESS_TIMES = (0.0, REMEMBER_S + 1)
+TICKET_LIFETIME_S = 10.0
+RETENTION_S = 20.0
+# Clock readings: at the start, after the ticket's lifetime, and after every
+# retention period.
+EXECUTOR_TIMES = (0.0, TICKET_LIFETIME_S + 1, 2 * TICKET_LIFETIME_S + 1)
+WITNESS_TIMES = (0.0, RETENTION_S + 1)
 BODIES = (b'a', b'b')
 CALL = 'log'
 
 
-class Told(msgspec.Struct, frozen=True):
-    """What a caller was told of the request with `body`."""
+class CallerResponse(msgspec.Struct, frozen=True):
+    """What the response to a caller says about the request with `body`."""
 
     body: bytes
     ran: str
-    # The run that the answer belongs to; empty if it is no answer.
+    # Body of the run that produced the response; empty if the response
+    # carries no result.
     answer: bytes = b''
 
 
 class Rules(msgspec.Struct, frozen=True):
-    """Which objects and which rules a world uses; proofs take some out."""
+    """The classes and rules that a world uses; tests replace some of them."""
 
     executor_type: type[tickets.Executor] = tickets.Executor
     witness_type: type[witness.Witness] = witness.Witness
     verdict: Callable[[messages.WitnessReply | None], tickets.Verdict] = (
         tickets.verdict
     )
-    # Whether a restart makes a new incarnation.
-    fresh_executor: bool = True
-    fresh_witness: bool = True
+    # Whether a restarted process gets a new name, as a new incarnation does.
+    new_executor_name: bool = True
+    new_witness_name: bool = True
 
 
 def outcome(code: codes.Code) -> values.Outcome:
-    """Returns an outcome as an entry would make it."""
+    """Returns an outcome in the form in which an entry records it."""
     return values.Outcome(
         request='r',
         code=code.name,
@@ -62,20 +65,20 @@
 
 
 class World:
-    """One ticket, its executor and witness, and everybody who asks."""
+    """State of one ticket, its executor, its witness and its callers."""
 
     __slots__ = (
         'executor',
         'executor_at',
-        'in_hand',
         'incarnation',
-        'net',
+        'in_transit',
+        'ready_to_send',
+        'responses',
         'rules',
         'running',
-        'starts',
+        'started',
         'ticket',
-        'told',
-        'used',
+        'ticket_used',
         'witness',
         'witness_at',
         'witness_name',
@@ -87,112 +90,114 @@
         self.witness_at = 0.0
         self.incarnation = 'e'
         self.witness_name = 'w'
-        self.executor = rules.executor_type('e', 'e:1', b'secret', LIFE_S)
-        self.witness = rules.witness_type('w', REMEMBER_S)
+        self.executor = rules.executor_type(
+            'e', 'e:1', b'secret', TICKET_LIFETIME_S
+        )
+        self.witness = rules.witness_type('w', RETENTION_S)
         reading = self.witness.read(0.0, messages.AskReading(witness='w'))
         self.executor.on_reading(0.0, 'w', reading)
         ticket = self.executor.mint(0.0, 'desk', 'w', 'w:1')
         assert ticket is not None
         self.ticket = ticket
-        # Messages to the witness, and its replies to the executor's note.
-        self.net: frozenset[
+        # Messages to the witness, and the witness's replies to the executor.
+        self.in_transit: frozenset[
             messages.Note | messages.Tell | messages.WitnessReply
         ] = frozenset()
-        # Bodies that the executor has the right to send, but did not yet.
-        self.in_hand: tuple[bytes, ...] = ()
-        # Bodies sent to the backend server, and one that runs there now.
-        self.starts: tuple[bytes, ...] = ()
+        # Bodies that the executor is permitted to send, but has not sent.
+        self.ready_to_send: tuple[bytes, ...] = ()
+        # Bodies sent to the backend server, and the one that runs there now.
+        self.started: tuple[bytes, ...] = ()
         self.running = b''
-        self.told: frozenset[Told] = frozenset()
-        # Whether anybody asked yet.
-        self.used = False
+        self.responses: frozenset[CallerResponse] = frozenset()
+        # Whether a caller has used the ticket.
+        self.ticket_used = False
 
-    def tell(
+    def respond(
         self,
         body: bytes,
         code: codes.Code,
         result: values.Outcome | None = None,
         answer: bytes = b'',
     ) -> None:
-        """Answers the caller of `body`."""
+        """Records the response to the caller of `body`."""
         ran = codes.ran(result.code) if result else code.ran
         if ran == 'unknown':
-            # It can't be false, and would only multiply the states.
+            # "unknown" can't be false; recording it would only add states.
             return
-        told = Told(body, ran, answer if ran == 'yes' else b'')
-        self.told |= {told}
+        response = CallerResponse(body, ran, answer if ran == 'yes' else b'')
+        self.responses |= {response}
 
 
 def moves(world: World) -> Iterator[search.Move[World]]:
-    """Yields everything that can happen next."""
-    # The bodies are alike, so that `a` is always the first to be used.
-    for body in BODIES if world.used else BODIES[:1]:
-        yield _move('ask executor', _ask, body)
+    """Yields every move that is possible in `world`."""
+    # The bodies are interchangeable, so `a` is always used first.
+    for body in BODIES if world.ticket_used else BODIES[:1]:
+        yield _move('request to the executor', _admit, body)
         yield _move('void', _void, body)
-    for msg in sorted(world.net, key=repr):
+    for msg in sorted(world.in_transit, key=repr):
         yield _move('deliver', _deliver, msg)
     yield _move('no reply to the note', _no_reply, b'')
-    if world.in_hand:
-        yield _move('send to the backend server', _send, b'')
+    if world.ready_to_send:
+        yield _move('send to the backend server', _send_request, b'')
     if world.running:
-        yield _move('the run ends', _end, b'')
-        yield _move('the run breaks off', _break_off, b'')
+        yield _move('the run completes', _complete_run, b'')
+        yield _move('the run fails', _fail_run, b'')
     if world.incarnation in ('e', 'e0'):
-        yield _move('executor dies', _restart_executor, b'')
+        yield _move('executor crashes', _restart_executor, b'')
     if world.witness_name in ('w', 'w0'):
-        yield _move('witness dies', _restart_witness, b'')
+        yield _move('witness crashes', _restart_witness, b'')
     if world.executor_at < EXECUTOR_TIMES[-1]:
-        yield _move('executor clock', _advance_executor, b'')
+        yield _move('advance executor clock', _advance_executor, b'')
     if world.witness_at < WITNESS_TIMES[-1]:
-        yield _move('witness clock', _advance_witness, b'')
+        yield _move('advance witness clock', _advance_witness, b'')
 
 
 def fault(world: World) -> str:
-    """Returns what must never be; empty if all is well."""
-    if len(world.starts) > 1:
+    """Returns the invariant that `world` violates; empty if there is none."""
+    if len(world.started) > 1:
         return f'started {len(world.starts)} times'
-    for told in world.told:
-        if told.ran == 'no' and told.body in world.starts:
+    for response in world.responses:
+        if response.ran == 'no' and response.body in world.started:
             return 'told "not run" of a request that was started'
-        if told.answer and told.answer != told.body:
+        if response.answer and response.answer != response.body:
             return 'told the answer of another request'
-        if told.ran == 'yes' and told.body not in world.starts:
+        if response.ran == 'yes' and response.body not in world.started:
             return 'told that a request ran which was not started'
     return ''
 
 
 def _move(
-    name: str, make: Callable[..., None], arg: object
+    name: str, change: Callable[..., None], arg: object
 ) -> search.Move[World]:
     label = f'{name} {arg!r}' if arg else name
-    return search.Move(label, functools.partial(_call, make, arg))
+    return search.Move(label, functools.partial(_apply, change, arg))
 
 
-def _call(make: Callable[..., None], arg: object, world: World) -> None:
-    make(world, arg)
+def _apply(change: Callable[..., None], arg: object, world: World) -> None:
+    change(world, arg)
 
 
-def _ask(world: World, body: bytes) -> None:
-    world.used = True
+def _admit(world: World, body: bytes) -> None:
+    world.ticket_used = True
     admission = world.executor.admit(
         world.executor_at, world.ticket, CALL, body
     )
     match admission:
         case tickets.SendNote(note=note):
-            world.net |= {note}
+            world.in_transit |= {note}
         case tickets.Known(outcome=result, answer=answer):
-            world.tell(body, codes.DONE_BEFORE, result, answer)
+            world.respond(body, codes.DONE_BEFORE, result, answer)
         case tickets.Refuse(code=code):
-            world.tell(body, code)
+            world.respond(body, code)
 
 
 def _void(world: World, body: bytes) -> None:
-    world.used = True
+    world.ticket_used = True
     reply = world.witness.void(
         world.witness_at, tickets.void(world.ticket, CALL, body)
     )
     verdict = world.rules.verdict(reply)
-    world.tell(body, verdict.code, verdict.outcome, verdict.answer)
+    world.respond(body, verdict.code, verdict.outcome, verdict.answer)
 
 
 def _deliver(
@@ -201,86 +206,91 @@
 ) -> None:
     match msg:
         case messages.Note():
-            world.net |= {world.witness.note(world.witness_at, msg)}
+            world.in_transit |= {world.witness.note(world.witness_at, msg)}
         case messages.Tell():
             world.witness.tell(world.witness_at, msg)
         case messages.WitnessReply():
-            _reply(world, msg)
+            _handle_reply(world, msg)
 
 
 def _no_reply(world: World, _: object) -> None:
-    _reply(world, None)
+    _handle_reply(world, None)
 
 
-def _reply(world: World, reply: messages.WitnessReply | None) -> None:
+def _handle_reply(world: World, reply: messages.WitnessReply | None) -> None:
     identity = world.ticket.identity
-    decided = world.executor.on_witness(world.executor_at, identity, reply)
-    match decided:
+    decision = world.executor.on_witness(world.executor_at, identity, reply)
+    match decision:
         case tickets.Run():
-            world.in_hand = (*world.in_hand, _noted_body(world))
+            world.ready_to_send = (*world.ready_to_send, _noted_body(world))
         case tickets.GiveUp(code=code) if code is not codes.UNKNOWN:
-            _finish(world, _noted_body(world), outcome(code), b'')
+            _finish_run(world, _noted_body(world), outcome(code), b'')
 
 
 def _noted_body(world: World) -> bytes:
-    """Returns the body that this incarnation sent its note for."""
-    noted = {msg.body for msg in world.net if isinstance(msg, messages.Note)}
+    """Returns the body that the executor's note was sent for."""
+    noted = {
+        msg.body for msg in world.in_transit if isinstance(msg, messages.Note)
+    }
     for body in BODIES:
         if tickets.digest(CALL, body) in noted:
             return body
-    raise AssertionError('a reply without a note')
+    raise AssertionError('the witness replied although no note was sent')
 
 
-def _send(world: World, _: object) -> None:
-    body, *rest = world.in_hand
-    world.in_hand = tuple(rest)
-    world.starts = (*world.starts, body)
+def _send_request(world: World, _: object) -> None:
+    body, *rest = world.ready_to_send
+    world.ready_to_send = tuple(rest)
+    world.started = (*world.started, body)
     world.running = body
 
 
-def _end(world: World, _: object) -> None:
+def _complete_run(world: World, _: object) -> None:
     body, world.running = world.running, b''
-    _finish(world, body, outcome(codes.OK), body)
+    _finish_run(world, body, outcome(codes.OK), body)
 
 
-def _break_off(world: World, _: object) -> None:
+def _fail_run(world: World, _: object) -> None:
     body, world.running = world.running, b''
-    _finish(world, body, outcome(codes.FAILED), b'')
+    _finish_run(world, body, outcome(codes.FAILED), b'')
 
 
-def _finish(
+def _finish_run(
     world: World, body: bytes, result: values.Outcome, answer: bytes
 ) -> None:
-    world.tell(body, codes.OK, result, answer)
+    world.respond(body, codes.OK, result, answer)
     tell = world.executor.finish(
         world.executor_at, world.ticket.identity, result, answer
     )
     if tell:
-        world.net |= {tell}
+        world.in_transit |= {tell}
 
 
 def _restart_executor(world: World, _: object) -> None:
     world.incarnation = 'e2'
-    name = 'e2' if world.rules.fresh_executor else 'e'
-    world.executor = world.rules.executor_type(name, 'e:1', b'secret', LIFE_S)
-    # What it had in hand died with it; a run at the backend server goes on.
-    world.in_hand = ()
+    name = 'e2' if world.rules.new_executor_name else 'e'
+    world.executor = world.rules.executor_type(
+        name, 'e:1', b'secret', TICKET_LIFETIME_S
+    )
+    # Requests that were not sent are lost; the backend server continues a
+    # run, but its response is lost.
+    world.ready_to_send = ()
     world.running = b''
 
 
 def _restart_witness(world: World, _: object) -> None:
     world.witness_name = 'w2'
-    name = 'w2' if world.rules.fresh_witness else 'w'
-    world.witness = world.rules.witness_type(name, REMEMBER_S)
+    name = 'w2' if world.rules.new_witness_name else 'w'
+    world.witness = world.rules.witness_type(name, RETENTION_S)
 
 
 def _advance_executor(world: World, _: object) -> None:
-    world.executor_at = _next(EXECUTOR_TIMES, world.executor_at)
+    world.executor_at = _next_time(EXECUTOR_TIMES, world.executor_at)
 
 
 def _advance_witness(world: World, _: object) -> None:
-    world.witness_at = _next(WITNESS_TIMES, world.witness_at)
+    world.witness_at = _next_time(WITNESS_TIMES, world.witness_at)
 
 
-def _next(times: tuple[float, ...], now: float) -> float:
+def _next_time(times: tuple[float, ...], now: float) -> float:
     return times[times.index(now) + 1]
