--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -163,7 +163,7 @@
     A "not run" response covers its own attempt and all earlier attempts.
     """
     if len(world.started) > 1:
-        return f'started {len(world.starts)} times'
+        return f'started {len(world.started)} times'
     for start in world.started:
         later = world.submitted[world.submitted.index(start) :]
         if world.reported_not_run.intersection(later):
--- a/tests/test_claimsearch.py
+++ b/tests/test_claimsearch.py
@@ -29,7 +29,7 @@
     return request, messages.ClaimReply(status='won', request=request)
 
 
-class _WinWithoutReadBack(claims.Claims):
+class _RunUnread(claims.Claims):
     """Wins a claim without reading its record back from the log."""
 
     __slots__ = ()
@@ -113,7 +113,7 @@
     ('rules', 'fault', 'steps'),
     [
         (
-            claimworld.Rules(keeper=_WinWithoutReadBack, failures=0),
+            claimworld.Rules(keeper=_RunUnread, failures=0),
             _STARTED_TWICE,
             4,
         ),
--- a/tests/test_ticketsearch.py
+++ b/tests/test_ticketsearch.py
@@ -33,7 +33,7 @@
         return super().on_witness(now, identity, noted)
 
 
-class _StartOnEveryReply(tickets.Executor):
+class _TakeEveryReply(tickets.Executor):
     """Starts a request for each "noted" reply, even after its decision."""
 
     __slots__ = ()
@@ -56,7 +56,7 @@
         self._entries.floor = float('-inf')
 
 
-class _NoAgeLimitWitness(witness.Witness):
+class _ForgetfulWitness(witness.Witness):
     """Accepts notes for unknown identities of any age."""
 
     __slots__ = ()
@@ -85,9 +85,9 @@
 
 
 _START_WITHOUT_NOTE = ticketworld.Rules(executor_type=StartWithoutNote)
-_START_ON_EVERY_REPLY = ticketworld.Rules(executor_type=_StartOnEveryReply)
+_START_ON_EVERY_REPLY = ticketworld.Rules(executor_type=_TakeEveryReply)
 _NO_FLOOR = ticketworld.Rules(executor_type=_NoFloor)
-_NO_AGE_LIMIT_WITNESS = ticketworld.Rules(witness_type=_NoAgeLimitWitness)
+_NO_AGE_LIMIT_WITNESS = ticketworld.Rules(witness_type=_ForgetfulWitness)
 _ARRIVAL_WITNESS = ticketworld.Rules(witness_type=_ArrivalWitness)
 _UNKNOWN_IS_NOT_RUN = ticketworld.Rules(verdict=_unknown_is_not_run)
 _REUSED_EXECUTOR_NAME = ticketworld.Rules(new_executor_name=False)
--- a/tests/ticketworld.py
+++ b/tests/ticketworld.py
@@ -70,8 +70,8 @@
     __slots__ = (
         'executor',
         'executor_at',
-        'incarnation',
         'in_transit',
+        'incarnation',
         'ready_to_send',
         'responses',
         'rules',
@@ -155,7 +155,7 @@
 def fault(world: World) -> str:
     """Returns the invariant that `world` violates; empty if there is none."""
     if len(world.started) > 1:
-        return f'started {len(world.starts)} times'
+        return f'started {len(world.started)} times'
     for response in world.responses:
         if response.ran == 'no' and response.body in world.started:
             return 'told "not run" of a request that was started'
