--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -88,6 +88,7 @@
         self.submitted: tuple[str, ...] = ()
         # Attempts whose entry still waits for its keeper.
         self.waiting: frozenset[str] = frozenset()
+        # Attempts that won the claim, but were not started.
         self.won: frozenset[str] = frozenset()
         self.started: tuple[str, ...] = ()
         self.finished: frozenset[str] = frozenset()
@@ -120,7 +121,7 @@
 
 def moves(world: World) -> Iterator[search.Move[World]]:
     """Yields every move that is possible in `world`."""
-    # The VMs are interchangeable, so attempts are sent in a fixed order.
+    # The VMs are interchangeable, so only the first attempt can be sent first.
     for attempt in world.rules.attempts[: len(world.submitted) + 1]:
         yield _move('request', _request_claim, attempt)
         if attempt.request in world.won:
@@ -244,20 +245,20 @@
 
 
 def _time_out(world: World, attempt: Attempt) -> None:
-    earlier_did_not_run = world.earlier_did_not_run(attempt.request)
+    first_attempt = world.earlier_did_not_run(attempt.request)
     world.respond(
         attempt.request,
-        world.rules.covering(codes.LOG_DOWN, earlier_did_not_run),
+        world.rules.covering(codes.LOG_DOWN, first_attempt),
     )
     _record_outcome(world, attempt, codes.LOG_DOWN)
 
 
 def _refuse(world: World, attempt: Attempt) -> None:
     world.won -= {attempt.request}
-    earlier_did_not_run = world.earlier_did_not_run(attempt.request)
+    first_attempt = world.earlier_did_not_run(attempt.request)
     world.respond(
         attempt.request,
-        world.rules.covering(codes.NO_BACKEND, earlier_did_not_run),
+        world.rules.covering(codes.NO_BACKEND, first_attempt),
     )
     _record_outcome(world, attempt, codes.NO_BACKEND)
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -247,9 +247,9 @@
     keeper.end(0.0, _claim_end('r1', codes.UNKNOWN))
     fakelog.step(log, keeper, 1.0)
     question = messages.AskOutcome(service='reader', key='c0.k')
-    outcome = keeper.outcome(question)
-    assert isinstance(outcome, values.Outcome)
-    assert outcome.code == 'outcome-unknown'
+    closed = keeper.outcome(question)
+    assert isinstance(closed, values.Outcome)
+    assert closed.code == 'outcome-unknown'
     # The entry was only unreachable; the outcome that it reports replaces
     # "unknown".
     keeper.end(2.0, _claim_end('r1'))
--- a/tests/ticketworld.py
+++ b/tests/ticketworld.py
@@ -34,9 +34,9 @@
 
     body: bytes
     ran: str
-    # Body of the run that produced the response; empty if the response
-    # carries no result.
-    answer: bytes = b''
+    # Content of the response: the body of the run that produced it. Empty if
+    # the response carries no result.
+    content: bytes = b''
 
 
 class Rules(msgspec.Struct, frozen=True):
@@ -117,20 +117,20 @@
         body: bytes,
         code: codes.Code,
         result: values.Outcome | None = None,
-        answer: bytes = b'',
+        content: bytes = b'',
     ) -> None:
         """Records the response to the caller of `body`."""
         ran = codes.ran(result.code) if result else code.ran
         if ran == 'unknown':
             # "unknown" can't be false; recording it would only add states.
             return
-        response = CallerResponse(body, ran, answer if ran == 'yes' else b'')
+        response = CallerResponse(body, ran, content if ran == 'yes' else b'')
         self.responses |= {response}
 
 
 def moves(world: World) -> Iterator[search.Move[World]]:
     """Yields every move that is possible in `world`."""
-    # The bodies are interchangeable, so `a` is always used first.
+    # The bodies are interchangeable, so only `a` can be used first.
     for body in BODIES if world.ticket_used else BODIES[:1]:
         yield _move('request to the executor', _admit, body)
         yield _move('void', _void, body)
@@ -159,7 +159,7 @@
     for response in world.responses:
         if response.ran == 'no' and response.body in world.started:
             return 'told "not run" of a request that was started'
-        if response.answer and response.answer != response.body:
+        if response.content and response.content != response.body:
             return 'told the answer of another request'
         if response.ran == 'yes' and response.body not in world.started:
             return 'told that a request ran which was not started'
@@ -185,8 +185,8 @@
     match admission:
         case tickets.SendNote(note=note):
             world.in_transit |= {note}
-        case tickets.Known(outcome=result, answer=answer):
-            world.respond(body, codes.DONE_BEFORE, result, answer)
+        case tickets.Known(outcome=result, answer=content):
+            world.respond(body, codes.DONE_BEFORE, result, content)
         case tickets.Refuse(code=code):
             world.respond(body, code)
 
@@ -256,11 +256,11 @@
 
 
 def _finish_run(
-    world: World, body: bytes, result: values.Outcome, answer: bytes
+    world: World, body: bytes, result: values.Outcome, content: bytes
 ) -> None:
-    world.respond(body, codes.OK, result, answer)
+    world.respond(body, codes.OK, result, content)
     tell = world.executor.finish(
-        world.executor_at, world.ticket.identity, result, answer
+        world.executor_at, world.ticket.identity, result, content
     )
     if tell:
         world.in_transit |= {tell}
