--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -211,9 +211,7 @@
     assert tickets.verdict(keeper.void(0.0, other)).code is codes.OTHER_BODY
 
 
-def test_an_identity_evicted_before_its_note_is_acknowledged_never_runs() -> (
-    None
-):
+def test_an_identity_evicted_before_its_note_reply_never_runs() -> None:
     """An entry is evicted under load while its note awaits the reply.
 
     The executor no longer knows whether it started the request, so it must
