--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -261,7 +261,7 @@
 
 
 def test_a_removed_coordinator_is_detected_before_requests() -> None:
-    """A VM was removed, and by the list it still is the coordinator.
+    """A VM was replaced, and the list still names it as the coordinator.
 
     Each process that starts later would delay its first requests by half a
     second, and all processes start at once after a power loss.
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""The plan of a service's engines, and what callers get of a burst."""
+"""Placements on the engines of a service, also during bursts."""
 
 import functools
 import random
@@ -19,7 +19,9 @@
 _TOKEN_S = placing.TOKEN_S
 
 
-def _tallies(stage: forwarding.Stage, *names: str) -> tuple[fleet.Tally, ...]:
+def _server_states(
+    stage: forwarding.Stage, *names: str
+) -> tuple[fleet.Tally, ...]:
     return tuple(
         fleet.Tally(
             forwarding.Backend(
@@ -30,13 +32,13 @@
     )
 
 
-_DECODERS = _tallies('decode', 'd1', 'd2')
-_PREFILLERS = _tallies('prefill', 'p1', 'p2')
-# Enough of them that decode memory is what binds at one moment.
-_MANY = _tallies('prefill', *(f'p{n}' for n in range(1, 13)))
+_DECODERS = _server_states('decode', 'd1', 'd2')
+_PREFILLERS = _server_states('prefill', 'p1', 'p2')
+# So many prefill workers that only decode memory limits the placements.
+_MANY = _server_states('prefill', *(f'p{n}' for n in range(1, 13)))
 
 
-def _ask(
+def _request_placement(
     plan: placing.Plan,
     now: float,
     request: str,
@@ -71,24 +73,25 @@
     return plan.ask(now, msg, _SERVICE, lambda: (decoders, prefillers))
 
 
-def _end(plan: placing.Plan, now: float, request: str) -> None:
+def _release(plan: placing.Plan, now: float, request: str) -> None:
     plan.end(now, messages.EndPlace(service='s', request=request))
 
 
 def _fill(plan: placing.Plan, now: float = 0.0) -> int:
-    """Grants until the plan is full; returns how many it granted."""
+    """Fills the plan with placements and returns their number."""
     count = 0
     while isinstance(
-        _ask(plan, now, f'fill-{count}', prefillers=_MANY), messages.Place
+        _request_placement(plan, now, f'fill-{count}', prefillers=_MANY),
+        messages.Place,
     ):
         count += 1
-    _end(plan, now, f'fill-{count}')
+    _release(plan, now, f'fill-{count}')
     return count
 
 
-def test_work_is_spread_over_the_workers() -> None:
+def test_placements_are_spread_over_the_workers() -> None:
     plan = placing.Plan()
-    places = [_ask(plan, 0.0, f'r{n}') for n in range(4)]
+    places = [_request_placement(plan, 0.0, f'r{n}') for n in range(4)]
     assert {p.worker for p in places if isinstance(p, messages.Place)} == {
         'd1',
         'd2',
@@ -99,104 +102,117 @@
     }
 
 
-def test_more_is_granted_than_whole_answers_would_allow() -> None:
-    """Reserving the longest answer of each leaves half of the memory empty."""
-    whole = 2 * _SERVICE.kv_tokens // (5000 + 8320)
-    assert _fill(placing.Plan()) > whole
+def test_more_is_granted_than_maximum_outputs_would_allow() -> None:
+    """Reserving the maximum output of each leaves half of the memory unused."""
+    count_at_maximum = 2 * _SERVICE.kv_tokens // (5000 + 8320)
+    assert _fill(placing.Plan()) > count_at_maximum
 
 
-def test_what_is_granted_fits_as_it_grows() -> None:
-    """Requests outgrow the memory together, and an engine preempts some.
+def test_granted_requests_fit_into_memory_while_they_grow() -> None:
+    """Requests together outgrow the memory, and an engine preempts some.
 
-    A caller sees its stream stand still while its prompt is read again.
+    The stream of a preempted request pauses while its prompt is prefilled again.
     """
     plan = placing.Plan()
-    starts: dict[str, list[float]] = {'d1': [], 'd2': []}
-    read_until = {'p1': 0.0, 'p2': 0.0}
+    started_at: dict[str, list[float]] = {'d1': [], 'd2': []}
+    prefilled_until = {'p1': 0.0, 'p2': 0.0}
     number = 0
-    while isinstance(place := _ask(plan, 0.0, f'r{number}'), messages.Place):
+    while isinstance(
+        place := _request_placement(plan, 0.0, f'r{number}'), messages.Place
+    ):
         number += 1
-        read_until[place.prefiller] += 5000 / reading.PER_S
-        starts[place.worker].append(read_until[place.prefiller])
-    for began in starts.values():
+        prefilled_until[place.prefiller] += 5000 / reading.PER_S
+        started_at[place.worker].append(prefilled_until[place.prefiller])
+    for start_times in started_at.values():
         for step in range(600):
             now = step / 100
-            made = [(now - at) / _TOKEN_S for at in began if now >= at]
-            total = sum(5000 + tokens for tokens in made if tokens <= 4000)
+            token_counts = [
+                (now - at) / _TOKEN_S for at in start_times if now >= at
+            ]
+            total = sum(
+                5000 + tokens for tokens in token_counts if tokens <= 4000
+            )
             assert total <= _SERVICE.kv_tokens
 
 
-def test_the_first_that_came_gets_the_next_place() -> None:
+def test_the_oldest_request_gets_the_next_placement() -> None:
     plan = placing.Plan()
     _fill(plan)
-    assert isinstance(_ask(plan, 0.1, 'first', waited_ms=50), messages.Queued)
-    assert isinstance(_ask(plan, 0.1, 'second'), messages.Queued)
-    _end(plan, 0.2, 'fill-0')
-    assert isinstance(_ask(plan, 0.2, 'second'), messages.Queued)
-    assert isinstance(_ask(plan, 0.2, 'first'), messages.Place)
+    assert isinstance(
+        _request_placement(plan, 0.1, 'first', waited_ms=50), messages.Queued
+    )
+    assert isinstance(_request_placement(plan, 0.1, 'second'), messages.Queued)
+    _release(plan, 0.2, 'fill-0')
+    assert isinstance(_request_placement(plan, 0.2, 'second'), messages.Queued)
+    assert isinstance(_request_placement(plan, 0.2, 'first'), messages.Place)
 
 
 def test_a_small_request_does_not_overtake_a_large_one() -> None:
-    """Small ones fit into every gap; a row of them starves the large one."""
+    """Small requests fit into each gap and would starve a large one."""
     plan = placing.Plan()
     _fill(plan)
-    _ask(plan, 0.1, 'large', prompt=11_000, waited_ms=10)
+    _request_placement(plan, 0.1, 'large', prompt=11_000, waited_ms=10)
     assert isinstance(
-        _ask(plan, 0.1, 'small', prompt=10, hinted=10), messages.Queued
+        _request_placement(plan, 0.1, 'small', prompt=10, hinted=10),
+        messages.Queued,
     )
 
 
-def test_one_that_can_meet_its_target_goes_before_a_late_one() -> None:
-    """Six seconds of twice the load: in order of arrival all become late.
+def test_a_request_that_can_meet_its_target_precedes_a_late_one() -> None:
+    """In order of arrival, six seconds of double load make all requests late.
 
-    Each caller that could still be served on time waits behind those that
-    can't, and is then late as well.
+    Each request that could still meet its target would wait behind those that
+    can't, and become late as well.
     """
     plan = placing.Plan()
     _fill(plan)
-    _ask(plan, 0.1, 'late', waited_ms=1500)
-    _ask(plan, 0.1, 'fresh', waited_ms=100)
-    _end(plan, 0.2, 'fill-0')
-    assert isinstance(_ask(plan, 0.2, 'fresh', waited_ms=200), messages.Place)
+    _request_placement(plan, 0.1, 'late', waited_ms=1500)
+    _request_placement(plan, 0.1, 'fresh', waited_ms=100)
+    _release(plan, 0.2, 'fill-0')
+    assert isinstance(
+        _request_placement(plan, 0.2, 'fresh', waited_ms=200), messages.Place
+    )
 
 
-def test_the_more_urgent_goes_first() -> None:
+def test_the_more_urgent_request_is_placed_first() -> None:
     plan = placing.Plan()
     _fill(plan)
-    _ask(plan, 0.1, 'calm', waited_ms=100, priority=3)
-    _ask(plan, 0.1, 'urgent', priority=0)
-    _end(plan, 0.2, 'fill-0')
-    assert isinstance(_ask(plan, 0.2, 'urgent', priority=0), messages.Place)
+    _request_placement(plan, 0.1, 'calm', waited_ms=100, priority=3)
+    _request_placement(plan, 0.1, 'urgent', priority=0)
+    _release(plan, 0.2, 'fill-0')
+    assert isinstance(
+        _request_placement(plan, 0.2, 'urgent', priority=0), messages.Place
+    )
 
 
-def test_a_waiter_that_left_holds_up_nobody() -> None:
-    """A caller hung up while it waited, and its VM died with it.
+def test_a_disconnected_waiter_blocks_no_other_request() -> None:
+    """A caller disconnected while it waited, and its VM crashed.
 
-    The place that was kept for it would stand empty.
+    The memory set aside for its placement would stay unused.
     """
     plan = placing.Plan()
     _fill(plan)
-    _ask(plan, 0.1, 'gone', waited_ms=50)
-    _ask(plan, 0.1, 'here')
+    _request_placement(plan, 0.1, 'gone', waited_ms=50)
+    _request_placement(plan, 0.1, 'here')
     for number in range(3):
-        _end(plan, 0.2, f'fill-{number}')
+        _release(plan, 0.2, f'fill-{number}')
     now = 0.2 + queues.WAITER_S + 0.1
-    _ask(plan, now, 'here')
-    assert isinstance(_ask(plan, now, 'here'), messages.Place)
+    _request_placement(plan, now, 'here')
+    assert isinstance(_request_placement(plan, now, 'here'), messages.Place)
 
 
-def test_asking_again_takes_no_second_place() -> None:
-    """The answer to an ask was lost on the way, and the VM asks again."""
+def test_a_repeated_request_gets_no_second_placement() -> None:
+    """The reply to a placement request is lost, and the VM repeats it."""
     plan = placing.Plan()
-    _ask(plan, 0.0, 'r')
-    _ask(plan, 0.1, 'r')
+    _request_placement(plan, 0.0, 'r')
+    _request_placement(plan, 0.1, 'r')
     assert sum(plan.planned().values()) == 1
 
 
-def test_places_of_a_dead_vm_come_free() -> None:
-    """A VM lost power with places in use.
+def test_placements_of_a_crashed_vm_are_released() -> None:
+    """A VM loses power while its requests have placements.
 
-    Counted on, they would keep others waiting for memory that is free.
+    If these still counted, others would wait for memory that is free.
     """
     plan = placing.Plan()
     full = _fill(plan)
@@ -204,10 +220,10 @@
     assert _fill(plan, now) == full
 
 
-def test_a_new_home_learns_what_is_held() -> None:
-    """The home died; another VM plans from now on, with an empty plan.
+def test_a_new_coordinator_learns_existing_placements() -> None:
+    """The coordinator crashed, and its successor starts with an empty plan.
 
-    Without the holders' repeats it would give all memory a second time.
+    Unless the holders renew their placements, it grants all memory again.
     """
     plan = placing.Plan()
     places = tuple(
@@ -224,151 +240,155 @@
     msg = messages.KeepPlaces(service='s', holder='vm-2', places=places)
     plan.keep(1.0, msg)
     assert plan.planned() == {'d1': 8}
-    place = _ask(plan, 1.0, 'next')
+    place = _request_placement(plan, 1.0, 'next')
     assert isinstance(place, messages.Place)
     assert place.worker == 'd2'
 
 
-def test_a_lost_end_is_mended_by_the_next_repeat() -> None:
+def test_a_lost_release_is_corrected_by_the_next_renewal() -> None:
     plan = placing.Plan()
-    _ask(plan, 0.0, 'r')
+    _request_placement(plan, 0.0, 'r')
     empty = messages.KeepPlaces(service='s', holder='vm-1', places=())
     plan.keep(0.1, empty)
-    assert plan.planned(), 'it may still be on its way to its holder'
+    assert plan.planned(), 'the reply may not have reached the holder yet'
     plan.keep(queues.WAITER_S + 0.2, empty)
     assert not plan.planned()
 
 
-def test_a_worker_that_is_avoided_gets_nothing() -> None:
+def test_an_excluded_worker_gets_no_placement() -> None:
     plan = placing.Plan()
     for number in range(3):
-        place = _ask(plan, 0.0, f'r{number}', avoid=('d1', 'p1'))
+        place = _request_placement(plan, 0.0, f'r{number}', avoid=('d1', 'p1'))
         assert place == messages.Place(worker='d2', prefiller='p2')
 
 
-def test_without_prefill_workers_the_decode_worker_reads() -> None:
-    place = _ask(placing.Plan(), 0.0, 'r', prefillers=())
+def test_without_prefill_workers_the_decode_worker_prefills() -> None:
+    place = _request_placement(placing.Plan(), 0.0, 'r', prefillers=())
     assert isinstance(place, messages.Place)
     assert place.prefiller == ''
 
 
 def test_a_request_larger_than_the_plan_gets_an_empty_worker() -> None:
-    """Its prompt alone is over the planned part of the memory.
+    """Its prompt alone exceeds the planned part of the memory.
 
-    Queued for room that never comes, it would be refused each time.
+    It would wait for memory that never becomes free, and always be refused.
     """
-    place = _ask(placing.Plan(), 0.0, 'r', prompt=95_000)
+    place = _request_placement(placing.Plan(), 0.0, 'r', prompt=95_000)
     assert isinstance(place, messages.Place)
 
 
 class _Burst:
-    """Plays a burst on a plan, with answers of log-normal length."""
+    """Simulates a burst on a plan, with responses of log-normal length."""
 
-    def __init__(self, fill_whole: bool) -> None:
+    def __init__(self, reserve_maximum: bool) -> None:
         self.rng = random.Random(7)
         self.plan = placing.Plan()
-        # Whether the longest answer is reserved for each.
-        self.fill_whole = fill_whole
+        # Whether the maximum output is reserved for each request.
+        self.reserve_maximum = reserve_maximum
         self.running: list[tuple[float, str, str, growth.Running]] = []
         self.on_time = 0
         self.overfull = 0
 
     def play(self) -> None:
-        """Ten seconds at twice of what the memory carries."""
+        """Runs ten seconds at twice the load that the memory can hold."""
         waiting: list[tuple[float, str, int, int]] = []
         for step in range(1000):
             now = step / 100
             if step % 9 == 0:
-                made = int(4000 * self.rng.lognormvariate(0, 0.5))
-                made = min(made, 8320)
-                guess = int(made * self.rng.lognormvariate(0, 0.5))
-                if self.fill_whole:
-                    guess = 8320
-                waiting.append((now, f'r{step}', made, guess))
-            self._end(now)
-            waiting = [item for item in waiting if not self._try(now, item)]
+                output_tokens = int(4000 * self.rng.lognormvariate(0, 0.5))
+                output_tokens = min(output_tokens, 8320)
+                hint = int(output_tokens * self.rng.lognormvariate(0, 0.5))
+                if self.reserve_maximum:
+                    hint = 8320
+                waiting.append((now, f'r{step}', output_tokens, hint))
+            self._release_completed(now)
+            waiting = [item for item in waiting if not self._attempt(now, item)]
             self._check(now)
 
-    def _try(self, now: float, item: tuple[float, str, int, int]) -> bool:
-        came_at, request, made, guess = item
-        if now - came_at > 2.3:
-            _end(self.plan, now, request)
+    def _attempt(self, now: float, item: tuple[float, str, int, int]) -> bool:
+        arrived_at, request, output_tokens, hint = item
+        if now - arrived_at > 2.3:
+            _release(self.plan, now, request)
             return True
-        waited_ms = int((now - came_at) * 1000)
-        place = _ask(self.plan, now, request, waited_ms=waited_ms, hinted=guess)
+        waited_ms = int((now - arrived_at) * 1000)
+        place = _request_placement(
+            self.plan, now, request, waited_ms=waited_ms, hinted=hint
+        )
         if not isinstance(place, messages.Place):
             return False
-        self.on_time += now - came_at < 0.7
-        found = growth.Running(
-            prompt=5000, expected=made, longest=made, started_at=now + 0.1
+        self.on_time += now - arrived_at < 0.7
+        running = growth.Running(
+            prompt=5000,
+            expected=output_tokens,
+            longest=output_tokens,
+            started_at=now + 0.1,
         )
-        end_at = now + 0.1 + made * _TOKEN_S
-        self.running.append((end_at, request, place.worker, found))
+        end_at = now + 0.1 + output_tokens * _TOKEN_S
+        self.running.append((end_at, request, place.worker, running))
         return True
 
-    def _end(self, now: float) -> None:
+    def _release_completed(self, now: float) -> None:
         for item in [item for item in self.running if item[0] <= now]:
             self.running.remove(item)
-            _, request, _, found = item
+            _, request, _, running = item
             msg = messages.EndPlace(
                 service='s',
                 request=request,
-                decode_ms=int(found.longest * _TOKEN_S * 1000),
-                tokens=found.longest,
-                whole=not self.fill_whole,
+                decode_ms=int(running.longest * _TOKEN_S * 1000),
+                tokens=running.longest,
+                whole=not self.reserve_maximum,
             )
             self.plan.end(now, msg)
 
     def _check(self, now: float) -> None:
         for worker in ('d1', 'd2'):
             total = sum(
-                5000 + max(0.0, now - found.started_at) / _TOKEN_S
-                for _, _, name, found in self.running
+                5000 + max(0.0, now - running.started_at) / _TOKEN_S
+                for _, _, name, running in self.running
                 if name == worker
             )
             self.overfull += total > _SERVICE.kv_tokens
 
 
 @pytest.mark.parametrize(
-    ('whole', 'on_time', 'overfull'), [(True, 59, 0), (False, 91, 517)]
+    ('reserve_maximum', 'on_time', 'overfull'),
+    [(True, 59, 0), (False, 91, 517)],
 )
-def test_callers_of_a_burst_that_are_served_on_time(
-    whole: bool, on_time: int, overfull: int
+def test_planned_growth_serves_more_callers_on_time(
+    reserve_maximum: bool, on_time: int, overfull: int
 ) -> None:
-    """Figures of 112 callers; the longest answer reserved, and growth planned.
+    """Compares reserving the maximum output with planning for growth.
 
-    Twice of what the memory carries for ten seconds, answers of spread
-    lengths, guesses off by as much. `overfull` counts the hundredths of a
-    second, of 2,000 at two workers, in which an engine would preempt. With 0.9
-    of the memory planned in place of 0.95 these were 54 and 0, 86 and 350.
+    Of 112 callers; `overfull` counts hundredths of a second, of 2,000 for two
+    workers, in which an engine would preempt. If 0.9 instead of 0.95 of the
+    memory is planned, the figures are 54 and 0, 86 and 350.
     """
-    burst = _Burst(whole)
+    burst = _Burst(reserve_maximum)
     burst.play()
     assert (burst.on_time, burst.overfull) == (on_time, overfull)
 
 
-def test_a_dead_worker_gets_nobodys_next_request() -> None:
-    """A decode worker crashes at a site of many entry VMs.
+def test_a_crashed_worker_gets_no_further_requests() -> None:
+    """A decode worker crashes, and its requests end.
 
-    Its requests end, so it has the most room in the plan; each VM would send
-    it a request of its own before it knew. Callers would see their answers
-    fail one after the other at an engine that two VMs know to be dead.
+    It then has the most free memory in the plan, so each of many VMs would
+    lose a request there although two VMs already reported the crash.
     """
     plan = placing.Plan()
     for holder in ('vm-1', 'vm-2'):
         msg = messages.ServerFailed(service='s', server='d1', holder=holder)
         plan.failed(1.0, msg)
     for number in range(6):
-        place = _ask(plan, 1.1, f'r{number}')
+        place = _request_placement(plan, 1.1, f'r{number}')
         assert isinstance(place, messages.Place)
         assert place.worker == 'd2'
 
 
-def test_workers_that_all_failed_are_tried() -> None:
-    """The path to every prefill worker breaks for a moment.
+def test_workers_are_used_if_all_of_them_failed() -> None:
+    """The network path to all prefill workers fails briefly.
 
-    Passed over all of them, decode workers would read the prompts and hold up
-    everybody's tokens.
+    If all were excluded, decode workers would prefill the prompts and delay the
+    tokens of all their requests.
     """
     plan = placing.Plan()
     for server in ('p1', 'p2'):
@@ -377,7 +397,7 @@
                 service='s', server=server, holder=holder
             )
             plan.failed(1.0, msg)
-    place = _ask(plan, 1.1, 'r', prefillers=_PREFILLERS)
+    place = _request_placement(plan, 1.1, 'r', prefillers=_PREFILLERS)
     assert isinstance(place, messages.Place)
     assert place.prefiller
 
@@ -385,23 +405,25 @@
 def test_a_slow_prefill_worker_gets_fewer_prompts() -> None:
     """A prefill worker takes four times as long as the other.
 
-    With its share of the prompts it would hold a third of the callers up past
-    their targets.
+    With half of the prompts it would delay a third of the callers past their
+    targets.
     """
     plan = placing.Plan()
     for number in range(24):
         name = f'warm-{number}'
         # Two at a time, so that each worker gets one.
-        place = _ask(plan, float(number // 2), name, prefillers=_PREFILLERS)
+        place = _request_placement(
+            plan, float(number // 2), name, prefillers=_PREFILLERS
+        )
         assert isinstance(place, messages.Place)
-        took_ms = 400 if place.prefiller == 'p1' else 100
+        prefill_ms = 400 if place.prefiller == 'p1' else 100
         plan.end(
             number // 2 + 0.9,
-            messages.EndPlace(service='s', request=name, prefill_ms=took_ms),
+            messages.EndPlace(service='s', request=name, prefill_ms=prefill_ms),
         )
-    given = []
+    prefiller_ids = []
     for number in range(10):
-        place = _ask(
+        place = _request_placement(
             plan,
             12.0,
             f'r{number}',
@@ -410,81 +432,93 @@
             prefillers=_PREFILLERS,
         )
         assert isinstance(place, messages.Place)
-        given.append(place.prefiller)
-    assert given.count('p1') <= 3
+        prefiller_ids.append(place.prefiller)
+    assert prefiller_ids.count('p1') <= 3
 
 
-def test_what_can_not_be_read_in_time_goes_behind_what_can() -> None:
-    """Prompts wait for each other in a burst, for 0.3 s each.
+def test_requests_that_miss_their_target_by_prefill_go_last() -> None:
+    """Each prefill takes 0.3 s in a burst.
 
-    A request that gets its place 0.1 s before its target is late all the same,
-    and the next one, which could have been in time, is late too.
+    A request that is placed 0.1 s before its target is late anyway, and makes
+    the next one late, which could have met its target.
     """
     plan = placing.Plan()
     name = 'warm'
     for number in range(40):
-        assert isinstance(_ask(plan, float(number), name), messages.Place)
+        assert isinstance(
+            _request_placement(plan, float(number), name), messages.Place
+        )
         end = messages.EndPlace(service='s', request=name, prefill_ms=300)
         plan.end(float(number), end)
     _fill(plan, 50.0)
     for request, waited_ms in (('late', 450), ('fresh', 100)):
         assert isinstance(
-            _ask(plan, 50.1, request, waited_ms=waited_ms), messages.Queued
+            _request_placement(plan, 50.1, request, waited_ms=waited_ms),
+            messages.Queued,
         )
-    _end(plan, 50.2, 'fill-0')
-    assert isinstance(_ask(plan, 50.3, 'fresh'), messages.Place)
+    _release(plan, 50.2, 'fill-0')
+    assert isinstance(_request_placement(plan, 50.3, 'fresh'), messages.Place)
 
 
-def test_a_place_is_not_given_before_its_prompt_can_be_read() -> None:
-    """Decode memory is free and one slow prefill worker is left.
+def test_no_placement_is_granted_long_before_its_prefill() -> None:
+    """Decode memory is free, and one slow prefill worker remains.
 
-    Given all their places at once, the prompts would hold that memory while
-    they wait, be refused by the engine, and an urgent one could not overtake.
+    Placed all at once, requests would occupy memory while they wait, be refused
+    by the engine, and an urgent one could not overtake them.
     """
     plan = placing.Plan()
-    given = 0
+    granted = 0
     while isinstance(
-        _ask(plan, 0.0, f'r{given}', prefillers=_PREFILLERS[:1]), messages.Place
+        _request_placement(
+            plan, 0.0, f'r{granted}', prefillers=_PREFILLERS[:1]
+        ),
+        messages.Place,
     ):
-        given += 1
-    reading_s = 5000 / reading.PER_S
-    assert given == int(prefills.AHEAD_S / reading_s) + 1
-    _end(plan, 0.0, f'r{given}')
-    urgent = _ask(plan, 0.2, 'urgent', priority=0, prefillers=_PREFILLERS[:1])
+        granted += 1
+    prefill_s = 5000 / reading.PER_S
+    assert granted == int(prefills.AHEAD_S / prefill_s) + 1
+    _release(plan, 0.0, f'r{granted}')
+    urgent = _request_placement(
+        plan, 0.2, 'urgent', priority=0, prefillers=_PREFILLERS[:1]
+    )
     assert isinstance(urgent, messages.Place)
 
 
-def test_prompts_that_a_worker_loses_are_read_elsewhere() -> None:
-    """A prefill worker lets go of what it has read at once.
+def test_a_worker_that_evicts_prompts_gets_few_of_them() -> None:
+    """A prefill worker evicts its prefilled prompts immediately.
 
-    Every decode worker refuses its prompts; callers wait for a second prefill,
-    and each prompt that went there was read in vain.
+    Decode workers refuse them, so that each prefill there is wasted and its
+    caller waits for a second one.
     """
     plan = placing.Plan()
-    given = []
+    prefiller_ids = []
     for number in range(40):
         now = number * 0.1
-        place = _ask(plan, now, f'r{number}', prompt=1000, hinted=100)
+        place = _request_placement(
+            plan, now, f'r{number}', prompt=1000, hinted=100
+        )
         assert isinstance(place, messages.Place)
-        given.append(place.prefiller)
-        lost = place.prefiller == 'p1'
+        prefiller_ids.append(place.prefiller)
+        evicted = place.prefiller == 'p1'
         end = messages.EndPlace(
             service='s',
             request=f'r{number}',
             prefill_ms=20,
-            tokens=0 if lost else 100,
-            refused=lost,
+            tokens=0 if evicted else 100,
+            refused=evicted,
         )
         plan.end(now + 0.05, end)
-    assert given[0] == 'p1'
-    assert given.count('p1') <= 10
+    assert prefiller_ids[0] == 'p1'
+    assert prefiller_ids.count('p1') <= 10
 
 
-def test_full_decode_workers_take_no_prefill_worker_away() -> None:
-    """Decode workers refuse what every prefill worker has read."""
+def test_refusals_for_all_prefill_workers_exclude_none() -> None:
+    """Full decode workers refuse the prompts of all prefill workers."""
     plan = placing.Plan()
     for number in range(10):
-        place = _ask(plan, number * 0.1, f'r{number}', prompt=1000)
+        place = _request_placement(
+            plan, number * 0.1, f'r{number}', prompt=1000
+        )
         assert isinstance(place, messages.Place)
         assert place.prefiller
         end = messages.EndPlace(
@@ -493,107 +527,125 @@
         plan.end(number * 0.1 + 0.05, end)
 
 
-def test_one_that_came_back_makes_nobody_late() -> None:
-    """Callers that were refused in a burst come back, as they were told.
+def test_a_retried_request_makes_no_new_one_late() -> None:
+    """Callers that were refused in a burst retry under new request ids.
 
-    Each try has another id. Taken for new requests, as many as the new ones
-    themselves, they got half of the places, too late for their targets, and
-    as many others were late that could have been in time.
+    Treated as new, they would get half of the placements, too late for their
+    targets, and make as many others late that could have been on time.
     """
     plan = placing.Plan()
     _fill(plan)
-    assert isinstance(_ask(plan, 0.0, 'a/1', digest=7), messages.Queued)
-    _end(plan, 0.5, 'a/1')
-    again = _ask(plan, 2.0, 'a/2', digest=7)
-    assert isinstance(again, messages.Queued)
-    assert again.came_back
-    new = _ask(plan, 2.1, 'b', digest=8)
+    assert isinstance(
+        _request_placement(plan, 0.0, 'a/1', digest=7), messages.Queued
+    )
+    _release(plan, 0.5, 'a/1')
+    retried = _request_placement(plan, 2.0, 'a/2', digest=7)
+    assert isinstance(retried, messages.Queued)
+    assert retried.came_back
+    new = _request_placement(plan, 2.1, 'b', digest=8)
     assert isinstance(new, messages.Queued)
     assert not new.came_back
-    _end(plan, 2.2, 'fill-0')
-    assert isinstance(_ask(plan, 2.3, 'b', digest=8), messages.Place)
+    _release(plan, 2.2, 'fill-0')
+    assert isinstance(
+        _request_placement(plan, 2.3, 'b', digest=8), messages.Place
+    )
 
 
-def test_one_that_came_back_goes_before_others_that_are_late() -> None:
-    """Refused once more, its caller would have to give up."""
+def test_a_retried_request_precedes_other_late_ones() -> None:
+    """A caller that is refused a second time gives up."""
     plan = placing.Plan()
     _fill(plan)
-    # So long that the one which ends leaves room for one, not for both.
-    long = functools.partial(_ask, plan, prompt=7000)
+    # So long that one release frees memory for one of them, not for both.
+    long = functools.partial(_request_placement, plan, prompt=7000)
     assert isinstance(long(0.0, 'a/1', digest=7), messages.Queued)
-    _end(plan, 0.5, 'a/1')
+    _release(plan, 0.5, 'a/1')
     assert isinstance(long(1.0, 'b', digest=8), messages.Queued)
     assert isinstance(long(1.3, 'b', digest=8), messages.Queued)
     assert isinstance(long(1.6, 'b', digest=8), messages.Queued)
     assert isinstance(long(1.9, 'a/2', digest=7), messages.Queued)
-    _end(plan, 2.0, 'fill-0')
+    _release(plan, 2.0, 'fill-0')
     assert isinstance(long(2.1, 'b', digest=8), messages.Queued)
     assert isinstance(long(2.1, 'a/2', digest=7), messages.Place)
 
 
-def test_one_that_was_served_is_new_when_it_comes_again() -> None:
-    """A caller asks the same thing once more, after its whole answer."""
+def test_a_repeat_of_a_served_request_counts_as_new() -> None:
+    """A caller repeats a request after its complete response."""
     plan = placing.Plan()
-    assert isinstance(_ask(plan, 0.0, 'a/1', digest=7), messages.Place)
+    assert isinstance(
+        _request_placement(plan, 0.0, 'a/1', digest=7), messages.Place
+    )
     end = messages.EndPlace(
         service='s', request='a/1', decode_ms=900, tokens=1000, whole=True
     )
     plan.end(1.0, end)
     _fill(plan, 3.0)
-    assert isinstance(_ask(plan, 3.0, 'a/2', digest=7), messages.Queued)
-    assert isinstance(_ask(plan, 3.1, 'b', digest=8), messages.Queued)
-    _end(plan, 3.2, 'fill-0')
-    assert isinstance(_ask(plan, 3.2, 'a/2', digest=7), messages.Place)
+    assert isinstance(
+        _request_placement(plan, 3.0, 'a/2', digest=7), messages.Queued
+    )
+    assert isinstance(
+        _request_placement(plan, 3.1, 'b', digest=8), messages.Queued
+    )
+    _release(plan, 3.2, 'fill-0')
+    assert isinstance(
+        _request_placement(plan, 3.2, 'a/2', digest=7), messages.Place
+    )
 
 
-def test_a_small_request_fits_beside_a_large_one_that_waits() -> None:
-    """The first in the queue needs more than any engine has left.
+def test_a_small_request_is_placed_while_a_large_one_waits() -> None:
+    """The first request in the queue needs more memory than any engine has left.
 
-    A place that is large enough for others stood empty until it was through.
+    Memory that suffices for others would stay unused until it is placed.
     """
     plan = placing.Plan()
     _fill(plan)
-    _end(plan, 0.1, 'fill-0')
-    _end(plan, 0.1, 'fill-1')
-    large = _ask(plan, 0.2, 'large', prompt=60_000)
+    _release(plan, 0.1, 'fill-0')
+    _release(plan, 0.1, 'fill-1')
+    large = _request_placement(plan, 0.2, 'large', prompt=60_000)
     assert isinstance(large, messages.Queued)
-    small = _ask(plan, 0.25, 'small')
+    small = _request_placement(plan, 0.25, 'small')
     assert isinstance(small, messages.Place)
-    # Nobody else gets the engine that is kept for the large one.
-    others = [_ask(plan, 0.3 + n / 50, f'other-{n}') for n in range(6)]
-    taken = [
+    # No other request gets the engine that is set aside for the large one.
+    others = [
+        _request_placement(plan, 0.3 + n / 50, f'other-{n}') for n in range(6)
+    ]
+    workers = [
         place.worker for place in others if isinstance(place, messages.Place)
     ]
-    assert set(taken) <= {small.worker}
+    assert set(workers) <= {small.worker}
 
 
-def test_a_broken_stream_goes_on_before_all_others() -> None:
-    """An engine crashes in the midst of answers, while others wait.
+def test_an_interrupted_stream_precedes_all_others() -> None:
+    """An engine crashes during responses, while other requests wait.
 
-    Behind those that can still be in time, the callers would see their answers
-    stand still for seconds and leave; what was made for them would be lost.
+    Behind requests that can still be on time, these streams would pause for
+    seconds, callers would disconnect, and their tokens would be wasted.
     """
     plan = placing.Plan()
     _fill(plan)
-    assert isinstance(_ask(plan, 0.1, 'new'), messages.Queued)
-    broken = _ask(plan, 0.15, 'broken', waited_ms=2500, started=True)
+    assert isinstance(_request_placement(plan, 0.1, 'new'), messages.Queued)
+    broken = _request_placement(
+        plan, 0.15, 'broken', waited_ms=2500, started=True
+    )
     assert isinstance(broken, messages.Queued)
-    _end(plan, 0.2, 'fill-0')
-    assert isinstance(_ask(plan, 0.3, 'new'), messages.Queued)
+    _release(plan, 0.2, 'fill-0')
+    assert isinstance(_request_placement(plan, 0.3, 'new'), messages.Queued)
     assert isinstance(
-        _ask(plan, 0.3, 'broken', waited_ms=2650, started=True), messages.Place
+        _request_placement(plan, 0.3, 'broken', waited_ms=2650, started=True),
+        messages.Place,
     )
 
 
-def test_what_would_not_end_in_time_is_refused_at_once() -> None:
-    """A caller was refused in a burst, came back, and has 2 s left.
+def test_a_request_that_can_not_complete_is_refused_at_once() -> None:
+    """A caller retries with 2 s left, and its response takes eight.
 
-    Its answer takes eight. It would hold memory until the caller leaves, and
-    callers whose answers could be whole would be refused for want of it.
+    It would occupy memory until the caller disconnects, and callers whose
+    responses could be complete would be refused for lack of memory.
     """
     plan = placing.Plan()
     for number in range(5):
-        place = _ask(plan, 0.0, f'r{number}', hinted=1000, longest=3000)
+        place = _request_placement(
+            plan, 0.0, f'r{number}', hinted=1000, longest=3000
+        )
         assert isinstance(place, messages.Place)
         plan.end(
             4.0,
@@ -606,13 +658,15 @@
                 whole=True,
             ),
         )
-    late = _ask(plan, 5.0, 'late', hinted=2000, longest=3000, left_ms=2000)
+    late = _request_placement(
+        plan, 5.0, 'late', hinted=2000, longest=3000, left_ms=2000
+    )
     assert isinstance(late, messages.TooLate)
     assert late.needs_ms > 5000
     assert not plan.waiting()
-    # One that may be lucky, and one that goes on, are tried.
+    # A request that may complete and an interrupted stream are placed.
     for name, left_ms, started in (('a', 5000, False), ('b', 2000, True)):
-        place = _ask(
+        place = _request_placement(
             plan,
             5.1,
             name,
@@ -624,8 +678,8 @@
         assert isinstance(place, messages.Place)
 
 
-def test_a_prompt_moves_within_its_data_centre_where_there_is_room() -> None:
-    """Decode workers stand in two data centres, the prefill worker in one.
+def test_prompts_stay_in_their_data_centre_if_memory_is_free() -> None:
+    """Decode workers are in two data centres, the prefill worker in one.
 
     Spread evenly, every second prompt would cross the link between them.
     """
@@ -649,7 +703,7 @@
     plan = placing.Plan()
     near = 0
     for number in range(8):
-        place = _ask(
+        place = _request_placement(
             plan,
             number * 0.2,
             f'r{number}',
@@ -659,28 +713,32 @@
         )
         assert isinstance(place, messages.Place)
         near += place.worker in ('d1', 'd3')
-    # Half of them would be by chance; with more, the near ones would be full
-    # while the others stand empty.
+    # An even spread gives half. With more than seven, the near workers would
+    # be full while the others are unused.
     assert 5 <= near <= 7
 
 
-def test_a_burst_that_is_over_delays_nobody() -> None:
-    """Many waited in a burst, got a place, and ask for it when they were told.
+def test_a_past_burst_delays_no_new_request() -> None:
+    """Many waiters of a burst have placements that they will fetch later.
 
-    Counted as waiting, they put off those who came meanwhile by a quarter of a
-    second each, who put off the next ones: every first event came that much
-    later, for as long as requests came as often, beside free memory.
+    If they counted as waiting, each new request would be delayed by a quarter
+    of a second and delay the next, despite free memory, while load lasts.
     """
     plan = placing.Plan()
     filled = _fill(plan)
     for number in range(filled - 4):
         assert isinstance(
-            _ask(plan, 0.1, f'w{number}', prefillers=_MANY), messages.Queued
+            _request_placement(plan, 0.1, f'w{number}', prefillers=_MANY),
+            messages.Queued,
         )
     for number in range(filled):
-        _end(plan, 0.3, f'fill-{number}')
-    # Memory is free, and all have their places at the next look.
-    assert isinstance(_ask(plan, 0.3, 'w0', prefillers=_MANY), messages.Place)
-    found = _ask(plan, 0.301, 'new', prompt=500, hinted=50, longest=50)
-    if isinstance(found, messages.Queued):
-        assert found.again_in_ms <= 2 * queues.AGAIN_MS
+        _release(plan, 0.3, f'fill-{number}')
+    # Memory is free, and the next scheduling pass places all of them.
+    assert isinstance(
+        _request_placement(plan, 0.3, 'w0', prefillers=_MANY), messages.Place
+    )
+    reply = _request_placement(
+        plan, 0.301, 'new', prompt=500, hinted=50, longest=50
+    )
+    if isinstance(reply, messages.Queued):
+        assert reply.again_in_ms <= 2 * queues.AGAIN_MS
