--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -111,7 +111,7 @@
 def test_granted_requests_fit_into_memory_while_they_grow() -> None:
     """Requests together outgrow the memory, and an engine preempts some.
 
-    The stream of a preempted request pauses while its prompt is prefilled again.
+    The stream of a preempted request pauses during its second prefill.
     """
     plan = placing.Plan()
     started_at: dict[str, list[float]] = {'d1': [], 'd2': []}
@@ -592,7 +592,7 @@
 
 
 def test_a_small_request_is_placed_while_a_large_one_waits() -> None:
-    """The first request in the queue needs more memory than any engine has left.
+    """The first request in the queue needs more than any engine has left.
 
     Memory that suffices for others would stay unused until it is placed.
     """
