--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -8,17 +8,17 @@
 
 
 def _fleet(*names: str) -> fleet.Fleet:
-    found = fleet.Fleet('here', random.Random(1))
+    servers = fleet.Fleet('here', random.Random(1))
     for name in names:
         backend = forwarding.Backend(
             id=name, service='s', address='127.0.0.1:1'
         )
-        found.put(backend)
-    return found
+        servers.put(backend)
+    return servers
 
 
-def _order(found: fleet.Fleet, now: float) -> list[str]:
-    return [tally.backend.id for tally in found.candidates('s', now)]
+def _order(servers: fleet.Fleet, now: float) -> list[str]:
+    return [tally.backend.id for tally in servers.candidates('s', now)]
 
 
 def test_longest_of_several_backoffs_applies() -> None:
@@ -73,24 +73,24 @@
 
 def test_server_in_backoff_at_another_vm_is_last_choice() -> None:
     """Guards against a healthy server left idle by the backoff of one VM."""
-    found = _fleet('a', 'b')
-    found.backoffs.take(0.0, {'a': (0, 3.0)})
-    assert _order(found, 1.0) == ['b', 'a']
-    assert found.faulty('s', 1.0) == ('a',)
+    servers = _fleet('a', 'b')
+    servers.backoffs.take(0.0, {'a': (0, 3.0)})
+    assert _order(servers, 1.0) == ['b', 'a']
+    assert servers.faulty('s', 1.0) == ('a',)
     for _ in range(int(fleet.BACKOFF_WEIGHT) + 2):
-        found.sent('b')
-    assert _order(found, 1.0) == ['a', 'b']
-    found.backoffs.take(0.0, {'b': (0, 3.0)})
-    assert found.faulty('s', 1.0) == ()
+        servers.sent('b')
+    assert _order(servers, 1.0) == ['a', 'b']
+    servers.backoffs.take(0.0, {'b': (0, 3.0)})
+    assert servers.faulty('s', 1.0) == ()
 
 
 def test_no_server_is_left_only_if_all_are_in_backoff() -> None:
     """Guards against refusing callers while a server accepts requests."""
-    found = _fleet('a', 'b')
-    found.backoffs.asked(0.0, 'a', 0, 3.0)
-    assert _order(found, 1.0) == ['b']
-    assert found.usable('a', 1.0) is None
-    assert found.backoff_s('s', 1.0) == 0.0
-    found.backoffs.asked(0.0, 'b', 0, 2.0)
-    assert found.backoff_s('s', 1.0) == 1.0
-    assert _order(found, 1.0) == []
+    servers = _fleet('a', 'b')
+    servers.backoffs.asked(0.0, 'a', 0, 3.0)
+    assert _order(servers, 1.0) == ['b']
+    assert servers.usable('a', 1.0) is None
+    assert servers.backoff_s('s', 1.0) == 0.0
+    servers.backoffs.asked(0.0, 'b', 0, 2.0)
+    assert servers.backoff_s('s', 1.0) == 1.0
+    assert _order(servers, 1.0) == []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,27 +23,27 @@
 
 
 def _fleet(*names: str) -> fleet.Fleet:
-    found = fleet.Fleet('here', random.Random(1))
+    servers = fleet.Fleet('here', random.Random(1))
     for name in names:
-        found.put(_backend(name))
-    return found
+        servers.put(_backend(name))
+    return servers
 
 
-def _order(found: fleet.Fleet, now: float = 0.0) -> list[str]:
-    return [tally.backend.id for tally in found.candidates('s', now)]
+def _order(servers: fleet.Fleet, now: float = 0.0) -> list[str]:
+    return [tally.backend.id for tally in servers.candidates('s', now)]
 
 
 def test_least_loaded_server_is_first() -> None:
-    found = _fleet('a', 'b', 'c')
+    servers = _fleet('a', 'b', 'c')
     for name in ('a', 'a', 'b'):
-        found.sent(name)
-    assert _order(found) == ['c', 'b', 'a']
+        servers.sent(name)
+    assert _order(servers) == ['c', 'b', 'a']
 
 
 def test_fresh_report_counts_requests_of_other_vms() -> None:
-    found = _fleet('a', 'b')
-    found.loaded('a', 0.0, forwarding.Load(running=5, waiting=0, slots=6))
-    assert _order(found, 0.1) == ['b', 'a']
+    servers = _fleet('a', 'b')
+    servers.loaded('a', 0.0, forwarding.Load(running=5, waiting=0, slots=6))
+    assert _order(servers, 0.1) == ['b', 'a']
 
 
 def test_old_report_is_ignored() -> None:
@@ -51,10 +51,10 @@
 
     Skipping it for longer would put needless load on the others.
     """
-    found = _fleet('a', 'b')
-    found.loaded('a', 0.0, forwarding.Load(running=5, waiting=0, slots=6))
-    found.sent('b')
-    assert _order(found, fleet.LOAD_FRESH_S + 0.1) == ['a', 'b']
+    servers = _fleet('a', 'b')
+    servers.loaded('a', 0.0, forwarding.Load(running=5, waiting=0, slots=6))
+    servers.sent('b')
+    assert _order(servers, fleet.LOAD_FRESH_S + 0.1) == ['a', 'b']
 
 
 def test_failing_server_is_skipped_and_tried_again() -> None:
@@ -62,30 +62,30 @@
 
     Callers receive errors for as long as it gets its full share.
     """
-    found = _fleet('a', 'b')
-    found.failed('a', 0.0)
+    servers = _fleet('a', 'b')
+    servers.failed('a', 0.0)
     for _ in range(3):
-        found.sent('b')
-    assert _order(found, 0.1) == ['b', 'a']
-    assert _order(found, 4 * fleet.FAULT_HALF_S) == ['a', 'b']
+        servers.sent('b')
+    assert _order(servers, 0.1) == ['b', 'a']
+    assert _order(servers, 4 * fleet.FAULT_HALF_S) == ['a', 'b']
 
 
 def test_slow_server_gets_fewer_requests() -> None:
-    found = _fleet('a', 'b', 'c')
+    servers = _fleet('a', 'b', 'c')
     for name, took_s in (('a', 0.5), ('b', 0.06), ('c', 0.06)):
         for _ in range(20):
-            found.answered(name, 0.0, took_s)
+            servers.answered(name, 0.0, took_s)
     for name in ('b', 'c'):
         for _ in range(3):
-            found.sent(name)
-    assert _order(found)[-1] == 'a'
+            servers.sent(name)
+    assert _order(servers)[-1] == 'a'
 
 
 def test_leaving_server_gets_no_requests() -> None:
-    found = _fleet('a', 'b')
-    found.put(_backend('a', leaving=True))
-    assert _order(found) == ['b']
-    assert found.usable('a', 0.0) is None
+    servers = _fleet('a', 'b')
+    servers.put(_backend('a', leaving=True))
+    assert _order(servers) == ['b']
+    assert servers.usable('a', 0.0) is None
 
 
 @pytest.mark.parametrize(('well', 'left'), [(True, []), (False, ['a'])])
@@ -98,24 +98,24 @@
     removed, every caller would be refused meanwhile. If the store was
     available, an expired entry means that the server crashed.
     """
-    found = _fleet('a')
-    found.remove('a', 10.0, store_well=well)
-    assert _order(found, 10.5) == left
-    assert _order(found, 10.0 + fleet.VANISHED_S + 0.1) == []
+    servers = _fleet('a')
+    servers.remove('a', 10.0, store_well=well)
+    assert _order(servers, 10.5) == left
+    assert _order(servers, 10.0 + fleet.VANISHED_S + 0.1) == []
 
 
 def test_entry_that_was_registered_again_stays() -> None:
-    found = _fleet('a')
-    found.remove('a', 10.0, store_well=False)
-    found.put(_backend('a'))
-    assert _order(found, 20.0) == ['a']
+    servers = _fleet('a')
+    servers.remove('a', 10.0, store_well=False)
+    servers.put(_backend('a'))
+    assert _order(servers, 20.0) == ['a']
 
 
 def test_announced_departure_removes_server_at_once() -> None:
-    found = _fleet('a')
-    found.put(_backend('a', leaving=True))
-    found.remove('a', 10.0, store_well=False)
-    assert found.tally('a') is None
+    servers = _fleet('a')
+    servers.put(_backend('a', leaving=True))
+    servers.remove('a', 10.0, store_well=False)
+    assert servers.tally('a') is None
 
 
 def test_stage_never_loses_all_workers() -> None:
@@ -123,25 +123,25 @@
 
     If all were removed, the service would refuse every request.
     """
-    found = fleet.Fleet('here', random.Random(1))
+    servers = fleet.Fleet('here', random.Random(1))
     for name in ('d1', 'd2'):
-        found.put(_backend(name, 'decode'))
-        found.failed(name, 0.0)
+        servers.put(_backend(name, 'decode'))
+        servers.failed(name, 0.0)
     for name in ('p1', 'p2'):
-        found.put(_backend(name, 'prefill'))
-    found.failed('p1', 0.0)
-    assert found.faulty('s', 0.1) == ('p1',)
-    assert found.faulty('s', 10 * fleet.FAULT_HALF_S) == ()
+        servers.put(_backend(name, 'prefill'))
+    servers.failed('p1', 0.0)
+    assert servers.faulty('s', 0.1) == ('p1',)
+    assert servers.faulty('s', 10 * fleet.FAULT_HALF_S) == ()
 
 
 def test_counts_of_unknown_servers_are_ignored() -> None:
-    found = _fleet('a')
-    for call in (found.sent, found.ended):
+    servers = _fleet('a')
+    for call in (servers.sent, servers.ended):
         call('x')
-    found.failed('x', 0.0)
-    found.full('x', 0.0)
-    found.answered('x', 0.0)
-    assert _order(found) == ['a']
+    servers.failed('x', 0.0)
+    servers.full('x', 0.0)
+    servers.answered('x', 0.0)
+    assert _order(servers) == ['a']
 
 
 @pytest.mark.parametrize(('status', 'left'), [(421, ['b']), (503, ['b', 'a'])])
@@ -149,7 +149,7 @@
     status: int, left: list[str]
 ) -> None:
     """Another server has its address, or it had no capacity for a moment."""
-    found = _fleet('a', 'b')
+    servers = _fleet('a', 'b')
     head = forwarding.Head(status=status, headers=(), ran='no')
-    found.not_run('a', 0.0, misdirected=head.misdirected)
-    assert _order(found, 0.01) == left
+    servers.not_run('a', 0.0, misdirected=head.misdirected)
+    assert _order(servers, 0.01) == left
