--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -63,9 +63,9 @@
         ),
     )
     known = routes.Matcher(table).client_accounts
-    found = known.holder(accounts.digest(_SECRET))
-    assert found is not None
-    assert found.name == 'huka270'
+    account = known.holder(accounts.digest(_SECRET))
+    assert account is not None
+    assert account.name == 'huka270'
     assert known.holder(accounts.digest('other')) is None
     assert known.holder(None) is None
 
@@ -132,18 +132,18 @@
     """
     state = _state()
     _apply(state, 0, _config(3, _TENANT))
-    ask = messages.AskRecords(ends={})
-    told = messages.encode(state.reply(ask, 1.0))
-    assert b'huka270' in told
+    request = messages.AskRecords(ends={})
+    encoded = messages.encode(state.reply(request, 1.0))
+    assert b'huka270' in encoded
     other = _state()
-    reply = messages.decode(told)
+    reply = messages.decode(encoded)
     assert isinstance(reply, messages.RecordsReply)
     other.take_reply(reply, 1.0)
     for known in (state, other):
         assert known.matcher is not None
         holder = known.matcher.client_accounts.holder
         assert holder(accounts.digest(_SECRET)) is not None
-    assert not any(key.encode() in told for key in _TENANT['api_keys'])
+    assert not any(key.encode() in encoded for key in _TENANT['api_keys'])
 
 
 @pytest.mark.parametrize(
@@ -214,10 +214,10 @@
         assert _SECRET not in repr(call)
 
 
-def _walk(found: object) -> Iterator[object]:
-    yield found
-    for field in getattr(found, '__struct_fields__', ()):
-        yield from _walk(getattr(found, field))
+def _walk(value: object) -> Iterator[object]:
+    yield value
+    for field in getattr(value, '__struct_fields__', ()):
+        yield from _walk(getattr(value, field))
 
 
 def test_a_decoded_account_holds_no_key() -> None:
--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -23,23 +23,23 @@
 
 def test_longest_of_several_backoffs_applies() -> None:
     """Guards against a later response that shortens an earlier backoff."""
-    known = backoffs.Backoffs()
-    assert known.asked(0.0, 's', 0, 3.0)
-    assert not known.asked(1.0, 's', 0, 0.5)
-    assert known.own_s(2.0, 's', 0) == 1.0
-    assert known.own_s(3.0, 's', 0) == 0.0
+    server_backoffs = backoffs.Backoffs()
+    assert server_backoffs.asked(0.0, 's', 0, 3.0)
+    assert not server_backoffs.asked(1.0, 's', 0, 0.5)
+    assert server_backoffs.own_s(2.0, 's', 0) == 1.0
+    assert server_backoffs.own_s(3.0, 's', 0) == 0.0
 
 
 def test_new_incarnation_has_no_backoff() -> None:
-    """Guards against a backoff that outlives the incarnation that asked for it."""
-    known = backoffs.Backoffs()
-    known.asked(0.0, 's', 1, 3.0)
-    known.take(0.0, {'s': (1, 3.0)})
-    assert not known.own_s(1.0, 's', 2)
-    assert not known.told_s(1.0, 's', 2)
-    known.asked(1.0, 's', 2, 1.0)
-    assert not known.asked(1.0, 's', 1, 9.0)
-    assert known.own_s(1.0, 's', 2) == 1.0
+    """Guards against a backoff that outlives its incarnation."""
+    server_backoffs = backoffs.Backoffs()
+    server_backoffs.asked(0.0, 's', 1, 3.0)
+    server_backoffs.take(0.0, {'s': (1, 3.0)})
+    assert not server_backoffs.own_s(1.0, 's', 2)
+    assert not server_backoffs.told_s(1.0, 's', 2)
+    server_backoffs.asked(1.0, 's', 2, 1.0)
+    assert not server_backoffs.asked(1.0, 's', 1, 9.0)
+    assert server_backoffs.own_s(1.0, 's', 2) == 1.0
 
 
 def test_exchanged_updates_do_not_prolong_backoff() -> None:
@@ -48,9 +48,9 @@
     one.asked(0.0, 's', 0, 3.0)
     for step in range(40):
         now = step * 0.1
-        # The network delay of the update.
-        words = one.words(now)
-        other.take(now + 0.09, words)
+        # The updates arrive after 90 ms and 10 ms.
+        update = one.words(now)
+        other.take(now + 0.09, update)
         one.take(now + 0.1, other.words(now + 0.09))
     assert not one.words(4.1)
     assert not other.words(4.1)
@@ -58,17 +58,17 @@
 
 def test_invalid_time_is_bounded() -> None:
     """Guards against a server that never gets a request again."""
-    known = backoffs.Backoffs()
-    known.asked(0.0, 's', 0, 1e9)
-    assert known.own_s(0.0, 's', 0) == backoffs.MOST_S
+    server_backoffs = backoffs.Backoffs()
+    server_backoffs.asked(0.0, 's', 0, 1e9)
+    assert server_backoffs.own_s(0.0, 's', 0) == backoffs.MOST_S
 
 
 def test_memory_is_bounded() -> None:
     """Guards against memory that grows with each server that was ever seen."""
-    known = backoffs.Backoffs()
+    server_backoffs = backoffs.Backoffs()
     for number in range(backoffs.MOST + 10):
-        known.asked(0.0, f's{number}', 0, 10.0 + number)
-    assert len(known.words(0.0)) == backoffs.MOST
+        server_backoffs.asked(0.0, f's{number}', 0, 10.0 + number)
+    assert len(server_backoffs.words(0.0)) == backoffs.MOST
 
 
 def test_server_in_backoff_at_another_vm_is_last_choice() -> None:
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -44,7 +44,7 @@
 
 
 def test_crash_reported_repeatedly_counts_once() -> None:
-    """Guards against counting attempts on one server, or reports of many VMs."""
+    """Guards against counting each attempt on a server, or each VM's report."""
     tracker = _tracker(*(_crash('a', _BAD) for _ in range(9)))
     assert tracker.blamed(10.0, ()) == []
 
@@ -57,7 +57,7 @@
 
 
 def test_crashes_of_quarantined_request_blame_no_other() -> None:
-    """Guards against blaming other requests for crashes that are explained."""
+    """Guards against blaming others while quarantined attempts still run."""
     tracker = _tracker(*(_crash(name, 2) for name in 'abc'))
     for name in 'abc':
         tracker.note(0.1, _crash(name, _BAD, age_ms=100))
@@ -141,7 +141,7 @@
     assert tracker.blamed(1.0, ())[0] == _BAD
 
 
-class _Flapping:
+class _CrashingServers:
     """Servers that crash on their own and restart, under a steady load.
 
     A request that is lost in a crash is retried on another server at once, at
@@ -223,14 +223,14 @@
 def test_occasional_crashes_blame_no_request() -> None:
     """Guards against quarantining healthy requests after ordinary crashes."""
     for seed in range(10):
-        site = _Flapping(seed, up_s=30.0)
+        site = _CrashingServers(seed, up_s=30.0)
         site.play(120.0)
         assert site.blamed == []
 
 
 def test_frequent_crashes_blame_almost_no_request() -> None:
     """Guards against quarantining requests lost three times by chance."""
-    sites = [_Flapping(seed, up_s=8.0) for seed in range(10)]
+    sites = [_CrashingServers(seed, up_s=8.0) for seed in range(10)]
     for site in sites:
         site.play(120.0)
     blamed = sum(len(site.blamed) for site in sites)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -254,7 +254,7 @@
 def test_two_coordinators_admit_no_more_than_one() -> None:
     """VMs disagree for some seconds on the coordinator of an account.
 
-    Each of the two would admit the full rate if they sent each other no updates.
+    Without updates to each other, both would admit the full rate.
     """
     site = _Coordinators(2, _TOLERANCE, first=True)
     for number, now in enumerate(_times(30.0, 0.02)):
@@ -311,7 +311,7 @@
 
 
 def test_disconnected_vms_stay_within_their_shares() -> None:
-    """All VMs are disconnected from each other while an account sends all it can.
+    """All VMs are disconnected while an account sends all it can.
 
     Over a longer time the shares add up to the limit; at first each VM admits
     one request, since its share is less than the cost of any.
@@ -339,7 +339,7 @@
     assert measured.below <= 0.01
 
 
-class _Lossy:
+class _LossyCoordinators:
     """Coordinators whose messages are lost, delayed and duplicated."""
 
     def __init__(self, seed: int) -> None:
@@ -348,7 +348,7 @@
             allowances.Allowances(_TOLERANCE, 0.0, first_start=True)
             for _ in range(3)
         ]
-        # Messages in transit: arrival time, receiving coordinator, kind and cost.
+        # Messages in transit: arrival time, receiver, kind and cost.
         self.in_transit: list[tuple[float, int, str, float]] = []
         # Requests that ran: start time and cost.
         self.completed: list[tuple[float, float]] = []
@@ -365,7 +365,7 @@
             self._request(now, self.rng.choice((20.0, 60.0, 100.0)))
 
     def _change_coordinator(self) -> None:
-        """Moves to the next coordinator, as if the VMs had lost the current one."""
+        """Moves to the next coordinator as if the current one was lost."""
         self.coordinator = (self.coordinator + 1) % 3
 
     def _request(self, now: float, cost: float) -> None:
@@ -384,7 +384,7 @@
             return
         if self.rng.random() < 0.1:
             # The request did not run, so its cost is refunded.
-            self._send(now, target, 'give back', cost)
+            self._send(now, target, 'refund', cost)
             return
         self.completed.append((now, cost))
 
@@ -392,7 +392,7 @@
         for number, coordinator in enumerate(self.coordinators):
             for cost in coordinator.news().values():
                 for other in {0, 1, 2} - {number}:
-                    self._send(now, other, 'told', cost)
+                    self._send(now, other, 'update', cost)
 
     def _send(self, now: float, to: int, kind: str, cost: float) -> None:
         draw = self.rng.random()
@@ -400,7 +400,7 @@
             return
         delay_s = self.rng.uniform(0.0, 0.5 if draw > 0.8 else 0.01)
         self.in_transit.append((now + delay_s, to, kind, cost))
-        if kind == 'told' and draw < 0.2:
+        if kind == 'update' and draw < 0.2:
             # A sender that received no reply sends the update again.
             self.in_transit.append((now + 0.2, to, kind, cost))
 
@@ -410,7 +410,7 @@
             message for message in self.in_transit if message[0] > now
         ]
         for _, to, kind, cost in due:
-            if kind == 'told':
+            if kind == 'update':
                 self.coordinators[to].told(now, _ACCOUNT, cost)
             else:
                 self.coordinators[to].give_back(now, _ACCOUNT, cost)
@@ -424,7 +424,7 @@
     updates and refunds are late, duplicated or lost. The account must get no
     more than its limit, nor much less.
     """
-    site = _Lossy(seed)
+    site = _LossyCoordinators(seed)
     site.play()
     worst = max(
         sum(c for at, c in site.completed if begin <= at < begin + 8.0)
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -25,10 +25,10 @@
     If the timeout is too long, the prefill is evicted; if it is too short, the
     prefill is wasted too.
     """
-    item = pace.Pace()
+    transfer_pace = pace.Pace()
     for _ in range(3):
-        item.learn(1_000, 0.1)
-    assert item.bound_s(tokens, life_s) == pytest.approx(bound_s)
+        transfer_pace.learn(1_000, 0.1)
+    assert transfer_pace.bound_s(tokens, life_s) == pytest.approx(bound_s)
 
 
 def test_timeout_before_any_transfer_is_long() -> None:
@@ -37,13 +37,13 @@
 
 def test_retained_responses_stay_below_their_limit() -> None:
     """Responses arrive for hours; the memory that retains them is a few MB."""
-    answers = kept.Answers(limit=10)
-    answers.put('reader', 'a', b'1234')
-    answers.put('reader', 'a', b'12345')
-    answers.put('reader', 'b', b'12345')
-    answers.put('reader', 'c', b'123')
-    assert answers.get('reader', 'a') == b''
-    assert answers.get('reader', 'b') == b'12345'
-    assert answers.get('reader', 'c') == b'123'
-    answers.put('reader', 'd', b'x' * 11)
-    assert answers.get('reader', 'd') == b''
+    responses = kept.Answers(limit=10)
+    responses.put('reader', 'a', b'1234')
+    responses.put('reader', 'a', b'12345')
+    responses.put('reader', 'b', b'12345')
+    responses.put('reader', 'c', b'123')
+    assert responses.get('reader', 'a') == b''
+    assert responses.get('reader', 'b') == b'12345'
+    assert responses.get('reader', 'c') == b'123'
+    responses.put('reader', 'd', b'x' * 11)
+    assert responses.get('reader', 'd') == b''
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ('host', 'path', 'found'),
+    ('host', 'path', 'expected'),
     [
         ('a.example', '/a/x', '/a/'),
         ('a.example', '/a/b/x', '/a/b/'),
@@ -39,10 +39,10 @@
     ],
 )
 def test_longest_prefix_of_the_host_is_selected(
-    host: str, path: str, found: str | None
+    host: str, path: str, expected: str | None
 ) -> None:
     route = routes.Matcher(_TABLE).find(host, path)
-    assert (route.name if route else None) == found
+    assert (route.name if route else None) == expected
 
 
 def test_split_follows_weights_and_is_stable_per_request() -> None:
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -16,9 +16,9 @@
     edges = [0, *sorted(cuts), len(_STREAM)]
     out = b''
     for start, end in itertools.pairwise(edges):
-        whole = splitter.feed(_STREAM[start:end])
-        assert not whole or whole.endswith(b'\n\n')
-        out += whole
+        complete = splitter.feed(_STREAM[start:end])
+        assert not complete or complete.endswith(b'\n\n')
+        out += complete
     assert out == _STREAM
     assert splitter.position == 5
     assert not splitter.partial
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -18,7 +18,9 @@
 Event = backends.Piece | backends.Last
 
 
-def answer(request: str, texts: list[str], attempt: int = 1) -> list[Event]:
+def response_events(
+    request: str, texts: list[str], attempt: int = 1
+) -> list[Event]:
     """Returns the events of one complete response."""
     events: list[Event] = [
         backends.Piece(
@@ -41,7 +43,7 @@
     return [*events, last]
 
 
-def read(
+def feed_events(
     checker: streams.Checker, events: list[Event]
 ) -> tuple[str, list[streams.Verdict]]:
     """Returns the accepted text and every verdict."""
@@ -64,7 +66,9 @@
 @SETTINGS
 @hypothesis.given(texts)
 def test_undisturbed_response_is_complete(own: list[str]) -> None:
-    text, verdicts = read(streams.Checker('r1', 1, 's1'), answer('r1', own))
+    text, verdicts = feed_events(
+        streams.Checker('r1', 1, 's1'), response_events('r1', own)
+    )
     assert text == ''.join(own)
     assert verdicts[-1] is VERDICT.WHOLE
 
@@ -83,18 +87,18 @@
     """
     rng = random.Random(seed)
     events = (
-        answer('r1', own) * 2
-        + answer('r2', other)
-        + answer('r1', earlier, attempt=2)
+        response_events('r1', own) * 2
+        + response_events('r2', other)
+        + response_events('r1', earlier, attempt=2)
     )
     rng.shuffle(events)
     events = events[: len(events) - cut]
-    text, verdicts = read(streams.Checker('r1', 1, 's1'), events)
+    text, verdicts = feed_events(streams.Checker('r1', 1, 's1'), events)
     assert ''.join(own).startswith(text)
     if VERDICT.WHOLE in verdicts:
-        upto = verdicts.index(VERDICT.WHOLE)
-        whole, _ = read(streams.Checker('r1', 1, 's1'), events[:upto])
-        assert whole == ''.join(own)
+        end = verdicts.index(VERDICT.WHOLE)
+        complete, _ = feed_events(streams.Checker('r1', 1, 's1'), events[:end])
+        assert complete == ''.join(own)
 
 
 def test_changed_text_is_not_complete() -> None:
@@ -102,25 +106,25 @@
 
     The caller would receive a response that was never generated.
     """
-    events = answer('r1', ['go', ' now'])
-    events[1] = answer('r1', ['go', ' not'])[1]
-    _, verdicts = read(streams.Checker('r1', 1, 's1'), events)
+    events = response_events('r1', ['go', ' now'])
+    events[1] = response_events('r1', ['go', ' not'])[1]
+    _, verdicts = feed_events(streams.Checker('r1', 1, 's1'), events)
     assert verdicts[-1] is VERDICT.BROKEN
 
 
 def test_each_kind_of_stray_event_has_its_verdict() -> None:
     checker = streams.Checker('r1', 1, 's1')
-    own = answer('r1', ['a', 'b'])
+    own = response_events('r1', ['a', 'b'])
     strays = [
         own[1],
-        answer('r2', ['a'])[0],
+        response_events('r2', ['a'])[0],
         own[0],
         own[0],
         own[2],
-        answer('r1', [])[0],
-        answer('r1', ['a', 'b'], attempt=2)[2],
+        response_events('r1', [])[0],
+        response_events('r1', ['a', 'b'], attempt=2)[2],
     ]
-    _, verdicts = read(checker, strays)
+    _, verdicts = feed_events(checker, strays)
     assert verdicts == [
         VERDICT.GAP,
         VERDICT.FOREIGN,
@@ -133,10 +137,10 @@
 
 
 def test_a_negative_position_is_no_duplicate() -> None:
-    piece = backends.Piece(
+    chunk = backends.Piece(
         request='r1', attempt=1, stream='s1', position=-1, text='x'
     )
-    assert streams.Checker('r1', 1, 's1').piece(piece) is VERDICT.GAP
+    assert streams.Checker('r1', 1, 's1').piece(chunk) is VERDICT.GAP
 
 
 def test_resumed_response_is_complete_by_its_count() -> None:
@@ -144,8 +148,8 @@
 
     That one never received the first texts; the caller gets the digest.
     """
-    events = answer('r1', ['a', 'b', 'c'])
-    text, verdicts = read(streams.Checker('r1', 1, 's1', 2), events[2:])
+    events = response_events('r1', ['a', 'b', 'c'])
+    text, verdicts = feed_events(streams.Checker('r1', 1, 's1', 2), events[2:])
     assert (text, verdicts[-1]) == ('c', VERDICT.WHOLE)
 
 
@@ -157,10 +161,10 @@
     An entry VM that crashed on it would drop every other caller's stream.
     """
     try:
-        found = streams.parse_id(text)
+        event_id = streams.parse_id(text)
     except errors.DecodeError:
         return
-    assert streams.parse_id(found.text()) == found
+    assert streams.parse_id(event_id.text()) == event_id
 
 
 def test_event_id_round_trip() -> None:
@@ -201,7 +205,7 @@
 
 def test_the_last_events_hold_count_digest_and_end() -> None:
     framer = streams.Framer('r1', 'w1', 's1', 'm', 7)
-    last = answer('r1', ['a', 'b'])[-1]
+    last = response_events('r1', ['a', 'b'])[-1]
     assert isinstance(last, backends.Last)
     event, done, rest = framer.last(last).split(b'\n\n')
     assert (done, rest) == (b'data: [DONE]', b'')
