--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -37,13 +37,13 @@
         self._known: list[dict[str, workers.Worker]] = [{} for _ in wld.vms]
         self._rng = random.Random('baseline')
         self._turn = [vm for vm, _ in enumerate(wld.vms)]
-        self._grants: dict[str, messages.Granted] = {}
+        self._grants: dict[str, messages.SlotGrant] = {}
         wld.on_load.append(self._on_load)
 
     def ask(
         self,
         vm: int,
-        msg: messages.AskSlot,
+        msg: messages.SlotRequest,
         reply: Callable[[entry.Reply], None],
     ) -> None:
         """Grants at once, without reserving anything."""
@@ -59,30 +59,30 @@
             return
         prefill = self._prefill(vm, prefills)
         grant = f'{msg.request}/{msg.attempt}'
-        self._grants[grant] = messages.Granted(
+        self._grants[grant] = messages.SlotGrant(
             grant=grant,
-            prefill=prefill,
+            prefill_worker=prefill,
             prefill_address='',
-            decode=decode,
+            decode_worker=decode,
             decode_address='',
             start_in_ms=0,
-            lapses_ms=3_000,
+            expires_ms=3_000,
         )
         reply(self._grants[grant])
 
-    def end(self, vm: int, msg: messages.EndSlot) -> None:
+    def end(self, vm: int, msg: messages.SlotRelease) -> None:
         """Learns which worker failed."""
         granted = self._grants.pop(msg.grant, None)
         if granted is None:
             return
         failed = {
-            'prefill-failed': granted.prefill,
-            'transfer-failed': granted.decode,
-            'decode-failed': granted.decode,
+            'prefill-failed': granted.prefill_worker,
+            'transfer-failed': granted.decode_worker,
+            'decode-failed': granted.decode_worker,
         }.get(msg.result)
         worker = self._known[vm].get(failed or '')
         if worker is not None:
-            worker.failed(self._world.clock.now)
+            worker.record_failure(self._world.clock.now)
 
     def _decode(self, vm: int, names: list[str]) -> str:
         raise NotImplementedError
@@ -111,7 +111,7 @@
         names = []
         for server in self._world.listed:
             worker = known.setdefault(server.name, workers.Worker(server))
-            if server.role == role and worker.usable(self._world.clock.now):
+            if server.role == role and worker.is_usable(self._world.clock.now):
                 names.append(server.name)
         return names
 
@@ -172,7 +172,7 @@
     def ask(
         self,
         vm: int,
-        msg: messages.AskSlot,
+        msg: messages.SlotRequest,
         reply: Callable[[entry.Reply], None],
     ) -> None:
         """Asks the decode workers' homes in turn, then a prefill home."""
@@ -187,16 +187,16 @@
         prefill = self._prefill(vm, prefills)
         self._next(vm, msg, decodes, prefill, reply)
 
-    def end(self, vm: int, msg: messages.EndSlot) -> None:
+    def end(self, vm: int, msg: messages.SlotRelease) -> None:
         """Gives the slot back to the decode worker's home."""
         granted = self._grants.get(msg.grant)
         super().end(vm, msg)
         if granted is None:
             return
-        held = self._held[granted.decode]
+        held = self._held[granted.decode_worker]
         self._world.send(
             vm,
-            self._home(granted.decode),
+            self._home(granted.decode_worker),
             msg,
             lambda: held.discard(msg.grant),
         )
@@ -207,7 +207,7 @@
     def _next(
         self,
         vm: int,
-        msg: messages.AskSlot,
+        msg: messages.SlotRequest,
         decodes: list[str],
         prefill: str,
         reply: Callable[[entry.Reply], None],
@@ -217,14 +217,14 @@
             return
         decode, *rest = decodes
         held = self._held.setdefault(decode, set())
-        granted = messages.Granted(
+        granted = messages.SlotGrant(
             grant=f'{msg.request}/{msg.attempt}',
-            prefill=prefill,
+            prefill_worker=prefill,
             prefill_address='127.0.0.1:9000',
-            decode=decode,
+            decode_worker=decode,
             decode_address='127.0.0.1:9001',
             start_in_ms=0,
-            lapses_ms=3_000,
+            expires_ms=3_000,
         )
         home = self._home(decode)
 
@@ -246,23 +246,25 @@
     def _book(
         self,
         vm: int,
-        msg: messages.AskSlot,
-        granted: messages.Granted,
+        msg: messages.SlotRequest,
+        granted: messages.SlotGrant,
         reply: Callable[[entry.Reply], None],
     ) -> None:
-        home = self._home(granted.prefill)
+        home = self._home(granted.prefill_worker)
 
         def at_home() -> None:
             now = self._world.clock.now
             took = msg.prompt_tokens / workload.PREFILL_RATE
-            free_at = max(now, self._free_at.get(granted.prefill, 0.0)) + took
+            free_at = (
+                max(now, self._free_at.get(granted.prefill_worker, 0.0)) + took
+            )
             estimate = msg.waited_ms + (free_at - now) * 1000
             target = self._world.dep.service.first_answer_ms
             self._grants[granted.grant] = granted
             if target and estimate > target:
                 self.end(
                     vm,
-                    messages.EndSlot(
+                    messages.SlotRelease(
                         service=msg.service,
                         grant=granted.grant,
                         result='cancelled',
@@ -271,17 +273,17 @@
                 no = entry.refused(codes.NO_CAPACITY, _RETRY_MS)
                 self._world.send(home, vm, no, lambda: reply(no))
                 return
-            self._free_at[granted.prefill] = free_at
+            self._free_at[granted.prefill_worker] = free_at
             self._world.send(home, vm, granted, lambda: reply(granted))
 
         self._world.send(vm, home, msg, at_home)
 
     def _full_everywhere(
-        self, msg: messages.AskSlot, reply: Callable[[entry.Reply], None]
+        self, msg: messages.SlotRequest, reply: Callable[[entry.Reply], None]
     ) -> None:
         service = self._world.dep.service
         limit = service.first_answer_ms or service.patience_ms
         if msg.waited_ms + 4 * _AGAIN_MS > limit:
             reply(entry.refused(codes.NO_CAPACITY, _RETRY_MS))
         else:
-            reply(messages.Queued(again_in_ms=_AGAIN_MS, position=0))
+            reply(messages.Queued(retry_in_ms=_AGAIN_MS, position=0))
--- a/bench/entry.py
+++ b/bench/entry.py
@@ -14,12 +14,12 @@
 from bench import meter
 from bench import workload
 from bench import world
-from foxtaildale import budget
 from foxtaildale import codes
 from foxtaildale import ledger
 from foxtaildale import messages
+from foxtaildale import retry_budgets
 
-Reply = messages.Granted | messages.Queued | messages.Refused
+Reply = messages.SlotGrant | messages.Queued | messages.Refused
 
 # An import that the decode worker is too full for is tried again, seconds.
 _FULL_AGAIN_S: Final = 0.025
@@ -38,11 +38,11 @@
     recovers: bool
 
     def ask(
-        self, vm: int, msg: messages.AskSlot, reply: Callable[[Reply], None]
+        self, vm: int, msg: messages.SlotRequest, reply: Callable[[Reply], None]
     ) -> None:
         """Asks for workers; the reply comes when it comes."""
 
-    def end(self, vm: int, msg: messages.EndSlot) -> None:
+    def end(self, vm: int, msg: messages.SlotRelease) -> None:
         """Tells that a grant is used up."""
 
 
@@ -53,7 +53,7 @@
         self,
         wld: world.World,
         placer: Placer,
-        bud: budget.Budget,
+        bud: retry_budgets.RetryBudget,
         arrival: workload.Arrival,
         *,
         vm: int,
@@ -63,7 +63,7 @@
         self.vm = vm
         self.holder = f'e{vm}'
         # The grant in use, and whether it was given back.
-        self.granted: messages.Granted | None = None
+        self.granted: messages.SlotGrant | None = None
         self._world = wld
         self._placer = placer
         self._budget = bud
@@ -82,7 +82,7 @@
         self._first_at = 0.0
         self._transfer_s = 0.0
         self._avoid = ''
-        bud.first(wld.clock.now)
+        bud.record_first_attempt(wld.clock.now)
         if arrival.leaves_after:
             wld.clock.after(arrival.leaves_after, self._leave)
         wld.clock.after(
@@ -110,24 +110,24 @@
             lambda reply: self._answered(attempt, reply),
         )
 
-    def _ask_msg(self) -> messages.AskSlot:
+    def _ask_msg(self) -> messages.SlotRequest:
         arrival = self.arrival
-        return messages.AskSlot(
+        return messages.SlotRequest(
             service=self._world.dep.model,
             request=arrival.request,
             attempt=self._attempt,
             holder=self.holder,
             prompt_tokens=arrival.prompt,
             output_tokens=self._world.dep.service.expected_tokens,
-            prefixes=(arrival.prefix,) if arrival.prefix else (),
+            prefix_digests=(arrival.prefix,) if arrival.prefix else (),
             waited_ms=round((self._world.clock.now - self._began) * 1000),
-            ready_at=self._source,
-            avoid=self._avoid,
+            prefilled_at=self._source,
+            excluded_worker=self._avoid,
         )
 
     def _answered(self, attempt: int, reply: Reply) -> None:
         if self._ended or attempt != self._attempt or self.granted:
-            if isinstance(reply, messages.Granted) and self._ended:
+            if isinstance(reply, messages.SlotGrant) and self._ended:
                 self._give_back(reply, 'cancelled')
             return
         if isinstance(reply, messages.Refused):
@@ -135,7 +135,7 @@
             self._drop('refused')
             self._finish(f'refused-{reply.code}', reply)
         elif isinstance(reply, messages.Queued):
-            self._later(reply.again_in_ms / 1000, self._ask)
+            self._later(reply.retry_in_ms / 1000, self._ask)
         else:
             self.granted = reply
             start = self._import if self._source else self._start_prefill
@@ -144,8 +144,8 @@
     def _start_prefill(self) -> None:
         assert self.granted is not None
         attempt = self._attempt
-        self._source = self.granted.prefill
-        self._key = ledger.name(self.arrival.request, attempt)
+        self._source = self.granted.prefill_worker
+        self._key = ledger.grant_name(self.arrival.request, attempt)
         self._world.holders[self._key] = self.vm
         self._prefill = engines.Prefill(
             self._key,
@@ -165,7 +165,9 @@
         if not source.lives(self._key):
             self._failed(self._attempt, 'evicted')
             return
-        if not self._world.decodes[self.granted.decode].reserve(self._key):
+        if not self._world.decodes[self.granted.decode_worker].reserve(
+            self._key
+        ):
             again = self._move if self._placer.recovers else self._import
             self._later(_FULL_AGAIN_S, again)
             return
@@ -186,7 +188,7 @@
         def moved(reply: Reply) -> None:
             if self._ended or attempt != self._attempt:
                 return
-            if isinstance(reply, messages.Granted):
+            if isinstance(reply, messages.SlotGrant):
                 self.granted = reply
             self._import()
 
@@ -199,7 +201,7 @@
         source.link.cancel(self._key)
         source.pin(self._key, False)
         self._transfer_s = self._world.clock.now - self._sent_at
-        self._world.decodes[self.granted.decode].cancel(self._key)
+        self._world.decodes[self.granted.decode_worker].cancel(self._key)
         if self._placer.recovers and source.lives(self._key):
             self._world.meter.retries += 1
             self._give_back(self.granted, 'transfer-failed')
@@ -223,7 +225,7 @@
             done=lambda: self._done(attempt),
             failed=lambda: self._failed(attempt, 'decode-failed'),
         )
-        self._world.decodes[self.granted.decode].start(self._key, stream)
+        self._world.decodes[self.granted.decode_worker].start(self._key, stream)
 
     def _first(self, attempt: int) -> None:
         if not self._ended and attempt == self._attempt:
@@ -256,10 +258,10 @@
         if granted is not None:
             self._give_back(granted, result)
             blamed = result in ('transfer-failed', 'decode-failed')
-            self._avoid = granted.decode if blamed else ''
+            self._avoid = granted.decode_worker if blamed else ''
         self.granted = None
         deadline = self._began + self._world.dep.first_answer_s
-        if self._first_at or not self._budget.allow(now, deadline):
+        if self._first_at or not self._budget.acquire(now, deadline):
             self._finish(meter.FAILED, None)
             return
         self._world.meter.retries += 1
@@ -275,10 +277,10 @@
         if granted is not None:
             self._give_back(granted, 'cancelled')
         else:
-            name = ledger.name(self.arrival.request, self._attempt)
+            name = ledger.grant_name(self.arrival.request, self._attempt)
             self._placer.end(
                 self.vm,
-                messages.EndSlot(
+                messages.SlotRelease(
                     service=self._world.dep.model,
                     grant=name,
                     result='cancelled',
@@ -303,7 +305,7 @@
             source.link.cancel(self._key)
             source.cancel(self._key)
         if self.granted is not None and self._key:
-            self._world.decodes[self.granted.decode].cancel(self._key)
+            self._world.decodes[self.granted.decode_worker].cancel(self._key)
 
     def _drop(self, why: str) -> None:
         """Books the attempt's prefilled tokens under what became of them."""
@@ -311,13 +313,13 @@
             self._world.meter.tokens[why] += self._prefill.computed
             self._prefill.computed = 0
 
-    def _give_back(self, granted: messages.Granted, result: str) -> None:
+    def _give_back(self, granted: messages.SlotGrant, result: str) -> None:
         now = self._world.clock.now
         job = self._prefill
         finished = job is not None and self._sent_at > 0
         self._placer.end(
             self.vm,
-            messages.EndSlot(
+            messages.SlotRelease(
                 service=self._world.dep.model,
                 grant=granted.grant,
                 result=result,
--- a/bench/home.py
+++ b/bench/home.py
@@ -10,10 +10,10 @@
 from bench import entry
 from bench import world
 from foxtaildale import backends
-from foxtaildale import homes
+from foxtaildale import coordinator_choice
+from foxtaildale import fallback_share
 from foxtaildale import messages
 from foxtaildale import pool
-from foxtaildale import share
 from foxtaildale import values
 
 # Heartbeat between processes, and the silence after which one is gone.
@@ -53,7 +53,9 @@
 
     def home(self) -> int:
         """Returns the number of the entry VM whose keeper is home."""
-        name = homes.home(self._world.dep.model, self._members)
+        name = coordinator_choice.choose_coordinator(
+            self._world.dep.model, self._members
+        )
         return self._world.vms.index(name)
 
     def lose(self, vm: int) -> None:
@@ -79,7 +81,7 @@
     def ask(
         self,
         vm: int,
-        msg: messages.AskSlot,
+        msg: messages.SlotRequest,
         reply: Callable[[entry.Reply], None],
     ) -> None:
         """Asks the home, or the share where the home does not answer."""
@@ -92,16 +94,16 @@
         home = self.home()
 
         def at_home() -> None:
-            answer = self._pool(home).ask(self._world.clock.now, msg)
+            answer = self._pool(home).request_slot(self._world.clock.now, msg)
             self._world.send(home, vm, answer, lambda: arrive(answer))
 
         def arrive(answer: entry.Reply) -> None:
             if self._open.pop(number, None) is None:
                 return
-            if isinstance(answer, messages.Granted):
-                self._held[vm][answer.grant] = answer.decode
+            if isinstance(answer, messages.SlotGrant):
+                self._held[vm][answer.grant] = answer.decode_worker
                 now = self._world.clock.now
-                self._shares[vm].granted(now, msg, answer)
+                self._shares[vm].count_grant(now, msg, answer)
             reply(answer)
 
         def late() -> None:
@@ -112,14 +114,14 @@
         self._world.send(vm, home, msg, at_home)
         self._world.clock.after(_HOME_TIMEOUT_S, late)
 
-    def end(self, vm: int, msg: messages.EndSlot) -> None:
+    def end(self, vm: int, msg: messages.SlotRelease) -> None:
         """Tells the home and the share."""
         self._held[vm].pop(msg.grant, None)
-        self._shares[vm].end(self._world.clock.now, msg)
+        self._shares[vm].release(self._world.clock.now, msg)
         home = self.home()
 
         def at_home() -> None:
-            self._pool(home).end(self._world.clock.now, msg)
+            self._pool(home).release(self._world.clock.now, msg)
             self._world.send(home, vm, messages.Pong(), lambda: None)
 
         self._world.send(vm, home, msg, at_home)
@@ -131,12 +133,12 @@
     def _fall_back(
         self,
         vm: int,
-        msg: messages.AskSlot,
+        msg: messages.SlotRequest,
         reply: Callable[[entry.Reply], None],
     ) -> None:
-        answer = self._shares[vm].ask(self._world.clock.now, msg)
-        if isinstance(answer, messages.Granted):
-            self._held[vm][answer.grant] = answer.decode
+        answer = self._shares[vm].request_slot(self._world.clock.now, msg)
+        if isinstance(answer, messages.SlotGrant):
+            self._held[vm][answer.grant] = answer.decode_worker
         reply(answer)
 
     def _pool(self, home: int) -> pool.Pool:
@@ -148,8 +150,8 @@
             self._pools[name] = made
         return self._pools[name]
 
-    def _share(self, vm: str) -> share.Share:
-        made = share.Share(self._world.dep.model, vm)
+    def _share(self, vm: str) -> fallback_share.FallbackShare:
+        made = fallback_share.FallbackShare(self._world.dep.model, vm)
         made.on_service(self._world.dep.service)
         made.on_listing(self._listing())
         return made
@@ -189,7 +191,7 @@
         self._reap(home)
 
     def _keep(self, vm: int, home: int) -> None:
-        msg = messages.KeepSlots(
+        msg = messages.SlotRenewal(
             service=self._world.dep.model,
             holder=f'e{vm}',
             grants=tuple(self._held[vm].items()),
@@ -197,7 +199,7 @@
 
         def at_home() -> None:
             self._heard[vm] = self._world.clock.now
-            self._pool(home).keep(self._world.clock.now, msg)
+            self._pool(home).renew(self._world.clock.now, msg)
             self._world.send(home, vm, messages.Pong(), back)
 
         def back() -> None:
--- a/bench/lists.py
+++ b/bench/lists.py
@@ -17,8 +17,8 @@
 
 from foxtaildale import claimlog
 from foxtaildale import codes
+from foxtaildale import coordinator_choice
 from foxtaildale import gossip
-from foxtaildale import homes
 from foxtaildale import messages
 from foxtaildale import options
 from foxtaildale import values
@@ -60,9 +60,9 @@
     )
 
 
-def hello(listed: values.Listing) -> messages.HelloReply:
+def hello(listed: values.Listing) -> messages.EntryHeartbeatReply:
     """Returns what a keeper tells an entry once a second, no preset."""
-    return messages.HelloReply(
+    return messages.EntryHeartbeatReply(
         keeper='keeper.dc-01-entry-0001.0123456789abcdef',
         in_force=None,
         listing=listed,
@@ -101,9 +101,9 @@
     made = keeper.Keeper(me, cfg)
     made.on_listing(0.0, listed)
     for vm in others:
-        made.on_beat(
+        made.on_heartbeat(
             0.0,
-            messages.Beat(
+            messages.KeeperHeartbeat(
                 entry_vm=vm.name,
                 incarnation=f'keeper.{vm.name}.0',
                 data_centre=vm.data_centre,
@@ -114,8 +114,8 @@
             ),
         )
     start = time.process_time()
-    made.homed(0.0)
-    made.reaped(0.0)
+    made.coordinated_workers(0.0)
+    made.assigned_workers(0.0)
     return (time.process_time() - start) * 1e3 / 2
 
 
@@ -152,14 +152,16 @@
     read_ms = _cpu_ms(lambda: msgspec.json.decode(text, type=values.Listing))
     tell_ms = _cpu_ms(lambda: messages.decode(messages.encode(reply)))
     names = tuple(vm.name for vm in listed.entry_vms)
-    home_us = 1e3 * _cpu_ms(lambda: homes.home('model-07', names))
+    home_us = 1e3 * _cpu_ms(
+        lambda: coordinator_choice.choose_coordinator('model-07', names)
+    )
     gc.collect()
     tracemalloc.start()
     held = msgspec.json.decode(text, type=values.Listing)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     assert len(held.entry_vms) == entry_vms
-    beats = gossip.round_beats(entry_vms)
+    beats = gossip.heartbeats_per_round(entry_vms)
     bound = 'silence_s' if beats == 1 else f'{_ROUNDS * beats} beats'
     return (
         f'{entry_vms:4} {servers:5} {len(text):8} {read_ms:7.3f}'
@@ -187,7 +189,7 @@
         )
         for i in range(_CLAIMS)
     ]
-    fold = claimlog.Fold(0)
+    fold = claimlog.ClaimFold(0)
     start = time.process_time()
     for offset, data in enumerate(records):
         record = claimlog.decode(data)
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -22,13 +22,13 @@
 import msgspec
 
 from bench import clock as clock_lib
-from foxtaildale import comeback
 from foxtaildale import fleet
 from foxtaildale import forwarding
 from foxtaildale import messages
-from foxtaildale import placing
-from foxtaildale import room
+from foxtaildale import placement_plan
+from foxtaildale import retry_delays
 from foxtaildale import routes
+from foxtaildale import wait_limits
 
 # Worth of a late answer, against one in time.
 LATE: Final = 0.2
@@ -346,7 +346,7 @@
         self.clock = clock_lib.Clock()
         self.rng = random.Random(seed)
         self.tally = Tally()
-        self.plan = placing.Plan()
+        self.plan = placement_plan.Plan()
         readers = max(2, round(layout.prefill * layout.engines))
         self.engines = {
             f'e{n}': Engine(
@@ -374,7 +374,7 @@
         )
         self._count = 0
         # What the plan sees, kept so that it may be handed out as it is.
-        self._listed: dict[str, fleet.Tally] = {}
+        self._listed: dict[str, fleet.ServerState] = {}
         for name in self.engines:
             self._list(name)
 
@@ -389,7 +389,7 @@
 
     def engines_now(
         self,
-    ) -> tuple[list[fleet.Tally], list[fleet.Tally]]:
+    ) -> tuple[list[fleet.ServerState], list[fleet.ServerState]]:
         """Returns the decode workers and the prefill workers."""
         listed = list(self._listed.values())
         return (
@@ -399,7 +399,7 @@
 
     def _list(self, name: str) -> None:
         engine = self.engines[name]
-        self._listed[name] = fleet.Tally(
+        self._listed[name] = fleet.ServerState(
             forwarding.Backend(
                 id=name, service=SERVICE, address='x:1', stage=engine.stage
             )
@@ -417,7 +417,7 @@
         self._listed.pop(name, None)
 
     def _restart(self, name: str) -> None:
-        self.plan.restarted(name)
+        self.plan.forget(name)
         self.engines[name].up = True
         self._list(name)
 
@@ -426,7 +426,7 @@
         changes = self.plan.stage_changes(now, self.service, self.engines_now)
         for change in changes:
             name = change.backend.id
-            self.plan.balance.ordered(now, name)
+            self.plan.balance.record_order(now, name)
             engine = self.engines[name]
             engine.away = True
             stage = change.stage
@@ -474,25 +474,27 @@
         if now - req.try_at > SILENCE_TARGETS * play.layout.target_s:
             self._leave()
             return
-        msg = messages.AskPlace(
+        msg = messages.PlacementRequest(
             service=SERVICE,
             request=req.name,
             holder='vm',
-            prompt=req.prompt + int(req.made),
-            hinted=max(16, req.guess - int(req.made)),
-            longest=max(16, req.longest - int(req.made)),
+            prompt_tokens=req.prompt + int(req.made),
+            hinted_tokens=max(16, req.guess - int(req.made)),
+            max_output_tokens=max(16, req.longest - int(req.made)),
             waited_ms=int(1000 * (now - req.try_at)),
             target_ms=int(1000 * play.layout.target_s),
             priority=1,
-            digest=req.digest,
-            started=self._first_at is not None,
-            gap_ms=int(1000 * play.layout.gap_s),
-            left_ms=max(1, int(1000 * self._left_s())),
+            request_digest=req.digest,
+            response_started=self._first_at is not None,
+            max_gap_ms=int(1000 * play.layout.gap_s),
+            remaining_ms=max(1, int(1000 * self._left_s())),
         )
-        reply = play.plan.ask(now, msg, play.service, play.engines_now)
-        if isinstance(reply, messages.Place):
+        reply = play.plan.request_placement(
+            now, msg, play.service, play.engines_now
+        )
+        if isinstance(reply, messages.PlacementGrant):
             self._placed(reply)
-        elif isinstance(reply, messages.TooLate):
+        elif isinstance(reply, messages.DeadlineUnreachable):
             self._refused(0.0)
         else:
             self._wait(reply)
@@ -504,15 +506,21 @@
 
     def _wait(self, reply: messages.Queued) -> None:
         waited_s = self.play.clock.now - self.req.try_at
-        patience_s = room.patience_s(self.play.route, came_back=reply.came_back)
+        patience_s = wait_limits.patience_s(
+            self.play.route, is_retry=reply.is_retry
+        )
         wait_s = reply.wait_ms / 1000
         over = waited_s > patience_s
-        hopeless = room.hopeless(wait_s, patience_s - waited_s)
+        hopeless = wait_limits.exceeds_patience(wait_s, patience_s - waited_s)
         if over or (waited_s > 0 and hopeless):
-            self._end(messages.EndPlace(service=SERVICE, request=self.req.name))
+            self._end(
+                messages.PlacementRelease(
+                    service=SERVICE, request=self.req.name
+                )
+            )
             self._refused(wait_s)
             return
-        self.play.clock.after(reply.again_in_ms / 1000, self.ask)
+        self.play.clock.after(reply.retry_in_ms / 1000, self.ask)
 
     def _refused(self, wait_s: float) -> None:
         play, req, now = self.play, self.req, self.play.clock.now
@@ -521,7 +529,7 @@
             return
         play.tally.came_back += 1
         play.tally.refused_after.append(now - req.try_at)
-        after_s = comeback.retry_after_s(
+        after_s = retry_delays.retry_after_s(
             max(0.8, wait_s), self._left_s(), play.rng
         )
         play.clock.after(after_s, self._come_back)
@@ -537,23 +545,25 @@
         self.req.name = f'{self.req.digest}/{self.req.tries}/{self._number}'
 
     def _leave(self) -> None:
-        self._end(messages.EndPlace(service=SERVICE, request=self.req.name))
+        self._end(
+            messages.PlacementRelease(service=SERVICE, request=self.req.name)
+        )
         self.play.tally.refused += 1
 
-    def _end(self, msg: messages.EndPlace) -> None:
+    def _end(self, msg: messages.PlacementRelease) -> None:
         now = self.play.clock.now
         self.play.clock.after(
-            WAY_S, lambda: self.play.plan.end(now + WAY_S, msg)
+            WAY_S, lambda: self.play.plan.release(now + WAY_S, msg)
         )
 
-    def _placed(self, place: messages.Place) -> None:
+    def _placed(self, place: messages.PlacementGrant) -> None:
         play, now = self.play, self.play.clock.now
         self._placed_at = now
-        if not place.prefiller:
-            engine = play.engines[place.worker]
+        if not place.prefill_worker:
+            engine = play.engines[place.decode_worker]
             ready_at = engine.read_itself(self.req)
         else:
-            reader = play.engines[place.prefiller]
+            reader = play.engines[place.prefill_worker]
             starts_at = max(now + WAY_S, reader.free_at)
             reader.free_at = (
                 starts_at + self.req.prompt / play.layout.read_per_s
@@ -561,7 +571,7 @@
             ready_at = reader.free_at + MOVE_S
         play.clock.at(ready_at, lambda: self._decode(place))
 
-    def _decode(self, place: messages.Place) -> None:
+    def _decode(self, place: messages.PlacementGrant) -> None:
         play, now = self.play, self.play.clock.now
         self._prefill_s = now - self._placed_at
         if now - self.req.try_at > SILENCE_TARGETS * play.layout.target_s:
@@ -569,17 +579,17 @@
             self._leave()
             return
         self._decode_from = now
-        taken = play.engines[place.worker].take(
+        taken = play.engines[place.decode_worker].take(
             self.req, lambda whole: self._stopped(whole=whole)
         )
         if not taken:
             play.tally.wasted_tokens += self.req.prompt
             self._end(
-                messages.EndPlace(
+                messages.PlacementRelease(
                     service=SERVICE,
                     request=self.req.name,
                     prefill_ms=int(1000 * self._prefill_s),
-                    refused=True,
+                    prefill_rejected=True,
                 )
             )
             self._rename()
@@ -592,13 +602,13 @@
         play, req, now = self.play, self.req, self.play.clock.now
         tokens = max(1, int(req.made))
         self._end(
-            messages.EndPlace(
+            messages.PlacementRelease(
                 service=SERVICE,
                 request=req.name,
                 prefill_ms=int(1000 * self._prefill_s),
                 decode_ms=max(1, int(1000 * (now - self._decode_from))),
-                tokens=tokens,
-                whole=whole,
+                output_tokens=tokens,
+                complete=whole,
             )
         )
         if not whole:
--- a/bench/quota.py
+++ b/bench/quota.py
@@ -24,8 +24,8 @@
 
 from foxtaildale import accounts
 from foxtaildale import allowances
-from foxtaildale import bucket
 from foxtaildale import shares
+from foxtaildale import token_bucket
 
 # One way of a message between entry VMs, seconds.
 DELAY_S: Final = 0.001
@@ -95,11 +95,11 @@
 
     def __init__(self, _play: Play) -> None:
         self.messages = 0
-        self._bucket = bucket.Bucket(LIMIT, 0.0, LIMIT.burst)
+        self._bucket = token_bucket.Bucket(LIMIT, 0.0, LIMIT.burst)
 
     def ask(self, now: float, vm: int, cost: float) -> bool:
         """Whether a request that comes at a VM may run."""
-        return not self._bucket.take(now, cost)
+        return not self._bucket.try_spend(now, cost)
 
     def home_lost(self, now: float) -> None:
         """Loses nothing."""
@@ -128,7 +128,7 @@
             self.messages += 1
             now = self._lost_until
         self.messages += 2
-        return not self._home.ask(now + DELAY_S, ACCOUNT, cost).wait_s
+        return not self._home.admit(now + DELAY_S, ACCOUNT, cost).wait_s
 
     def home_lost(self, now: float) -> None:
         """The next one follows, with what it was told."""
@@ -143,9 +143,9 @@
 
     def _tell(self, now: float) -> None:
         self._tell_at = now + TELL_S
-        for cost in self._home.news().values():
+        for cost in self._home.drain_admitted().values():
             self.messages += 4
-            self._heir.told(now, ACCOUNT, cost)
+            self._heir.count_remote(now, ACCOUNT, cost)
 
 
 class Shares:
@@ -158,7 +158,7 @@
 
     def ask(self, now: float, vm: int, cost: float) -> bool:
         """Whether a request that comes at a VM may run."""
-        answer = self._shares[vm].ask(now, ACCOUNT, cost, self._vms)
+        answer = self._shares[vm].admit(now, ACCOUNT, cost, self._vms)
         return not answer.wait_s
 
     def home_lost(self, now: float) -> None:
@@ -183,11 +183,11 @@
     def ask(self, now: float, vm: int, cost: float) -> bool:
         """Whether a request that comes at a VM may run."""
         self._hear(now)
-        if self._levels[vm].take(now, cost):
+        if self._levels[vm].try_spend(now, cost):
             return False
         self.messages += 2
-        self._home.told(now + DELAY_S, ACCOUNT, cost)
-        level = self._home.ask(now + DELAY_S, ACCOUNT, 0.0).level
+        self._home.count_remote(now + DELAY_S, ACCOUNT, cost)
+        level = self._home.admit(now + DELAY_S, ACCOUNT, 0.0).level
         reply = (now + 2 * DELAY_S, next(self._order), vm, level)
         heapq.heappush(self._replies, reply)
         return True
@@ -203,13 +203,14 @@
     def _begin(self, now: float, *, first: bool) -> None:
         self._home = _new_home(now, first=first)
         self._levels = [
-            bucket.Bucket(LIMIT, now, LIMIT.burst) for _ in range(self._vms)
+            token_bucket.Bucket(LIMIT, now, LIMIT.burst)
+            for _ in range(self._vms)
         ]
 
     def _hear(self, now: float) -> None:
         while self._replies and self._replies[0][0] <= now:
             at, _, vm, level = heapq.heappop(self._replies)
-            self._levels[vm] = bucket.Bucket(LIMIT, at, level)
+            self._levels[vm] = token_bucket.Bucket(LIMIT, at, level)
 
 
 def _new_home(now: float, *, first: bool) -> allowances.Allowances:
@@ -270,7 +271,7 @@
     found = let_in(play, way, seed)
     wanted = sum(cost for _, cost in let_in(play, Ideal(play), seed))
     allowed = LIMIT.rate * TOLERANCE.window_s + LIMIT.burst
-    allowed += TOLERANCE.units(LIMIT)
+    allowed += TOLERANCE.allowed_excess(LIMIT)
     return Figures(
         worst=_worst(found) / allowed,
         below=max(0.0, 1 - sum(cost for _, cost in found) / wanted),
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -33,7 +33,7 @@
 from foxtaildale_adapters import engines
 from foxtaildale_adapters import events
 from foxtaildale_adapters import pump
-from foxtaildaled import reading
+from foxtaildaled import response_reading
 from foxtaildaled import sinks
 
 # Streams that one engine decodes in step.
@@ -88,7 +88,7 @@
 
 
 def _piece(index: int, position: int, text: str) -> bytes:
-    piece = backends.Piece(
+    piece = backends.Chunk(
         request='r', attempt=1, stream='s', position=position, text=text
     )
     data = msgspec.json.encode(piece)
@@ -96,7 +96,7 @@
 
 
 def _last(index: int, count: int, digest: str) -> bytes:
-    last = backends.Last(
+    last = backends.StreamEnd(
         request='r', attempt=1, stream='s', count=count, digest=digest
     )
     data = msgspec.json.encode(last)
@@ -134,17 +134,19 @@
         times: list[float] = []
         checker = streams.Checker('r', 1, 's')
         sink = sinks.EventSink(exchange, 'r', 'm')
-        sink.begin('w', 's')
-        reader = reading.Reader(
-            gone=threading.Event(),
+        sink.begin_attempt('w', 's')
+        reader = response_reading.ResponseReader(
+            caller_disconnected=threading.Event(),
             sink=sink,
             checker=checker,
             clock=time.monotonic,
-            times=times,
-            carrier=self._pump,
-            silence_s=_LIMIT_S,
+            sent_times=times,
+            stream_pump=self._pump,
+            max_silence_s=_LIMIT_S,
+        )
+        pumped: ports.EventStream = (
+            pieces if self._pumped else _Iterated(pieces)
         )
-        pumped: ports.Pieces = pieces if self._pumped else _Iterated(pieces)
         fault = reader.read(pumped)
         exchange.finish()
         pieces.close()
@@ -168,10 +170,10 @@
     def __init__(self, pieces: events.Stream) -> None:
         self._pieces = pieces
 
-    def __iter__(self) -> Iterator[backends.Piece | backends.Last]:
+    def __iter__(self) -> Iterator[backends.Chunk | backends.StreamEnd]:
         return iter(self._pieces)
 
-    def __next__(self) -> backends.Piece | backends.Last:
+    def __next__(self) -> backends.Chunk | backends.StreamEnd:
         return next(self._pieces)
 
     def close(self) -> None:
--- a/bench/router.py
+++ b/bench/router.py
@@ -15,11 +15,11 @@
 from foxtaildale import forwarding
 from foxtaildale import messages
 from foxtaildale import mirror
-from foxtaildale import placing
+from foxtaildale import placement_plan
 from foxtaildale import ports
 from foxtaildale import routes
 from foxtaildale_platform import records
-from foxtaildaled import beliefs
+from foxtaildaled import router_state
 
 _CODEC: Final = records.Codec()
 _ROUNDS: Final = 300
@@ -35,9 +35,9 @@
     return (time.process_time() - began) / _ROUNDS * 1e6
 
 
-def _tallies(stage: forwarding.Stage, count: int) -> list[fleet.Tally]:
+def _tallies(stage: forwarding.Stage, count: int) -> list[fleet.ServerState]:
     return [
-        fleet.Tally(
+        fleet.ServerState(
             forwarding.Backend(
                 id=f'i-{stage}-{number:06x}',
                 service='s',
@@ -49,14 +49,14 @@
     ]
 
 
-def _ask(request: str) -> messages.AskPlace:
-    return messages.AskPlace(
+def _ask(request: str) -> messages.PlacementRequest:
+    return messages.PlacementRequest(
         service='s',
         request=request,
         holder='edge-vm-1',
-        prompt=5000,
-        hinted=4000,
-        longest=8320,
+        prompt_tokens=5000,
+        hinted_tokens=4000,
+        max_output_tokens=8320,
         waited_ms=100,
         target_ms=900,
         priority=1,
@@ -70,33 +70,39 @@
         decoders: Decode workers.
         waiters: Requests that wait beside the one that asks; none fits.
     """
-    found = placing.Plan()
+    found = placement_plan.Plan()
     tallies = _tallies('decode', decoders)
     prefillers = _tallies('prefill', max(1, decoders // 2))
     service = routes.Service(name='s', kv_tokens=60_344, slots=16)
     kept = tuple(
-        messages.KeptPlace(
+        messages.ActivePlacement(
             request=f'{tally.backend.id}/{number}',
-            worker=tally.backend.id,
-            prompt=5000,
-            hinted=4000,
-            longest=8320,
+            decode_worker=tally.backend.id,
+            prompt_tokens=5000,
+            hinted_tokens=4000,
+            max_output_tokens=8320,
             age_ms=number * 100,
         )
         for tally in tallies
         for number in range(_PER_WORKER)
     )
-    found.keep(9.9, messages.KeepPlaces(service='s', holder='vm', places=kept))
+    found.renew(
+        9.9, messages.PlacementRenewal(service='s', holder='vm', places=kept)
+    )
 
     for number in range(waiters):
         waiting = _ask(f'w{number}')
-        found.ask(10.0, waiting, service, lambda: (tallies, prefillers))
+        found.request_placement(
+            10.0, waiting, service, lambda: (tallies, prefillers)
+        )
 
     def ask(*, look: bool) -> None:
         if look:
             # Else the next look would be due only when the clock has moved.
-            found._look_at = 0.0
-        found.ask(10.0, _ask('r'), service, lambda: (tallies, prefillers))
+            found._next_pass_at = 0.0
+        found.request_placement(
+            10.0, _ask('r'), service, lambda: (tallies, prefillers)
+        )
 
     look = _cpu_us(lambda: ask(look=True))
     between = _cpu_us(lambda: ask(look=False))
@@ -108,7 +114,7 @@
 
     A third of the servers wrote since the other VM asked last.
     """
-    state = beliefs.Beliefs(_CODEC, 'a:1', (), 'dc', random.Random(1))
+    state = router_state.RouterState(_CODEC, 'a:1', (), 'dc', random.Random(1))
     value = (
         b'{"service":"abcdefg","address":"10.128.0.9:8080","zone":"halle-nord"'
         b',"version":"v1","slots":64,"state":"ready","cold_left_ms":0,'
@@ -118,13 +124,18 @@
         mirror.Entry(f'i-{number:010x}', number, value)
         for number in range(servers)
     )
-    state.take(
-        _CODEC.servers_topic, ports.Keyed(servers, entries), 1.0, whole=False
+    state.apply_store_reply(
+        _CODEC.servers_topic,
+        ports.KeyedRecords(servers, entries),
+        1.0,
+        is_snapshot=False,
+    )
+    ask = messages.RecordsRequest(
+        positions={_CODEC.servers_topic: servers * 2 // 3}
     )
-    ask = messages.AskRecords(ends={_CODEC.servers_topic: servers * 2 // 3})
 
     def answer() -> bytes:
-        return messages.encode(state.reply(ask, 1.1))
+        return messages.encode(state.build_reply(ask, 1.1))
 
     return _cpu_us(answer), len(answer())
 
@@ -142,7 +153,13 @@
         print(f'| {count} | {cost:.0f} | {size} |')
     sizes = [len(messages.encode(_ask('9c41d07be2a35f68/0')))]
     sizes.append(
-        len(messages.encode(messages.Place(worker='i-1', prefiller='i-2')))
+        len(
+            messages.encode(
+                messages.PlacementGrant(
+                    decode_worker='i-1', prefill_worker='i-2'
+                )
+            )
+        )
     )
     print('AskPlace and Place, bytes:', *sizes)
 
--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -14,8 +14,8 @@
 from bench import meter
 from bench import workload
 from bench import world
-from foxtaildale import budget
 from foxtaildale import messages
+from foxtaildale import retry_budgets
 from foxtaildale import values
 
 
@@ -80,7 +80,7 @@
         self.world = world.World(dep)
         self.placer = make(self.world)
         self.budgets = [
-            budget.Budget(
+            retry_budgets.RetryBudget(
                 values.Preset(name='', services={}).retry_ratio,
                 values.Preset(name='', services={}).retry_burst,
             )
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -54,16 +54,16 @@
 def message_bytes() -> dict[str, int]:
     """Returns the bytes of the messages that a request costs."""
     ask = _ask(1)
-    granted = messages.Granted(
+    granted = messages.SlotGrant(
         grant='0123456789abcdef/1',
-        prefill='enteis-llm-prefill-0',
+        prefill_worker='enteis-llm-prefill-0',
         prefill_address='10.20.30.40:9000',
-        decode='enteis-llm-decode-0',
+        decode_worker='enteis-llm-decode-0',
         decode_address='10.20.30.41:9000',
         start_in_ms=120,
-        lapses_ms=3000,
+        expires_ms=3000,
     )
-    end = messages.EndSlot(
+    end = messages.SlotRelease(
         service=_NAME,
         grant='0123456789abcdef/1',
         result='done',
@@ -73,7 +73,7 @@
         output_tokens=125,
         cached_tokens=600,
     )
-    keep = messages.KeepSlots(
+    keep = messages.SlotRenewal(
         service=_NAME,
         holder='halle-nord-1-0123456789abcdef',
         grants=tuple(
@@ -81,7 +81,7 @@
             for i in range(10)
         ),
     )
-    found: dict[str, messages.Any] = {
+    found: dict[str, messages.Message] = {
         'AskSlot': ask,
         'Granted': granted,
         'EndSlot': end,
@@ -103,21 +103,21 @@
     return '\n'.join(lines)
 
 
-def _ask(number: int, waited_ms: int = 0) -> messages.AskSlot:
-    return messages.AskSlot(
+def _ask(number: int, waited_ms: int = 0) -> messages.SlotRequest:
+    return messages.SlotRequest(
         service=_NAME,
         request=f'{number:016x}',
         attempt=1,
         holder='halle-nord-1-0123456789abcdef',
         prompt_tokens=1_300,
         output_tokens=128,
-        prefixes=('0123456789abcdef',),
+        prefix_digests=('0123456789abcdef',),
         waited_ms=waited_ms,
     )
 
 
-def _end(grant: str) -> messages.EndSlot:
-    return messages.EndSlot(
+def _end(grant: str) -> messages.SlotRelease:
+    return messages.SlotRelease(
         service=_NAME,
         grant=grant,
         result='done',
@@ -158,16 +158,16 @@
     now = 3.0
     for number in range(workers * workload.SLOTS * 2):
         now += 0.2 / workers
-        reply = made.ask(now, _ask(number))
-        if isinstance(reply, messages.Granted):
+        reply = made.request_slot(now, _ask(number))
+        if isinstance(reply, messages.SlotGrant):
             grants.append(reply.grant)
         if number % 50 == 0:
-            made.keep(now, _keep(grants))
+            made.renew(now, _keep(grants))
     return made, grants
 
 
-def _keep(grants: list[str]) -> messages.KeepSlots:
-    return messages.KeepSlots(
+def _keep(grants: list[str]) -> messages.SlotRenewal:
+    return messages.SlotRenewal(
         service=_NAME,
         holder='halle-nord-1-0123456789abcdef',
         grants=tuple((grant, 'w4') for grant in grants),
@@ -185,11 +185,11 @@
     for number in range(_ASKS):
         now += 3.0 / room
         began = time.perf_counter()
-        reply = made.ask(now, _ask(number))
+        reply = made.request_slot(now, _ask(number))
         if len(held) >= room:
-            made.end(now, _end(held.pop(0)))
+            made.release(now, _end(held.pop(0)))
         spent += time.perf_counter() - began
-        if isinstance(reply, messages.Granted):
+        if isinstance(reply, messages.SlotGrant):
             held.append(reply.grant)
     return spent / _ASKS * 1e6
 
@@ -198,7 +198,7 @@
     now = 100.0
     began = time.perf_counter()
     for number in range(_ASKS // 4):
-        made.ask(now, _ask(1_000_000 + number, waited_ms=5_000))
+        made.request_slot(now, _ask(1_000_000 + number, waited_ms=5_000))
     return (time.perf_counter() - began) / (_ASKS // 4) * 1e6
 
 
@@ -206,7 +206,7 @@
     msg = _keep(grants)
     began = time.perf_counter()
     for _ in range(100):
-        made.keep(50.0, msg)
+        made.renew(50.0, msg)
     return (time.perf_counter() - began) / 100 * 1e6
 
 
@@ -246,12 +246,12 @@
     made = _pool(workers, service)
     now = 3.0
     number = 0
-    while isinstance(made.ask(now, _ask(number)), messages.Granted):
+    while isinstance(made.request_slot(now, _ask(number)), messages.SlotGrant):
         number += 1
     gc.collect()
     tracemalloc.start()
     for extra in range(1_000):
-        made.ask(now, _ask(number + extra))
+        made.request_slot(now, _ask(number + extra))
     gc.collect()
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/bench/without.py
+++ b/bench/without.py
@@ -14,8 +14,8 @@
 from bench import scenario
 from bench import workload
 from bench import world
-from foxtaildale import budget
 from foxtaildale import messages
+from foxtaildale import retry_budgets
 
 
 class NoRecovery(home.HomePlacer):
@@ -30,7 +30,7 @@
     def ask(
         self,
         vm: int,
-        msg: messages.AskSlot,
+        msg: messages.SlotRequest,
         reply: Callable[[entry.Reply], None],
     ) -> None:
         """Asks, and replaces when to come back."""
@@ -67,5 +67,7 @@
     """Returns a run with a mechanism taken out."""
     run = scenario.Run(dep, scn, case.placer, dep.long_s, seed)
     if case.ratio is not None:
-        run.budgets = [budget.Budget(case.ratio, 0) for _ in run.world.vms]
+        run.budgets = [
+            retry_budgets.RetryBudget(case.ratio, 0) for _ in run.world.vms
+        ]
     return run
--- a/bench/world.py
+++ b/bench/world.py
@@ -65,7 +65,7 @@
         self,
         sender: int,
         receiver: int,
-        msg: messages.Any,
+        msg: messages.Message,
         deliver: Callable[[], None],
     ) -> None:
         """Sends a message from one VM to another; it may be lost."""
--- a/packages/adapters/foxtaildale_adapters/body.py
+++ b/packages/adapters/foxtaildale_adapters/body.py
@@ -59,7 +59,7 @@
         """
         with self._lock:
             if self._closed:
-                raise errors.AnswerLostError('closed')
+                raise errors.NoReplyError('closed')
             self._reading = True
         try:
             if self._sock is not None:
@@ -111,7 +111,7 @@
         except BlockingIOError as exc:
             raise exchange.TimeoutLostError('silent') from exc
         except OSError as exc:
-            raise errors.AnswerLostError(str(exc)) from exc
+            raise errors.NoReplyError(str(exc)) from exc
 
     def _take_socket(self) -> socket.socket | None:
         try:
--- a/packages/adapters/foxtaildale_adapters/connections.py
+++ b/packages/adapters/foxtaildale_adapters/connections.py
@@ -69,7 +69,7 @@
     def lost(self, text: str) -> errors.PortError:
         """Returns what can be said of an ask without an answer."""
         if self.sent:
-            return errors.AnswerLostError(text)
+            return errors.NoReplyError(text)
         return errors.UnreachableError(text)
 
 
--- a/packages/adapters/foxtaildale_adapters/engines.py
+++ b/packages/adapters/foxtaildale_adapters/engines.py
@@ -43,7 +43,7 @@
             address, '/prefill', req, backends.PrefillReply, timeout_s
         )
 
-    def fetch(
+    def import_kv(
         self, address: str, req: backends.ImportReq, timeout_s: float
     ) -> backends.ImportReply:
         """Transfers a KV cache to the decode worker at `address`."""
@@ -89,7 +89,7 @@
         """Reads what the engine holds."""
         return self._short(address, 'GET', '/holdings', backends.Holdings)
 
-    def cache(self, address: str, after: int) -> backends.CacheEvents:
+    def cache_events(self, address: str, after: int) -> backends.CacheEvents:
         """Reads cache events after a number."""
         path = f'/cache?after={after}'
         return self._short(address, 'GET', path, backends.CacheEvents)
@@ -171,15 +171,15 @@
         return msgspec.json.decode(answer.body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         # Something answered, so the request may have had its effect.
-        raise errors.AnswerLostError(f'not understood: {exc}') from exc
+        raise errors.NoReplyError(f'not understood: {exc}') from exc
 
 
 def _fault(answer: exchange.Answer) -> errors.PortError:
     """Returns the error for an answer that is no success."""
     if answer.status >= 400:
         try:
-            fault = msgspec.json.decode(answer.body, type=backends.Fault)
+            fault = msgspec.json.decode(answer.body, type=backends.BackendError)
             return errors.RejectedError(fault.code, fault.message)
         except (msgspec.DecodeError, UnicodeDecodeError):
             pass
-    return errors.AnswerLostError(f'status {answer.status} without a fault')
+    return errors.NoReplyError(f'status {answer.status} without a fault')
--- a/packages/adapters/foxtaildale_adapters/events.py
+++ b/packages/adapters/foxtaildale_adapters/events.py
@@ -21,8 +21,8 @@
 _END: Final = b'\n\n'
 _DATA: Final = b'data: '
 
-_piece: Final = msgspec.json.Decoder(backends.Piece)
-_last: Final = msgspec.json.Decoder(backends.Last)
+_piece: Final = msgspec.json.Decoder(backends.Chunk)
+_last: Final = msgspec.json.Decoder(backends.StreamEnd)
 
 
 class Body(Protocol):
@@ -45,7 +45,7 @@
         """Closes the connection; may be called from any thread."""
 
 
-def parse(event: bytes) -> backends.Piece | backends.Last | None:
+def parse(event: bytes) -> backends.Chunk | backends.StreamEnd | None:
     """Returns what one event holds; None if it has no data, as a comment.
 
     Raises:
@@ -62,7 +62,7 @@
     try:
         return _last.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise errors.AnswerLostError(f'not an event: {exc}') from exc
+        raise errors.NoReplyError(f'not an event: {exc}') from exc
 
 
 class Stream:
@@ -87,7 +87,7 @@
         # Longest time without an event, seconds.
         self.silence_s = silence_s
         # Events that have come and were not handed on, latest first.
-        self._ready: list[backends.Piece | backends.Last] = []
+        self._ready: list[backends.Chunk | backends.StreamEnd] = []
         # Start of an event whose end has not come.
         self._rest = b''
         # Whether no more events will come.
@@ -96,13 +96,13 @@
     def __iter__(self) -> 'Stream':
         return self
 
-    def __next__(self) -> backends.Piece | backends.Last:
+    def __next__(self) -> backends.Chunk | backends.StreamEnd:
         if not self._ready:
             if self.ended:
                 raise StopIteration
             self._fill()
         event = self._ready.pop()
-        if type(event) is backends.Last:
+        if type(event) is backends.StreamEnd:
             self.ended = True
             self._ready.clear()
             self.close()
@@ -121,11 +121,11 @@
                 before its last event.
         """
         if not block:
-            raise errors.AnswerLostError('stream ended before its last')
+            raise errors.NoReplyError('stream ended before its last')
         found = (self._rest + block).split(_END)
         self._rest = found.pop()
         if len(self._rest) > MAX_EVENT:
-            raise errors.AnswerLostError(f'event above {MAX_EVENT} bytes')
+            raise errors.NoReplyError(f'event above {MAX_EVENT} bytes')
         fresh = [event for event in map(parse, found) if event is not None]
         if fresh:
             fresh.reverse()
@@ -155,7 +155,7 @@
                 self.feed(self._body.read())
                 # Bytes that make no event keep the socket's timeout quiet.
                 if not self._ready and self._clock() > deadline:
-                    raise errors.AnswerLostError('no event in time')
+                    raise errors.NoReplyError('no event in time')
         except BaseException:
             self.ended = True
             self.close()
--- a/packages/adapters/foxtaildale_adapters/exchange.py
+++ b/packages/adapters/foxtaildale_adapters/exchange.py
@@ -47,7 +47,7 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-class TimeoutLostError(errors.AnswerLostError):
+class TimeoutLostError(errors.NoReplyError):
     """The answer was lost by silence, not by a closed connection."""
 
 
@@ -143,7 +143,7 @@
             chunks.append(chunk)
             size += len(chunk)
             if size > MAX_BODY:
-                raise errors.AnswerLostError(f'answer above {MAX_BODY} bytes')
+                raise errors.NoReplyError(f'answer above {MAX_BODY} bytes')
             # A sender that trickles never trips the socket's own timeout.
             if self._clock() > deadline:
                 raise TimeoutLostError('answer not whole in time')
@@ -211,7 +211,7 @@
     except urllib3.exceptions.ReadTimeoutError as exc:
         raise TimeoutLostError(str(exc)) from exc
     except (urllib3.exceptions.HTTPError, OSError, ValueError) as exc:
-        raise errors.AnswerLostError(str(exc)) from exc
+        raise errors.NoReplyError(str(exc)) from exc
 
 
 def read(resp: urllib3.BaseHTTPResponse) -> bytes:
@@ -231,7 +231,7 @@
         AttributeError,
     ) as exc:
         # AttributeError: the response was closed by another thread.
-        raise errors.AnswerLostError(str(exc)) from exc
+        raise errors.NoReplyError(str(exc)) from exc
 
 
 class _Unchunked(urllib3.connection.HTTPConnection):
--- a/packages/adapters/foxtaildale_adapters/flight.py
+++ b/packages/adapters/foxtaildale_adapters/flight.py
@@ -153,7 +153,7 @@
             pass
         except _LOST as exc:
             self.cancel()
-            raise errors.BrokenOffError(str(exc)) from exc
+            raise errors.ConnectionBrokenError(str(exc)) from exc
 
     def answer(self, timeout_s: float) -> Answer:
         """Waits for the head of the answer.
@@ -171,7 +171,7 @@
             raise exchange.TimeoutLostError('no answer in time') from exc
         except _LOST as exc:
             self.cancel()
-            raise errors.BrokenOffError(str(exc)) from exc
+            raise errors.ConnectionBrokenError(str(exc)) from exc
         self._resp = resp
         return Answer(resp.status, tuple(resp.headers.items()))
 
@@ -193,7 +193,7 @@
             raise exchange.TimeoutLostError('silent') from exc
         except _LOST as exc:
             self.cancel()
-            raise errors.BrokenOffError(str(exc)) from exc
+            raise errors.ConnectionBrokenError(str(exc)) from exc
 
     def cancel(self) -> None:
         """Ends the connection now; may be called more than once."""
--- a/packages/adapters/foxtaildale_adapters/flow.py
+++ b/packages/adapters/foxtaildale_adapters/flow.py
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        items: list[backends.Piece | backends.Last],
+        items: list[backends.Chunk | backends.StreamEnd],
         rest: bytes,
         sock: socket.socket | None,
     ) -> None:
@@ -59,7 +59,7 @@
         try:
             return source._sock.dup()
         except OSError as exc:
-            raise errors.AnswerLostError('closed') from exc
+            raise errors.NoReplyError('closed') from exc
 
 
 class Caller(Protocol):
@@ -118,7 +118,7 @@
         # What is wrong with the stream, a value of `streams.Verdict`.
         self.fault = ''
         # The end of the whole answer.
-        self.last: backends.Last | None = None
+        self.last: backends.StreamEnd | None = None
 
     def run(
         self, carrier: pump.Pump, sock: socket.socket, silence_s: float
@@ -144,21 +144,25 @@
         found = (self._rest + block).split(_END)
         self._rest = found.pop()
         if len(self._rest) > events.MAX_EVENT:
-            raise errors.AnswerLostError('event without an end')
+            raise errors.NoReplyError('event without an end')
         return self.take(
             item for item in map(events.parse, found) if item is not None
         )
 
-    def take(self, items: Iterable[backends.Piece | backends.Last]) -> bool:
+    def take(
+        self, items: Iterable[backends.Chunk | backends.StreamEnd]
+    ) -> bool:
         """Takes pieces; False if the flow ended or the caller lags behind."""
         framed: list[bytes] = []
         for item in items:
-            if isinstance(item, backends.Last):
+            if isinstance(item, backends.StreamEnd):
                 self._end(item, framed)
                 break
-            verdict = self._checker.piece(item)
+            verdict = self._checker.check_chunk(item)
             if verdict is streams.Verdict.ACCEPTED:
-                framed.append(self._framer.piece(item.position, item.text))
+                framed.append(
+                    self._framer.frame_chunk(item.position, item.text)
+                )
             elif verdict is not streams.Verdict.DUPLICATE:
                 self.fault = verdict.value
                 break
@@ -168,10 +172,10 @@
         self._times.extend([now] * pieces)
         return sent and not self.ended
 
-    def _end(self, last: backends.Last, framed: list[bytes]) -> None:
-        verdict = self._checker.last(last)
-        if verdict is streams.Verdict.WHOLE:
+    def _end(self, last: backends.StreamEnd, framed: list[bytes]) -> None:
+        verdict = self._checker.check_end(last)
+        if verdict is streams.Verdict.COMPLETE:
             self.last = last
-            framed.append(self._framer.last(last))
+            framed.append(self._framer.frame_end(last))
         else:
             self.fault = verdict.value
--- a/packages/adapters/foxtaildale_adapters/peers.py
+++ b/packages/adapters/foxtaildale_adapters/peers.py
@@ -96,9 +96,9 @@
         )
         self._thread.start()
 
-    def ask(
-        self, address: str, msg: messages.Any, timeout_s: float
-    ) -> messages.Any:
+    def request(
+        self, address: str, msg: messages.Message, timeout_s: float
+    ) -> messages.Message:
         """Sends a message and waits for its reply.
 
         Args:
@@ -114,9 +114,9 @@
         ask = self._put(address, _payload(msg))
         return self._wait(address, ask, timeout_s)
 
-    def ask_all(
-        self, addresses: Sequence[str], msg: messages.Any, timeout_s: float
-    ) -> dict[str, messages.Any]:
+    def request_all(
+        self, addresses: Sequence[str], msg: messages.Message, timeout_s: float
+    ) -> dict[str, messages.Message]:
         """Sends a message to several and waits for their replies together.
 
         Args:
@@ -162,7 +162,7 @@
 
     def _wait(
         self, address: str, ask: connections.Ask, timeout_s: float
-    ) -> messages.Any:
+    ) -> messages.Message:
         if not ask.done.wait(timeout_s):
             self._give_up(address, ask)
         if ask.exc is not None:
@@ -177,13 +177,13 @@
             ask.exc = ask.lost(f'{address}: no answer in time')
             ask.done.set()
 
-    def _read(self, address: str, data: bytes) -> messages.Any:
+    def _read(self, address: str, data: bytes) -> messages.Message:
         try:
             reply = messages.decode(data)
         except errors.DecodeError as exc:
             self.counts.dropped += 1
-            raise errors.AnswerLostError(f'{address}: {exc}') from exc
-        if isinstance(reply, messages.Fail):
+            raise errors.NoReplyError(f'{address}: {exc}') from exc
+        if isinstance(reply, messages.ErrorReply):
             raise errors.RejectedError(reply.code, reply.message)
         return reply
 
@@ -349,7 +349,7 @@
         conn.close()
         text = f'{conn.address}: {reason}'
         for ask in conn.pending.values():
-            self._settle(ask, errors.AnswerLostError(text))
+            self._settle(ask, errors.NoReplyError(text))
         for ask in conn.waiting:
             self._settle(ask, errors.UnreachableError(text))
 
@@ -360,7 +360,7 @@
                 ask.done.set()
 
 
-def _payload(msg: messages.Any) -> bytes:
+def _payload(msg: messages.Message) -> bytes:
     payload = messages.encode(msg)
     if len(payload) > messages.MAX_BYTES:
         raise errors.UnreachableError(
--- a/packages/adapters/foxtaildale_adapters/platform.py
+++ b/packages/adapters/foxtaildale_adapters/platform.py
@@ -129,10 +129,10 @@
     if answer.status == 503:
         raise errors.RejectedError('down')
     if answer.status == 410:
-        raise errors.LapsedError(_decode(_first, answer.body).first)
+        raise errors.RecordsExpiredError(_decode(_first, answer.body).first)
     if 400 <= answer.status < 500:
         raise errors.RejectedError('bad-request', f'status {answer.status}')
-    raise errors.AnswerLostError(f'status {answer.status}')
+    raise errors.NoReplyError(f'status {answer.status}')
 
 
 def _decode(
@@ -143,4 +143,4 @@
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         # Something answered, so the request may have had its effect.
-        raise errors.AnswerLostError(f'not understood: {exc}') from exc
+        raise errors.NoReplyError(f'not understood: {exc}') from exc
--- a/packages/adapters/foxtaildale_adapters/probe.py
+++ b/packages/adapters/foxtaildale_adapters/probe.py
@@ -14,7 +14,7 @@
 
     __slots__ = ()
 
-    def reach(self, address: str) -> ports.Reach:
+    def check(self, address: str) -> ports.ProbeResult:
         """Returns what became of a connection to 'IP:PORT'."""
         host, _, port = address.rpartition(':')
         try:
--- a/packages/adapters/foxtaildale_adapters/pump.py
+++ b/packages/adapters/foxtaildale_adapters/pump.py
@@ -106,7 +106,7 @@
         stream = _Stream(sock, feed, silence_s, self._clock())
         with self._lock:
             if self._closing:
-                raise errors.AnswerLostError('closed')
+                raise errors.NoReplyError('closed')
             self._streams[sock.fileno()] = stream
             self._epoll.register(sock.fileno(), select.EPOLLIN)
         stream.done.wait()
@@ -125,7 +125,7 @@
                 self._sweep(self._clock())
                 next_sweep = self._clock() + SWEEP_S
         for fd, stream in list(self._streams.items()):
-            self._end(fd, stream, errors.AnswerLostError('closed'))
+            self._end(fd, stream, errors.NoReplyError('closed'))
         self._epoll.close()
         self._wake.close()
 
@@ -135,11 +135,11 @@
         except BlockingIOError:
             return
         except OSError as exc:
-            self._end(fd, stream, errors.AnswerLostError(str(exc)))
+            self._end(fd, stream, errors.NoReplyError(str(exc)))
             return
         if not block:
             text = 'stream ended before its last'
-            self._end(fd, stream, errors.AnswerLostError(text))
+            self._end(fd, stream, errors.NoReplyError(text))
             return
         stream.heard_at = self._clock()
         try:
@@ -154,7 +154,7 @@
     def _sweep(self, now: float) -> None:
         for fd, stream in list(self._streams.items()):
             if now - stream.heard_at > stream.silence_s:
-                self._end(fd, stream, errors.AnswerLostError('silent'))
+                self._end(fd, stream, errors.NoReplyError('silent'))
 
     def _end(self, fd: int, stream: _Stream, exc: BaseException | None) -> None:
         del self._streams[fd]
--- a/packages/adapters/foxtaildale_adapters/wire.py
+++ b/packages/adapters/foxtaildale_adapters/wire.py
@@ -25,7 +25,7 @@
 
 Peers = peers.Peers
 
-Handler = Callable[[messages.Any], messages.Any]
+Handler = Callable[[messages.Message], messages.Message]
 
 # Messages that may wait for a worker; more are answered `Fail` at once, so
 # that askers hear of the overload instead of waiting it out.
@@ -36,7 +36,7 @@
 # connection of anything longer before it is held in memory.
 _FRAME_BYTES: Final = messages.MAX_BYTES + 1024
 _PONG: Final = messages.encode(messages.Pong())
-_BUSY: Final = messages.encode(messages.Fail(code='busy'))
+_BUSY: Final = messages.encode(messages.ErrorReply(code='busy'))
 _POLL_MS: Final = 500
 
 _HANDSHAKE_FAILED: Final = (
@@ -79,7 +79,7 @@
         self._closing = False
         # Identity, sequence number and message of each that waits.
         self._jobs: queue.SimpleQueue[
-            tuple[bytes, bytes, messages.Any] | None
+            tuple[bytes, bytes, messages.Message] | None
         ] = queue.SimpleQueue()
         # Replies that wait for the thread that owns the socket.
         self._outbox: collections.deque[tuple[bytes, bytes, bytes]] = (
@@ -210,23 +210,25 @@
             self._outbox.append((identity, sequence, self._answer(msg)))
             self._wake.set()
 
-    def _answer(self, msg: messages.Any) -> bytes:
+    def _answer(self, msg: messages.Message) -> bytes:
         try:
             data = messages.encode(self._handler(msg))
         except errors.InvariantError:
             raise
         except errors.RejectedError as exc:
             return messages.encode(
-                messages.Fail(code=exc.code, message=str(exc))
+                messages.ErrorReply(code=exc.code, message=str(exc))
             )
         except Exception as exc:
             return messages.encode(
-                messages.Fail(
+                messages.ErrorReply(
                     code='error', message=f'{type(exc).__name__}: {exc}'
                 )
             )
         if len(data) > messages.MAX_BYTES:
             return messages.encode(
-                messages.Fail(code='too-large', message=f'{len(data)} bytes')
+                messages.ErrorReply(
+                    code='too-large', message=f'{len(data)} bytes'
+                )
             )
         return data
--- a/packages/client/foxtaildale_client/explain.py
+++ b/packages/client/foxtaildale_client/explain.py
@@ -62,7 +62,7 @@
         start = max(first, end - _BATCH)
         try:
             yield log.read(STREAM, start, end - start).records
-        except errors.LapsedError as exc:
+        except errors.RecordsExpiredError as exc:
             # Records lapse while we go towards them.
             first = exc.first
             continue
@@ -72,7 +72,7 @@
 def _bounds(log: ports.Log) -> tuple[int, int]:
     try:
         batch = log.read(STREAM, 0, 1)
-    except errors.LapsedError as exc:
+    except errors.RecordsExpiredError as exc:
         batch = log.read(STREAM, exc.first, 1)
     return batch.first, batch.end
 
--- a/packages/client/foxtaildale_client/presets.py
+++ b/packages/client/foxtaildale_client/presets.py
@@ -26,8 +26,8 @@
     Raises:
         errors.SettingsError: It has faults.
     """
-    preset = settings.preset(content, file)
-    digest = changes.digest_of(changes.canonical(preset))
+    preset = settings.parse_preset(content, file)
+    digest = changes.digest_of(changes.canonical_form(preset))
     return results.Checked(file=file, name=preset.name, digest=digest)
 
 
@@ -40,8 +40,8 @@
         errors.SettingsError: It has faults; nothing was sent.
         errors.PortError: The log could not be read; nothing was sent.
     """
-    preset = settings.preset(content, file)
-    digest = changes.digest_of(changes.canonical(preset))
+    preset = settings.parse_preset(content, file)
+    digest = changes.digest_of(changes.canonical_form(preset))
     learnt = submitter.publish(preset)
     return _changed(learnt, 'publish', preset.name, digest)
 
@@ -104,7 +104,7 @@
             if in_force and in_force.digest == found.digest
             else 0
         ),
-        preset=changes.preset_of(found.data),
+        preset=changes.decode_preset(found.data),
     )
 
 
@@ -130,7 +130,7 @@
         found = find(reader.state, which)
         if found is None:
             return _not_found(which)
-        sides.append(changes.preset_of(found.data))
+        sides.append(changes.decode_preset(found.data))
     return differences(old, new, *sides)
 
 
@@ -153,7 +153,7 @@
     )
 
 
-def find(state: fold.Fold, which: str) -> fold.Published | None:
+def find(state: fold.Fold, which: str) -> fold.PublishedPreset | None:
     """Returns a published preset by name; the one in force for no name."""
     if not which:
         digest = state.in_force.digest if state.in_force else '-'
--- a/packages/client/foxtaildale_client/reading.py
+++ b/packages/client/foxtaildale_client/reading.py
@@ -9,14 +9,14 @@
 from typing import Final
 
 from foxtaildale import changes
+from foxtaildale import config_follower
 from foxtaildale import errors
 from foxtaildale import fold
 from foxtaildale import ports
-from foxtaildale import spread
 
 # Records in one read; fewer than verdicts are remembered for, so that none is
 # forgotten before it has been looked at.
-_BATCH: Final = fold.WINDOW // 2
+_BATCH: Final = fold.VERDICT_WINDOW // 2
 # Reads in a row that find their records lapsed, before giving up.
 _LAPSES: Final = 3
 
@@ -35,7 +35,7 @@
     # Verdicts met, by record id, for those that were watched for.
     seen: dict[str, fold.Verdict]
     _log: ports.Log
-    _follower: spread.Follower
+    _follower: config_follower.Follower
     # Reads so far; they are the follower's time, so that it vouches for what
     # it knows exactly if the last read brought it to the end.
     _reads: int
@@ -44,7 +44,7 @@
         self.covered_from = 0
         self.seen = {}
         self._log = log
-        self._follower = spread.Follower('operator', freshness_s=0.0)
+        self._follower = config_follower.Follower('operator', freshness_s=0.0)
         self._reads = 0
 
     @property
@@ -68,7 +68,7 @@
                 batch = self._log.read(
                     changes.STREAM, self._follower.next_offset, _BATCH
                 )
-            except errors.LapsedError as exc:
+            except errors.RecordsExpiredError as exc:
                 lapses += 1
                 if lapses > _LAPSES:
                     raise
@@ -86,7 +86,7 @@
         self._reads += 1
         self._follower.on_batch(self._reads, batch)
         if searching:
-            self.covered_from = max(0, self.state.offset - fold.WINDOW)
+            self.covered_from = max(0, self.state.offset - fold.VERDICT_WINDOW)
         verdict = self.state.verdict(watched)
         if verdict is not None:
             self.seen[watched] = verdict
--- a/packages/client/foxtaildale_client/status.py
+++ b/packages/client/foxtaildale_client/status.py
@@ -167,7 +167,7 @@
 
 def _ask(peers: ports.Peers, address: str, timeout_s: float) -> _Dump | None:
     try:
-        reply = peers.ask(address, messages.Dump(), timeout_s)
+        reply = peers.request(address, messages.DumpRequest(), timeout_s)
     except errors.PortError:
         return None
     if not isinstance(reply, messages.DumpReply):
--- a/packages/client/foxtaildale_client/story.py
+++ b/packages/client/foxtaildale_client/story.py
@@ -92,7 +92,7 @@
             if (
                 other.get('entry_vm') == line.get('entry_vm')
                 and other.get('server') == name
-                and other.get('event') in logevents.OF_BELIEFS
+                and other.get('event') in logevents.STATE_EVENTS
             ):
                 last = other
         if last is not None:
--- a/packages/client/foxtaildale_client/submit.py
+++ b/packages/client/foxtaildale_client/submit.py
@@ -80,7 +80,7 @@
             reading.UnknownStateError: The state can't be told from the log.
         """
         return self._submit(
-            lambda base, _: changes.publish(self._new_id(), base, preset)
+            lambda base, _: changes.make_publish(self._new_id(), base, preset)
         )
 
     def switch(self, name: str, digest: str, expects: int | None) -> Learnt:
@@ -139,7 +139,7 @@
         """Returns whether the record has landed, and whether it may have."""
         try:
             self._log.append(changes.STREAM, [data])
-        except errors.AnswerLostError:
+        except errors.NoReplyError:
             return False, True
         except errors.PortError:
             return False, False
@@ -164,7 +164,7 @@
         if self.reader.covered_from > base:
             # Whether it was among what lapsed can't be told any more.
             return Learnt('forgotten', change_id, base)
-        if self.reader.state.offset >= base + fold.WINDOW:
+        if self.reader.state.offset >= base + fold.VERDICT_WINDOW:
             # Every place where it would have counted was read without it.
             return Learnt('rejected', change_id, base, 'never-landed')
         return Learnt('not-known', change_id, base)
--- a/packages/core/foxtaildale/reaper.py
+++ b/packages/core/foxtaildale/abandoned_holdings.py
@@ -25,7 +25,7 @@
 _RETENTION_GRACES: Final = 100
 
 
-class Census(msgspec.Struct, frozen=True, kw_only=True):
+class LivenessSnapshot(msgspec.Struct, frozen=True, kw_only=True):
     """The live entries and reachable VMs that a keeper knows at one time."""
 
     # Incarnations of the live entries.
@@ -36,7 +36,7 @@
     at: float
 
 
-class Reaper:
+class AbandonedHoldings:
     """Detects abandoned holdings by how long their holder has been missing."""
 
     __slots__ = ('_grace_s', '_missing')
@@ -50,7 +50,9 @@
         self._grace_s = grace_s
         self._missing = {}
 
-    def abandoned(self, holding: backends.Holding, census: Census) -> bool:
+    def is_abandoned(
+        self, holding: backends.Holding, census: LivenessSnapshot
+    ) -> bool:
         """Returns whether to cancel a holding now."""
         holder = holding.holder
         if holder in census.alive:
@@ -63,7 +65,7 @@
             return True
         return not holding.attached and holding.age_ms > self._grace_s * 1000
 
-    def forget(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Removes holders that have been missing for very long.
 
         Entries are replaced by the hundred a day, and without this their names
--- a/packages/core/foxtaildale/accounts.py
+++ b/packages/core/foxtaildale/accounts.py
@@ -68,11 +68,11 @@
         """Returns the names of all accounts."""
         return frozenset(self._by_name)
 
-    def holder(self, key: bytes | None) -> Account | None:
+    def by_key(self, key: bytes | None) -> Account | None:
         """Returns the account with a key, given as the key's digest."""
         return None if key is None else self._by_key.get(key)
 
-    def named(self, name: str) -> Account | None:
+    def by_name(self, name: str) -> Account | None:
         """Returns the account with a name; None if there is none."""
         return self._by_name.get(name)
 
--- a/packages/core/foxtaildale/admission.py
+++ b/packages/core/foxtaildale/admission.py
@@ -3,15 +3,15 @@
 from typing import Final
 
 from foxtaildale import codes
+from foxtaildale import grant_queue
 from foxtaildale import messages
 from foxtaildale import planning
 from foxtaildale import values
-from foxtaildale import waiting
 
 # Prefills are booked at most this far ahead, seconds. With a longer horizon the
 # estimated slot time is less accurate than that of a later request; with a
 # shorter one a prefill worker is idle until a queued request polls again.
-HORIZON_S: Final = 0.6
+BOOKING_HORIZON_S: Final = 0.6
 # Shortest and longest time until a queued request polls again, seconds.
 _MIN_POLL_S: Final = 0.02
 _MAX_POLL_S: Final = 1.0
@@ -27,31 +27,33 @@
 class Admission:
     """Decides on plans; holds the queue and spreads out the retries."""
 
-    __slots__ = ('_last_retry_at', '_planner', 'waiting')
+    __slots__ = ('_last_retry_at', '_planner', 'queue')
 
     _planner: planning.Planner
-    waiting: waiting.Waiting
+    queue: grant_queue.GrantQueue
     # Retry time of the last refused caller, seconds.
     _last_retry_at: float
 
     def __init__(self, planner: planning.Planner) -> None:
         self._planner = planner
-        self.waiting = waiting.Waiting()
+        self.queue = grant_queue.GrantQueue()
         self._last_retry_at = 0.0
 
     def decide(
-        self, now: float, msg: messages.AskSlot, plan: planning.Plan
+        self, now: float, msg: messages.SlotRequest, plan: planning.Plan
     ) -> messages.Queued | messages.Refused | None:
         """Returns the reply to a request, or None if it is to be granted."""
-        token_s = self._planner.rates.token.at(self._planner.limit(plan.decode))
+        token_s = self._planner.rates.token_time.at(
+            self._planner.slot_limit(plan.decode)
+        )
         estimate_ms = msg.waited_ms + 1000 * (plan.decode_at - now + token_s)
-        work_ms = 1000 * (plan.own_s + token_s)
+        work_ms = 1000 * (plan.work_s + token_s)
         refusal = self._refuse_late(now, msg, estimate_ms, work_ms)
         if refusal is not None:
             return refusal
         wait_s = plan.start_at - now
-        if wait_s <= HORIZON_S:
-            self.waiting.drop(msg.request)
+        if wait_s <= BOOKING_HORIZON_S:
+            self.queue.remove(msg.request)
             return None
         return self._refuse_wait(now, msg, wait_s) or self._queue(
             now, msg, wait_s
@@ -60,13 +62,13 @@
     def _refuse_late(
         self,
         now: float,
-        msg: messages.AskSlot,
+        msg: messages.SlotRequest,
         estimate_ms: float,
         work_ms: float,
     ) -> messages.Refused | None:
         """Refuses a request whose response is estimated to come too late."""
         service = self._planner.service
-        is_waiting = msg.request in self.waiting
+        is_waiting = msg.request in self.queue
         target_ms = service.first_answer_ms
         share = 1.0 if is_waiting else _ADMIT_SHARE
         bound_ms = work_ms + share * max(0, target_ms - work_ms)
@@ -93,7 +95,7 @@
         return None
 
     def _refuse_wait(
-        self, now: float, msg: messages.AskSlot, wait_s: float
+        self, now: float, msg: messages.SlotRequest, wait_s: float
     ) -> messages.Refused | None:
         """Refuses a request that may not wait, or may not wait any longer."""
         patience_ms = self._planner.service.patience_ms
@@ -102,37 +104,35 @@
                 now, msg, codes.PATIENCE_OVER, wait_s, patience_ms=patience_ms
             )
         limit = self._planner.service.queue_limit
-        if msg.request not in self.waiting and len(self.waiting) >= limit:
+        if msg.request not in self.queue and len(self.queue) >= limit:
             return self._refuse(
                 now,
                 msg,
                 codes.QUEUE_FULL,
                 wait_s,
-                queued=len(self.waiting),
+                queued=len(self.queue),
                 limit=limit,
             )
         return None
 
     def _queue(
-        self, now: float, msg: messages.AskSlot, wait_s: float
+        self, now: float, msg: messages.SlotRequest, wait_s: float
     ) -> messages.Queued:
         # A third of a long wait, since requests ahead may leave the queue. The
         # request keeps its position.
-        poll_s = max(_MIN_POLL_S, wait_s - HORIZON_S / 2)
+        poll_s = max(_MIN_POLL_S, wait_s - BOOKING_HORIZON_S / 2)
         poll_s = min(poll_s, max(_MAX_POLL_S, wait_s / 3))
         arrived_at = now - msg.waited_ms / 1000
-        self.waiting.put(
-            msg.request, arrived_at, now + poll_s, msg.prompt_tokens
-        )
-        position, _ = self.waiting.ahead(msg.request, arrived_at)
+        self.queue.put(msg.request, arrived_at, now + poll_s, msg.prompt_tokens)
+        position, _ = self.queue.count_ahead(msg.request, arrived_at)
         return messages.Queued(
-            again_in_ms=max(1, round(poll_s * 1000)), position=position
+            retry_in_ms=max(1, round(poll_s * 1000)), position=position
         )
 
     def _refuse(
         self,
         now: float,
-        msg: messages.AskSlot,
+        msg: messages.SlotRequest,
         code: codes.Code,
         excess_s: float,
         **figures: float,
@@ -143,10 +143,10 @@
         refused together. Each gets a later time, at the rate at which slots
         become free.
         """
-        self.waiting.drop(msg.request)
+        self.queue.remove(msg.request)
         usable = self._planner.slot_workers(now)
-        slots = sum(self._planner.limit(w) for w in usable)
-        slot_interval_s = self._planner.rates.decode.value / max(1, slots)
+        slots = sum(self._planner.slot_limit(w) for w in usable)
+        slot_interval_s = self._planner.rates.decode_time.value / max(1, slots)
         earliest = now + max(excess_s, slot_interval_s)
         self._last_retry_at = max(
             self._last_retry_at + slot_interval_s, earliest
--- a/packages/core/foxtaildale/allowances.py
+++ b/packages/core/foxtaildale/allowances.py
@@ -16,11 +16,11 @@
 import msgspec
 
 from foxtaildale import accounts
-from foxtaildale import bucket
+from foxtaildale import token_bucket
 
 # Number of changes of the coordinator in one window that the tolerance covers,
 # if no new coordinator was notified of earlier usage.
-MOVES = 4.0
+MAX_COORDINATOR_CHANGES = 4.0
 
 
 class Tolerance(msgspec.Struct, frozen=True, kw_only=True):
@@ -32,13 +32,13 @@
     overage: float = 0.0
     slack: float = 0.0
 
-    def units(self, limit: accounts.Limit) -> float:
+    def allowed_excess(self, limit: accounts.Limit) -> float:
         """Returns the permitted excess over a limit in one window, units."""
         allowed = limit.rate * self.window_s + limit.burst
         return self.overage * allowed + self.slack
 
 
-class Answer(msgspec.Struct, frozen=True):
+class Decision(msgspec.Struct, frozen=True):
     """The decision of a coordinator on one request."""
 
     # 0 if the request is admitted; else how long until it would be, seconds.
@@ -66,30 +66,34 @@
         # The time from which usage is known, seconds: what others admitted
         # before is unknown. None if others admitted nothing before.
         self._known_since = None if first_start else now
-        self._buckets: dict[str, bucket.Bucket] = {}
+        self._buckets: dict[str, token_bucket.Bucket] = {}
         # Units admitted here and not yet announced, by account.
         self._admitted: dict[str, float] = {}
 
-    def ask(self, now: float, account: accounts.Account, cost: float) -> Answer:
+    def admit(
+        self, now: float, account: accounts.Account, cost: float
+    ) -> Decision:
         """Admits a request, or returns how long until it would be admitted."""
         account_bucket = self._bucket(now, account)
-        wait_s = account_bucket.take(now, cost)
+        wait_s = account_bucket.try_spend(now, cost)
         if not wait_s:
             self._count(account.name, cost)
-        return Answer(wait_s, account_bucket.level(now))
+        return Decision(wait_s, account_bucket.level(now))
 
-    def give_back(
+    def refund(
         self, now: float, account: accounts.Account, cost: float
     ) -> None:
         """Refunds the cost of a request that did not run."""
-        self._bucket(now, account).give_back(now, cost)
+        self._bucket(now, account).refund(now, cost)
         self._count(account.name, -cost)
 
-    def told(self, now: float, account: accounts.Account, cost: float) -> None:
+    def count_remote(
+        self, now: float, account: accounts.Account, cost: float
+    ) -> None:
         """Counts units that another coordinator admitted."""
         self._bucket(now, account).spend(now, cost)
 
-    def news(self) -> dict[str, float]:
+    def drain_admitted(self) -> dict[str, float]:
         """Returns the units admitted since the last call, by account."""
         admitted, self._admitted = self._admitted, {}
         return admitted
@@ -105,7 +109,7 @@
             for name, account_bucket in sorted(self._buckets.items())
         }
 
-    def keep(self, names: frozenset[str]) -> None:
+    def retain(self, names: frozenset[str]) -> None:
         """Removes all accounts whose names are not given."""
         for name in [name for name in self._buckets if name not in names]:
             del self._buckets[name]
@@ -113,18 +117,22 @@
     def _count(self, name: str, cost: float) -> None:
         self._admitted[name] = self._admitted.get(name, 0.0) + cost
 
-    def _bucket(self, now: float, account: accounts.Account) -> bucket.Bucket:
+    def _bucket(
+        self, now: float, account: accounts.Account
+    ) -> token_bucket.Bucket:
         account_bucket = self._buckets.get(account.name)
         if account_bucket is None:
             level = self._initial_level(now, account.limit)
-            account_bucket = bucket.Bucket(account.limit, now, level)
+            account_bucket = token_bucket.Bucket(account.limit, now, level)
             self._buckets[account.name] = account_bucket
         elif account_bucket.limit != account.limit:
-            account_bucket.on_limit(now, account.limit)
+            account_bucket.set_limit(now, account.limit)
         return account_bucket
 
     def _initial_level(self, now: float, limit: accounts.Limit) -> float:
         if self._known_since is None:
             return limit.burst
-        permitted = self._tolerance.units(limit) / MOVES
+        permitted = (
+            self._tolerance.allowed_excess(limit) / MAX_COORDINATOR_CHANGES
+        )
         return permitted + limit.rate * (now - self._known_since)
--- a/packages/core/foxtaildale/appends.py
+++ b/packages/core/foxtaildale/append_queue.py
@@ -22,7 +22,7 @@
 _T = TypeVar('_T', bound=Hashable)
 
 
-class Appends(Generic[_T]):
+class AppendQueue(Generic[_T]):
     """Queue of items to append; times are monotonic, in seconds."""
 
     __slots__ = (
@@ -31,8 +31,8 @@
         '_items',
         '_next_at',
         '_retry_at',
-        'count',
         'interval_s',
+        'started_count',
     )
 
     def __init__(self, interval_s: float) -> None:
@@ -46,7 +46,7 @@
         self._retry_at = float('-inf')
         self._backoff_s = _MIN_BACKOFF_S
         # Number of appends started, for the metrics.
-        self.count = 0
+        self.started_count = 0
 
     def __len__(self) -> int:
         return len(self._items) + len(self._in_flight or ())
@@ -55,7 +55,7 @@
         """Adds an item at the end of the queue, unless it is queued already."""
         self._items[item] = None
 
-    def is_down(self, now: float) -> bool:
+    def is_backing_off(self, now: float) -> bool:
         """Whether the last attempt failed and the next one is not due."""
         return now < self._retry_at
 
@@ -63,7 +63,7 @@
         """Returns how long to wait before the next append, seconds."""
         return max(self._retry_at - now, self.interval_s)
 
-    def take(self, now: float) -> list[_T]:
+    def start_append(self, now: float) -> list[_T]:
         """Starts an append and returns its items.
 
         Returns an empty list if an append is in flight, nothing is queued or
@@ -78,10 +78,10 @@
             del self._items[item]
         self._in_flight = items
         self._next_at = now + self.interval_s
-        self.count += 1
+        self.started_count += 1
         return items
 
-    def on_done(self, now: float) -> None:
+    def on_succeeded(self, now: float) -> None:
         """Handles the success of the append in flight."""
         self._in_flight = None
         self._retry_at = now
--- a/packages/core/foxtaildale/backends.py
+++ b/packages/core/foxtaildale/backends.py
@@ -39,7 +39,7 @@
     return tuple(digests)
 
 
-class Fault(msgspec.Struct, frozen=True):
+class BackendError(msgspec.Struct, frozen=True):
     """Why a backend server did not perform a request."""
 
     # One of: full, leaving, gone, cancelled, stale-order, bad-request,
@@ -104,7 +104,7 @@
     priority: int = 5
 
 
-class Piece(msgspec.Struct, frozen=True, kw_only=True):
+class Chunk(msgspec.Struct, frozen=True, kw_only=True):
     """One chunk of a response: one token."""
 
     request: str
@@ -115,7 +115,7 @@
     text: str
 
 
-class Last(msgspec.Struct, frozen=True, kw_only=True):
+class StreamEnd(msgspec.Struct, frozen=True, kw_only=True):
     """The end of a complete response."""
 
     request: str
--- a/packages/core/foxtaildale/backoffs.py
+++ b/packages/core/foxtaildale/backoffs.py
@@ -13,10 +13,10 @@
 
 # Maximum number of servers remembered; those whose backoff ends first are
 # removed first.
-MOST: Final = 4096
+MAX_SERVERS: Final = 4096
 # Maximum backoff that one response can request, seconds. After that, one
 # request shows whether the server still wants backoff.
-MOST_S: Final = 300.0
+MAX_BACKOFF_S: Final = 300.0
 # An update of another VM is ignored if it extends the known end of a backoff by
 # less than this, seconds: otherwise the network delay between two VMs would
 # extend the backoff with each update.
@@ -24,7 +24,7 @@
 
 # When the server started, Unix milliseconds, and the remaining backoff,
 # seconds.
-Word = tuple[int, float]
+Backoff = tuple[int, float]
 
 
 class Backoffs:
@@ -39,7 +39,7 @@
         self._local: dict[str, tuple[int, float]] = {}
         self._remote: dict[str, tuple[int, float]] = {}
 
-    def asked(
+    def record(
         self, now: float, server: str, started_at: int, backoff_s: float
     ) -> bool:
         """Records a backoff that a server requested from this VM.
@@ -47,29 +47,35 @@
         Returns:
             Whether this VM was not already backing off from the server.
         """
-        new = not self.own_s(now, server, started_at)
-        _put(self._local, now, server, started_at, now + min(backoff_s, MOST_S))
+        new = not self.local_s(now, server, started_at)
+        _put(
+            self._local,
+            now,
+            server,
+            started_at,
+            now + min(backoff_s, MAX_BACKOFF_S),
+        )
         return new
 
-    def own_s(self, now: float, server: str, started_at: int) -> float:
+    def local_s(self, now: float, server: str, started_at: int) -> float:
         """Returns the remaining backoff of this VM from a server, seconds."""
         return _left_s(self._local, now, server, started_at)
 
-    def told_s(self, now: float, server: str, started_at: int) -> float:
+    def remote_s(self, now: float, server: str, started_at: int) -> float:
         """Returns the remaining backoff of other VMs from a server, seconds."""
         return _left_s(self._remote, now, server, started_at)
 
-    def take(self, now: float, updates: Mapping[str, Word]) -> None:
+    def merge(self, now: float, updates: Mapping[str, Backoff]) -> None:
         """Records the backoffs that another entry VM reports."""
         for server, (started_at, left_s) in updates.items():
-            until = now + min(left_s, MOST_S)
+            until = now + min(left_s, MAX_BACKOFF_S)
             latest = self._remote.get(server, (-1, 0.0))
             if started_at > latest[0] or until > latest[1] + _SLACK_S:
                 _put(self._remote, now, server, started_at, until)
 
-    def words(self, now: float) -> dict[str, Word]:
+    def report(self, now: float) -> dict[str, Backoff]:
         """Returns all backoffs known here, to report to another entry VM."""
-        latest: dict[str, Word] = {}
+        latest: dict[str, Backoff] = {}
         for table in (self._remote, self._local):
             for server, (started_at, until) in list(table.items()):
                 backoff = (started_at, until - now)
@@ -93,7 +99,7 @@
     if latest[0] == started_at:
         until = max(until, latest[1])
     table[server] = (started_at, until)
-    if len(table) > MOST:
+    if len(table) > MAX_SERVERS:
         expired = [name for name, (_, at) in table.items() if at <= now]
         first = min(table, key=lambda name: table[name][1])
         for name in expired or [first]:
--- a/packages/core/foxtaildale/memory.py
+++ b/packages/core/foxtaildale/bounded_records.py
@@ -24,7 +24,7 @@
 _K = TypeVar('_K', str, bytes)
 
 
-class Memory(Generic[_K, _T]):
+class BoundedRecords(Generic[_K, _T]):
     """Records by key, oldest first.
 
     Attributes:
@@ -48,7 +48,7 @@
         """Returns the record of `key`; None if there is none."""
         return self._records.get(key)
 
-    def never_knew(self, key: _K, stamp: float) -> bool:
+    def was_never_added(self, key: _K, stamp: float) -> bool:
         """Whether `key`, with this stamp, was certainly never added."""
         return key not in self._records and stamp > self.floor
 
--- a/packages/core/foxtaildale/changes.py
+++ b/packages/core/foxtaildale/changes.py
@@ -68,7 +68,7 @@
 _preset_decoder: Final = msgspec.json.Decoder(values.Preset)
 
 
-def canonical(preset: values.Preset) -> bytes:
+def canonical_form(preset: values.Preset) -> bytes:
     """Returns the canonical form of a preset.
 
     It is JSON with every field and sorted keys. The field for client accounts
@@ -89,9 +89,9 @@
     return xxhash.xxh3_128_hexdigest(data)
 
 
-def publish(change_id: str, base: int, preset: values.Preset) -> Publish:
+def make_publish(change_id: str, base: int, preset: values.Preset) -> Publish:
     """Returns the record that publishes a preset."""
-    data = canonical(preset)
+    data = canonical_form(preset)
     return Publish(id=change_id, base=base, digest=digest_of(data), preset=data)
 
 
@@ -108,7 +108,7 @@
         return None
 
 
-def preset_in(record: Publish) -> values.Preset | None:
+def verified_preset(record: Publish) -> values.Preset | None:
     """Returns the preset of a record, or None if it is invalid.
 
     It is invalid if it is too long, does not match its digest or cannot be
@@ -124,6 +124,6 @@
         return None
 
 
-def preset_of(data: bytes) -> values.Preset:
+def decode_preset(data: bytes) -> values.Preset:
     """Decodes a canonical form that has been checked before."""
     return _preset_decoder.decode(data)
--- a/packages/core/foxtaildale/chat.py
+++ b/packages/core/foxtaildale/chat.py
@@ -13,7 +13,7 @@
 from foxtaildale import errors
 
 # Longest response that a caller may request, tokens.
-MAX_TOKENS: Final = 32_768
+MAX_OUTPUT_TOKENS: Final = 32_768
 
 
 class Message(msgspec.Struct, frozen=True):
@@ -32,7 +32,9 @@
     ]
     stream: bool = False
     # None means that the expected length of the preset is used.
-    max_tokens: Annotated[int, msgspec.Meta(ge=1, le=MAX_TOKENS)] | None = None
+    max_tokens: (
+        Annotated[int, msgspec.Meta(ge=1, le=MAX_OUTPUT_TOKENS)] | None
+    ) = None
 
     @property
     def prompt(self) -> str:
@@ -58,7 +60,7 @@
         raise errors.DecodeError(str(exc)) from exc
 
 
-def count_tokens(prompt: str) -> int:
+def estimate_tokens(prompt: str) -> int:
     """Returns an estimate of the prompt's length in tokens.
 
     Only the engines have the tokenizer. Scheduling only needs a number that
--- a/packages/core/foxtaildale/checkpoints.py
+++ b/packages/core/foxtaildale/checkpoints.py
@@ -61,7 +61,7 @@
             self._read_at = now
             self._record_count = 0
 
-    def due(self, now: float, oldest_offset: int, keepers: int) -> bool:
+    def is_due(self, now: float, oldest_offset: int, keepers: int) -> bool:
         """Whether to append a checkpoint now."""
         if not self._is_needed(now, oldest_offset):
             self._due_at = None
--- a/packages/core/foxtaildale/claimlog.py
+++ b/packages/core/foxtaildale/claimlog.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
+from foxtaildale import bounded_records
 from foxtaildale import codes
-from foxtaildale import memory
 from foxtaildale import values
 
 STREAM: Final = 'claims'
@@ -64,7 +64,7 @@
 
 # Result of a claim. Old: it is the first known one, but an earlier one may have
 # been forgotten.
-Result = Literal['won', 'lost', 'other-body', 'bad', 'old', 'void']
+ClaimResult = Literal['won', 'lost', 'other-body', 'bad', 'old', 'void']
 
 _encoder: Final = msgspec.msgpack.Encoder()
 _decoder: Final = msgspec.msgpack.Decoder(Record)
@@ -83,7 +83,7 @@
         return None
 
 
-class Holding:
+class KeyState:
     """The state of one key according to the log."""
 
     __slots__ = (
@@ -115,7 +115,7 @@
         self.released: tuple[str, ...] = ()
 
 
-class Fold:
+class ClaimFold:
     """Folds records into the state of each key, in log order."""
 
     __slots__ = ('_holdings', '_limit')
@@ -125,14 +125,14 @@
         self._limit = limit
         # A key that contains the offset `first` or a later one has no earlier
         # records.
-        self._holdings: memory.Memory[bytes, Holding] = memory.Memory(
-            limit, floor=first - 1
+        self._holdings: bounded_records.BoundedRecords[bytes, KeyState] = (
+            bounded_records.BoundedRecords(limit, floor=first - 1)
         )
 
     def __len__(self) -> int:
         return len(self._holdings)
 
-    def get(self, identity: bytes) -> Holding | None:
+    def get(self, identity: bytes) -> KeyState | None:
         """Returns the state of a key; None if it has no record."""
         return self._holdings.get(identity)
 
@@ -141,13 +141,13 @@
         holding = self._holdings.get(identity)
         if holding is not None:
             return not holding.complete
-        return not self._holdings.never_knew(identity, stamp)
+        return not self._holdings.was_never_added(identity, stamp)
 
     def expire(self, first: int) -> None:
         """Evicts keys whose first record the log no longer has."""
         self._holdings.expire(first)
 
-    def apply(self, offset: int, record: Record, item: Item) -> Result:
+    def apply(self, offset: int, record: Record, item: Item) -> ClaimResult:
         """Applies one item of a record; the result matters only for claims."""
         if item.stamp > offset:
             # A key with a later offset than its own record would be remembered
@@ -163,15 +163,17 @@
                 self._done(holding, item)
         return 'void'
 
-    def _holding(self, offset: int, item: Item) -> Holding:
+    def _holding(self, offset: int, item: Item) -> KeyState:
         holding = self._holdings.get(item.identity)
         if holding is None:
-            complete = self._holdings.never_knew(item.identity, item.stamp)
-            holding = Holding(offset, complete=complete)
+            complete = self._holdings.was_never_added(item.identity, item.stamp)
+            holding = KeyState(offset, complete=complete)
             self._holdings.put(item.identity, holding)
         return holding
 
-    def _claim(self, holding: Holding, record: Record, item: Claim) -> Result:
+    def _claim(
+        self, holding: KeyState, record: Record, item: Claim
+    ) -> ClaimResult:
         if item.request in holding.released:
             return 'void'
         if holding.body not in ('', item.body):
@@ -187,14 +189,14 @@
         holding.address = sys.intern(record.address)
         return 'won' if holding.complete else 'old'
 
-    def _release(self, holding: Holding, item: Release) -> None:
+    def _release(self, holding: KeyState, item: Release) -> None:
         if item.request not in holding.released:
             released = (*holding.released, item.request)
             holding.released = released[-_MAX_RELEASED:]
         if holding.request == item.request and holding.outcome is None:
             holding.request = ''
 
-    def _done(self, holding: Holding, item: Done) -> None:
+    def _done(self, holding: KeyState, item: Done) -> None:
         if holding.request != item.request:
             return
         # A keeper records "unknown" for a holder that does not reply, and the
@@ -202,4 +204,4 @@
         # changes.
         old = holding.outcome
         if old is None or codes.ran(old.code) == 'unknown':
-            holding.outcome = values.interned(item.outcome)
+            holding.outcome = values.intern_strings(item.outcome)
--- a/packages/core/foxtaildale/claims.py
+++ b/packages/core/foxtaildale/claims.py
@@ -16,10 +16,10 @@
 
 from typing import Final
 
-from foxtaildale import appends
+from foxtaildale import append_queue
 from foxtaildale import claimlog
 from foxtaildale import codes
-from foxtaildale import keys
+from foxtaildale import idempotency_keys
 from foxtaildale import messages
 from foxtaildale import ports
 from foxtaildale import values
@@ -43,7 +43,7 @@
 _Item = claimlog.Claim | claimlog.Release | claimlog.Done
 
 # A request and the reply to its claim request.
-Settled = tuple[str, messages.ClaimReply]
+SettledClaim = tuple[str, messages.ClaimReply]
 
 
 class _PendingClaim:
@@ -57,7 +57,7 @@
         self.holder = holder
 
 
-def covering(code: codes.Code, first_try: bool) -> codes.Code:
+def refusal_code(code: codes.Code, first_attempt: bool) -> codes.Code:
     """Returns the code with which an attempt under a key may be refused.
 
     A caller takes "not run" to cover all attempts that it sent under the key.
@@ -66,16 +66,18 @@
 
     Args:
         code: The reason of the refusal.
-        first_try: Whether the caller states that it has no earlier attempt
+        first_attempt: Whether the caller states that it has no earlier attempt
             under this key, or that the response to each was "not run".
     """
-    if first_try or code.ran != 'no' or code is codes.OTHER_BODY:
+    if first_attempt or code.ran != 'no' or code is codes.OTHER_BODY:
         # The log binds a key to its first body; another body never runs.
         return code
     return codes.CLAIM_UNSURE
 
 
-def refusal(reply: messages.ClaimReply, first_try: bool) -> codes.Code | None:
+def refusal_of_reply(
+    reply: messages.ClaimReply, first_attempt: bool
+) -> codes.Code | None:
     """Returns the code of a refusal; None for "won" and "lost"."""
     match reply.status:
         case 'won' | 'lost':
@@ -83,10 +85,10 @@
         case 'other-body':
             return codes.OTHER_BODY
         case 'bad':
-            return covering(codes.KEY_BAD, first_try)
+            return refusal_code(codes.KEY_BAD, first_attempt)
         case 'old':
             return codes.KEY_OLD
-    return covering(codes.LOG_DOWN, first_try)
+    return refusal_code(codes.LOG_DOWN, first_attempt)
 
 
 class Claims:
@@ -118,18 +120,20 @@
         address: str,
         *,
         interval_s: float = _DEFAULT_INTERVAL_S,
-        patience_s: float = _DEFAULT_TIMEOUT_S,
+        timeout_s: float = _DEFAULT_TIMEOUT_S,
         stale_s: float = _DEFAULT_STALE_S,
     ) -> None:
         self._incarnation = incarnation
         self._address = address
         self._interval_s = interval_s
-        self._appends: appends.Appends[_Item] = appends.Appends(interval_s)
-        self._timeout_s = patience_s
+        self._appends: append_queue.AppendQueue[_Item] = (
+            append_queue.AppendQueue(interval_s)
+        )
+        self._timeout_s = timeout_s
         self._stale_s = stale_s
         # Offset of the next read; None before the first read.
         self._next_offset: int | None = None
-        self._fold = claimlog.Fold(0)
+        self._fold = claimlog.ClaimFold(0)
         # Whether the stream has been read to its end at least once.
         self._caught_up = False
         self._last_read_at = float('-inf')
@@ -142,7 +146,7 @@
         # Outcomes that are not read back yet, by key identity.
         self._unlogged: dict[bytes, values.Outcome] = {}
 
-    def on_members(self, keepers: int) -> None:
+    def set_keeper_count(self, keepers: int) -> None:
         """Sets the number of keepers, which share the rate of appends."""
         shared_s = keepers / _MAX_APPENDS_PER_S
         self._appends.interval_s = max(self._interval_s, shared_s)
@@ -151,40 +155,45 @@
         """Returns the prefix of new keys; None until it is known."""
         if self._next_offset is None or not self._caught_up:
             return None
-        return keys.prefix(self._next_offset)
+        return idempotency_keys.key_prefix(self._next_offset)
 
     def next_offset(self) -> int:
         """Returns the offset to read the stream from."""
         return self._next_offset or 0
 
-    def ask(
-        self, now: float, msg: messages.AskClaim
+    def request_claim(
+        self, now: float, msg: messages.ClaimRequest
     ) -> messages.ClaimReply | None:
         """Handles a claim request; returns None if the reply comes later."""
-        stamp = keys.stamp(msg.key)
+        stamp = idempotency_keys.key_offset(msg.key)
         if stamp is None:
             return messages.ClaimReply(status='bad')
-        identity = keys.identity(msg.service, msg.key)
-        if reply := self._known_reply(identity, stamp, msg.body, msg.request):
+        identity = idempotency_keys.key_digest(msg.service, msg.key)
+        if reply := self._known_reply(
+            identity, stamp, msg.body_digest, msg.request
+        ):
             return reply
         if msg.request in self._waiting:
             return None
         if msg.request in self._abandoned or not self._accepts_claims(now):
             return self._log_down(now)
         claim = claimlog.Claim(
-            identity=identity, stamp=stamp, request=msg.request, body=msg.body
+            identity=identity,
+            stamp=stamp,
+            request=msg.request,
+            body=msg.body_digest,
         )
         self._waiting[msg.request] = _PendingClaim(now, claim, msg.holder)
         self._appends.add(claim)
         return None
 
-    def batch(self, now: float) -> list[bytes]:
+    def take_batch(self, now: float) -> list[bytes]:
         """Returns the records to append now; empty if there are none.
 
         One append is in flight at a time. The caller reports its result with
         `on_appended` or `on_append_failed`.
         """
-        in_flight = self._appends.take(now)
+        in_flight = self._appends.start_append(now)
         if not in_flight:
             return []
         items = tuple(item for item in in_flight if self._is_wanted(item))
@@ -195,16 +204,16 @@
 
     def on_appended(self, now: float) -> None:
         """Handles the success of the append; its claims are read back next."""
-        self._appends.on_done(now)
+        self._appends.on_succeeded(now)
 
-    def on_append_failed(self, now: float, sent: bool) -> list[Settled]:
+    def on_append_failed(self, now: float, sent: bool) -> list[SettledClaim]:
         """Handles a failed append, or (if `sent`) an append with a lost reply.
 
         All claims that wait for an append are refused now. Claims that were
         read back in the meantime are already settled and don't change.
         """
         in_flight, queued = self._appends.on_failed(now)
-        settled: list[Settled] = []
+        settled: list[SettledClaim] = []
         for item in in_flight + queued:
             if not isinstance(item, claimlog.Claim):
                 self._appends.add(item)
@@ -215,9 +224,9 @@
                     self._release(item.identity, item.stamp, item.request)
         return settled
 
-    def on_records(self, now: float, batch: ports.Batch) -> list[Settled]:
+    def on_records(self, now: float, batch: ports.Batch) -> list[SettledClaim]:
         """Applies the records that were read from `next_offset` on."""
-        settled: list[Settled] = []
+        settled: list[SettledClaim] = []
         self._last_read_at = now
         if self._next_offset is None:
             self._start(batch.first)
@@ -234,7 +243,7 @@
             self._caught_up = True
         return settled
 
-    def on_lapsed(self, now: float, first: int) -> list[Settled]:
+    def on_lapsed(self, now: float, first: int) -> list[SettledClaim]:
         """Handles the loss of the records from `next_offset` to `first`.
 
         Their content is not known: own claims among them are abandoned, and no
@@ -243,7 +252,7 @@
         self._start(first)
         return self._abandon(now, [*self._waiting])
 
-    def expire(self, now: float) -> list[Settled]:
+    def expire(self, now: float) -> list[SettledClaim]:
         """Refuses claims that have waited too long."""
         timeout_s = self._timeout_s + 2 * self._appends.interval_s
         late = [
@@ -253,16 +262,16 @@
         ]
         return self._abandon(now, late)
 
-    def end(self, now: float, msg: messages.EndClaim) -> None:
+    def record_outcome(self, now: float, msg: messages.ClaimReport) -> None:
         """Records the outcome of a request; frees the key if it did not run.
 
         The request may have won with a former incarnation of this keeper.
         """
         request = msg.outcome.request
-        stamp = keys.stamp(msg.key)
+        stamp = idempotency_keys.key_offset(msg.key)
         if stamp is None:
             return
-        identity = keys.identity(msg.service, msg.key)
+        identity = idempotency_keys.key_digest(msg.service, msg.key)
         self._won.pop(request, None)
         if codes.ran(msg.outcome.code) == 'no':
             self._release(identity, stamp, request)
@@ -276,9 +285,11 @@
         )
         self._appends.add(done)
 
-    def outcome(self, msg: messages.AskOutcome) -> values.Outcome | codes.Code:
+    def outcome(
+        self, msg: messages.OutcomeRequest
+    ) -> values.Outcome | codes.Code:
         """Returns the outcome of a claim of this keeper, for another VM."""
-        identity = keys.identity(msg.service, msg.key)
+        identity = idempotency_keys.key_digest(msg.service, msg.key)
         if unlogged := self._unlogged.get(identity):
             return unlogged
         holding = self._fold.get(identity)
@@ -290,7 +301,7 @@
             return codes.IN_PROGRESS
         return codes.UNKNOWN
 
-    def held_by(self, holder: str) -> list[str]:
+    def won_by(self, holder: str) -> list[str]:
         """Returns the requests of an entry that won and have no outcome."""
         return [
             request
@@ -298,16 +309,16 @@
             if pending.holder == holder
         ]
 
-    def holder_gone(self, holder: str) -> None:
+    def remove_holder(self, holder: str) -> None:
         """Removes the claims of a crashed entry; their outcomes are unknown.
 
         Otherwise every later request for one of their outcomes would get "in
         progress" as its reply.
         """
-        for request in self.held_by(holder):
+        for request in self.won_by(holder):
             del self._won[request]
 
-    def unwritten(self) -> int:
+    def pending_count(self) -> int:
         """Returns how many items are not appended yet, for a planned stop."""
         return len(self._appends)
 
@@ -320,13 +331,13 @@
             'keys': len(self._fold),
             'waiting': len(self._waiting),
             'held': sorted(self._won),
-            'unwritten': self.unwritten(),
-            'appends': self._appends.count,
+            'unwritten': self.pending_count(),
+            'appends': self._appends.started_count,
         }
 
     def _start(self, first: int) -> None:
         self._next_offset = first
-        self._fold = claimlog.Fold(first)
+        self._fold = claimlog.ClaimFold(first)
 
     def _is_wanted(self, item: _Item) -> bool:
         """Whether an item still has to be appended.
@@ -340,7 +351,7 @@
     def _accepts_claims(self, now: float) -> bool:
         recently_read = now - self._last_read_at <= self._stale_s
         has_room = len(self._waiting) < _MAX_WAITING
-        down = self._appends.is_down(now)
+        down = self._appends.is_backing_off(now)
         return self._caught_up and recently_read and has_room and not down
 
     def _known_reply(
@@ -360,7 +371,7 @@
             return messages.ClaimReply(status='old')
         return None
 
-    def _apply(self, record: ports.Record) -> list[Settled]:
+    def _apply(self, record: ports.Record) -> list[SettledClaim]:
         data = claimlog.decode(record.data)
         if data is None:
             return []
@@ -375,8 +386,8 @@
         return settled
 
     def _read_back(
-        self, claim: claimlog.Claim, result: claimlog.Result
-    ) -> list[Settled]:
+        self, claim: claimlog.Claim, result: claimlog.ClaimResult
+    ) -> list[SettledClaim]:
         pending = self._waiting.pop(claim.request, None)
         if pending is None:
             if result in ('won', 'old') and claim.request not in self._won:
@@ -395,7 +406,7 @@
         status = 'log-down' if result == 'void' else result
         return [(claim.request, messages.ClaimReply(status=status))]
 
-    def _lost(self, holding: claimlog.Holding) -> messages.ClaimReply:
+    def _lost(self, holding: claimlog.KeyState) -> messages.ClaimReply:
         return messages.ClaimReply(
             status='lost',
             owner=holding.owner,
@@ -404,7 +415,7 @@
             outcome=holding.outcome,
         )
 
-    def _abandon(self, now: float, requests: list[str]) -> list[Settled]:
+    def _abandon(self, now: float, requests: list[str]) -> list[SettledClaim]:
         """Refuses requests; releases their claims, which may be in the log."""
         for request in requests:
             claim = self._waiting[request].claim
--- a/packages/core/foxtaildale/spread.py
+++ b/packages/core/foxtaildale/config_follower.py
@@ -57,7 +57,7 @@
     )
 
     entry_vm: str
-    divergences: divergence.Reports
+    divergences: divergence.Divergences
     # Whether the end of the log is below the follower's own offset.
     log_behind: bool
     _fold: fold.Fold
@@ -83,8 +83,8 @@
         entry_vm: str,
         *,
         freshness_s: float = 30.0,
-        lag_s: float = 2.0,
-        checkpoint_s: float = 600.0,
+        pull_after_s: float = 2.0,
+        checkpoint_interval_s: float = 600.0,
     ) -> None:
         """Creates a follower without a state.
 
@@ -92,17 +92,17 @@
             entry_vm: Name of the VM.
             freshness_s: Maximum time since the state was last confirmed as up
                 to date for the preset to be vouched for.
-            lag_s: Time without a current log after which the follower pulls
+            pull_after_s: Time without a current log after which the follower pulls
                 from peers.
-            checkpoint_s: Maximum time between checkpoints; well under half
+            checkpoint_interval_s: Maximum time between checkpoints; well under half
                 of the time for which the platform keeps records.
         """
         self.entry_vm = entry_vm
-        self.divergences = divergence.Reports()
+        self.divergences = divergence.Divergences()
         self.log_behind = False
         self._freshness_s = freshness_s
-        self._pull_after_s = lag_s
-        self._schedule = checkpoints.Schedule(entry_vm, checkpoint_s)
+        self._pull_after_s = pull_after_s
+        self._schedule = checkpoints.Schedule(entry_vm, checkpoint_interval_s)
         self._fold = fold.Fold()
         self._is_complete = False
         self._search_offset = None
@@ -149,7 +149,7 @@
             return False
         return _within(now, self._confirmed_at, self._freshness_s)
 
-    def on_revision(self, revision: int) -> None:
+    def on_entry_revision(self, revision: int) -> None:
         """Records the revision that an entry of this VM reports as its own.
 
         A restarted keeper may pull the state of a peer that was disconnected
@@ -159,7 +159,7 @@
         """
         self._min_revision = max(self._min_revision, revision)
 
-    def log_age(self, now: float) -> float | None:
+    def log_age_s(self, now: float) -> float | None:
         """Returns the seconds since the log confirmed the state as current."""
         return (
             None if self._log_current_at is None else now - self._log_current_at
@@ -174,12 +174,12 @@
             'offset': self.offset,
             'digest': self.digest,
             'vouched': self.vouched(now),
-            'log_age_s': self.log_age(now),
+            'log_age_s': self.log_age_s(now),
             'log_behind': self.log_behind,
             # Records below this offset have expired. If it is above
             # `offset`, records in between are missing.
             'lapsed_below': self._expired_below,
-            'divergences': self.divergences.all,
+            'divergences': self.divergences.recent,
         }
 
     def on_batch(self, now: float, batch: ports.Batch) -> bool:
@@ -215,7 +215,9 @@
         Nothing to do: only the time without the log has an effect.
         """
 
-    def on_peer(self, now: float, heartbeat: messages.Beat) -> bool:
+    def on_heartbeat(
+        self, now: float, heartbeat: messages.KeeperHeartbeat
+    ) -> bool:
         """Handles a peer's heartbeat; returns whether to pull its state."""
         if heartbeat.offset > self.offset:
             if heartbeat.entry_vm in self.divergences:
@@ -233,12 +235,12 @@
                 heartbeat.entry_vm, heartbeat.offset, heartbeat.digest
             )
             return False
-        self.divergences.settle(heartbeat.entry_vm)
+        self.divergences.resolve(heartbeat.entry_vm)
         if self.offset >= self._max_end:
             self._confirmed_at = now
         return False
 
-    def on_pull(self, now: float, reply: messages.PullReply) -> bool:
+    def on_pull_reply(self, now: float, reply: messages.StateReply) -> bool:
         """Handles a pulled state; returns whether `in_force` changed."""
         if reply.offset <= self.offset:
             return False
@@ -256,16 +258,16 @@
             self._confirmed_at = now
         return self._fold.revision != old_revision
 
-    def pull_reply(self) -> messages.PullReply:
+    def pull_reply(self) -> messages.StateReply:
         """Returns the state for a peer; the keeper adds its member list."""
-        return messages.PullReply(
+        return messages.StateReply(
             offset=self.offset,
             digest=self.digest,
             state=self._fold.to_bytes(),
             listing=None,
         )
 
-    def checkpoint_due(
+    def due_checkpoint(
         self, now: float, oldest_offset: int, keepers: int = 8
     ) -> bytes | None:
         """Returns the checkpoint record to append, or None if none is due.
@@ -280,7 +282,7 @@
             return None
         if not _within(now, self._log_current_at, self._pull_after_s):
             return None
-        if not self._schedule.due(now, oldest_offset, keepers):
+        if not self._schedule.is_due(now, oldest_offset, keepers):
             return None
         return changes.encode(
             changes.Checkpoint(
@@ -334,7 +336,7 @@
             )
             return
         if checkpoint.offset == self.offset:
-            self.divergences.settle(_CHECKPOINT)
+            self.divergences.resolve(_CHECKPOINT)
         self._schedule.on_checkpoint(now, checkpoint.offset)
 
     def _search_batch(self, now: float, batch: ports.Batch) -> None:
@@ -373,7 +375,7 @@
     def _report_divergence(
         self, source: str, offset: int, other_digest: str
     ) -> None:
-        self.divergences.report(
+        self.divergences.add(
             divergence.Divergence(source, offset, self.digest, other_digest)
         )
 
--- a/packages/core/foxtaildale/homes.py
+++ b/packages/core/foxtaildale/coordinator_choice.py
@@ -20,7 +20,7 @@
 # Minimum processor time of a VM that may be a coordinator, as a part of the
 # maximum of all VMs. A weaker one would be overloaded as the coordinator of
 # many services.
-FIT_PART: Final = 0.8
+MIN_CORES_FRACTION: Final = 0.8
 
 
 def score(service: str, keeper: str) -> int:
@@ -29,14 +29,14 @@
     return xxhash.xxh64_intdigest(key.encode())
 
 
-def home(service: str, keepers: Iterable[str]) -> str:
+def choose_coordinator(service: str, keepers: Iterable[str]) -> str:
     """Returns the coordinator's name; empty if there are no keepers."""
     return max(
         keepers, key=lambda keeper: (score(service, keeper), keeper), default=''
     )
 
 
-def strong(cores: Mapping[str, float]) -> list[str]:
+def eligible_vms(cores: Mapping[str, float]) -> list[str]:
     """Returns the VMs that may be coordinators.
 
     Args:
@@ -47,11 +47,11 @@
     return [
         name
         for name, own_cores in cores.items()
-        if own_cores > 0 and own_cores >= FIT_PART * max_cores
+        if own_cores > 0 and own_cores >= MIN_CORES_FRACTION * max_cores
     ]
 
 
-class Strong:
+class EligibleVms:
     """Cache of the VMs that may be coordinators.
 
     Each placement request needs them and the coordinator among them, several
@@ -68,28 +68,28 @@
         self._excluded: frozenset[str] = frozenset()
         self._eligible: tuple[str, ...] = ()
 
-    def among(
-        self, known: Mapping[str, Any], passed: frozenset[str]
+    def eligible(
+        self, vms: Mapping[str, Any], excluded: frozenset[str]
     ) -> tuple[str, ...]:
         """Returns the VMs that may be coordinators.
 
         Args:
-            known: The VMs by name; never changed in place.
-            passed: Names of excluded VMs.
+            vms: The VMs by name; never changed in place.
+            excluded: Names of excluded VMs.
         """
-        if known is not self._vms or passed != self._excluded:
-            self._vms = known
-            self._excluded = passed
+        if vms is not self._vms or excluded != self._excluded:
+            self._vms = vms
+            self._excluded = excluded
             cores = {
                 name: self._cores(vm)
-                for name, vm in known.items()
-                if name not in passed
+                for name, vm in vms.items()
+                if name not in excluded
             }
-            self._eligible = tuple(strong(cores))
+            self._eligible = tuple(eligible_vms(cores))
         return self._eligible
 
 
-class Homes:
+class CoordinatorCache:
     """Cache of the coordinators chosen among the same keepers.
 
     At several hundred keepers and thousands of workers, computing every
@@ -107,12 +107,14 @@
         self._keepers = ()
         self._coordinators = {}
 
-    def home(self, name: str, keepers: tuple[str, ...]) -> str:
+    def coordinator_of(self, name: str, keepers: tuple[str, ...]) -> str:
         """Returns the result of the function `home`."""
         if keepers is not self._keepers and keepers != self._keepers:
             self._coordinators.clear()
         self._keepers = keepers
         coordinator = self._coordinators.get(name)
         if coordinator is None:
-            coordinator = self._coordinators[name] = home(name, keepers)
+            coordinator = self._coordinators[name] = choose_coordinator(
+                name, keepers
+            )
         return coordinator
--- a/packages/core/foxtaildale/crashes.py
+++ b/packages/core/foxtaildale/crashes.py
@@ -20,12 +20,12 @@
 from foxtaildale import messages
 
 # Total weight of the crashes that one request must explain to be blamed.
-ENDS: Final = 3.0
+BLAME_WEIGHT: Final = 3.0
 # A request that began at most this long before a crash, seconds, is a likely
 # cause. If it is unknown when the request began, the time at which it was sent
 # counts: the head of its response, which shows that it had begun, may be lost
 # in the crash.
-SOON_S: Final = 0.5
+LIKELY_CAUSE_S: Final = 0.5
 # Weight of a crash for a request that had been running for longer.
 _UNLIKELY_WEIGHT: Final = 0.5
 # Time from the first report of a crash until it is evaluated, seconds: reports
@@ -34,12 +34,12 @@
 # Maximum difference between the network delays of two reports, seconds.
 _DELAY_SPREAD_S: Final = 0.1
 # How long a crash counts, seconds.
-COUNTS_S: Final = 300.0
+CRASH_TTL_S: Final = 300.0
 # Maximum number of crashes remembered, and of requests for each of them.
-MOST_ENDS: Final = 256
-MOST_REQUESTS: Final = 64
+MAX_CRASHES: Final = 256
+MAX_REQUESTS: Final = 64
 # Maximum number of reports that are passed on at once.
-MOST_REPORTS: Final = 256
+MAX_REPORTS: Final = 256
 
 # One incarnation of a server: its id, and when it started, Unix milliseconds.
 _Incarnation = tuple[str, int]
@@ -48,14 +48,14 @@
 class _ServerCrash:
     """The crash of one incarnation of a server, and what ran there."""
 
-    __slots__ = ('_began_at', 'happened_at', 'ran', 'reported_at')
+    __slots__ = ('_began_at', 'happened_at', 'reported_at', 'requests')
 
     def __init__(self, reported_at: float, happened_at: float) -> None:
         # When the crash was first reported, and when it happened, seconds.
         self.reported_at = reported_at
         self.happened_at = happened_at
         # Reports of the requests that ran there, by fingerprint.
-        self.ran: dict[int, messages.Crash] = {}
+        self.requests: dict[int, messages.Crash] = {}
         # When each request began there, seconds, by fingerprint.
         self._began_at: dict[int, float] = {}
 
@@ -66,7 +66,7 @@
         already broken.
         """
         request = crash.fingerprint
-        self.ran[request] = crash
+        self.requests[request] = crash
         self._began_at[request] = crashed_at - crash.ran_ms / 1000
         self.happened_at = min(self.happened_at, crashed_at)
         last = self.happened_at + _DELAY_SPREAD_S
@@ -74,22 +74,22 @@
             one for one, at in self._began_at.items() if at > last
         ]:
             self.drop(late_request)
-        if len(self.ran) > MOST_REQUESTS:
-            longest = max(self.ran.values(), key=lambda ran: ran.ran_ms)
+        if len(self.requests) > MAX_REQUESTS:
+            longest = max(self.requests.values(), key=lambda ran: ran.ran_ms)
             self.drop(longest.fingerprint)
 
     def drop(self, fingerprint: int) -> None:
         """Removes a request; does nothing if it is not present."""
-        self.ran.pop(fingerprint, None)
+        self.requests.pop(fingerprint, None)
         self._began_at.pop(fingerprint, None)
 
     def reports(self, now: float) -> list[messages.Crash]:
         """Returns the reports that still count, with their current age."""
         current = []
-        for fingerprint, crash in self.ran.items():
+        for fingerprint, crash in self.requests.items():
             began_at = self._began_at[fingerprint]
             age_s = now - began_at - crash.ran_ms / 1000
-            if age_s <= COUNTS_S:
+            if age_s <= CRASH_TTL_S:
                 report = msgspec.structs.replace(
                     crash, age_ms=int(age_s * 1000)
                 )
@@ -98,54 +98,56 @@
 
     def weight(self, fingerprint: int) -> float:
         """Returns the weight of this crash for a request."""
-        crash = self.ran.get(fingerprint)
+        crash = self.requests.get(fingerprint)
         if crash is None:
             return 0.0
-        return 1.0 if is_likely(crash) else _UNLIKELY_WEIGHT
+        return 1.0 if is_likely_cause(crash) else _UNLIKELY_WEIGHT
 
 
 class Crashes:
     """Crashes of servers that entry VMs reported."""
 
-    __slots__ = ('_ends',)
+    __slots__ = ('_crashes',)
 
     def __init__(self) -> None:
         # The crashes that were reported first are at the front.
-        self._ends: dict[_Incarnation, _ServerCrash] = {}
+        self._crashes: dict[_Incarnation, _ServerCrash] = {}
 
-    def note(self, now: float, crash: messages.Crash) -> None:
+    def record(self, now: float, crash: messages.Crash) -> None:
         """Records a request that ran on a server when the server crashed."""
-        incarnation = crash.server, crash.born
+        incarnation = crash.server, crash.started_at
         crashed_at = now - crash.age_ms / 1000
-        server_crash = self._ends.get(incarnation)
+        server_crash = self._crashes.get(incarnation)
         if server_crash is None:
-            server_crash = self._ends[incarnation] = _ServerCrash(
+            server_crash = self._crashes[incarnation] = _ServerCrash(
                 now, crashed_at
             )
-            if len(self._ends) > MOST_ENDS:
-                del self._ends[next(iter(self._ends))]
+            if len(self._crashes) > MAX_CRASHES:
+                del self._crashes[next(iter(self._crashes))]
         server_crash.add(crash, crashed_at)
 
-    def acquit(self, fingerprint: int) -> None:
+    def remove_request(self, fingerprint: int) -> None:
         """Removes a request that is not at fault."""
-        for server_crash in self._ends.values():
+        for server_crash in self._crashes.values():
             server_crash.drop(fingerprint)
 
-    def blamed(self, now: float, known: Collection[int]) -> list[int]:
+    def newly_blamed(
+        self, now: float, already_blamed: Collection[int]
+    ) -> list[int]:
         """Returns the fingerprints of requests that are newly blamed.
 
         Args:
             now: Seconds.
-            known: Fingerprints of requests that were blamed before.
+            already_blamed: Fingerprints of requests that were blamed before.
         """
         self._expire(now)
         open_crashes = [
             server_crash
-            for server_crash in self._ends.values()
+            for server_crash in self._crashes.values()
             if now - server_crash.reported_at >= SETTLE_S
             and not any(
                 server_crash.weight(blamed_request) >= 1.0
-                for blamed_request in known
+                for blamed_request in already_blamed
             )
         ]
         blamed = []
@@ -154,14 +156,14 @@
             open_crashes = [
                 server_crash
                 for server_crash in open_crashes
-                if best not in server_crash.ran
+                if best not in server_crash.requests
             ]
         return blamed
 
-    def pending(self, now: float) -> bool:
+    def has_crashes(self, now: float) -> bool:
         """Whether any crash still counts."""
         self._expire(now)
-        return bool(self._ends)
+        return bool(self._crashes)
 
     def reports(self, now: float) -> list[messages.Crash]:
         """Returns the recorded reports that still count, from all entry VMs.
@@ -171,28 +173,28 @@
         self._expire(now)
         current = [
             crash
-            for server_crash in self._ends.values()
+            for server_crash in self._crashes.values()
             for crash in server_crash.reports(now)
         ]
-        return current[-MOST_REPORTS:]
+        return current[-MAX_REPORTS:]
 
     def is_settling(self, now: float) -> bool:
         """Whether a crash was reported recently."""
         return any(
             now - server_crash.reported_at <= 2 * SETTLE_S
-            for server_crash in self._ends.values()
+            for server_crash in self._crashes.values()
         )
 
     def _expire(self, now: float) -> None:
-        for incarnation, server_crash in list(self._ends.items()):
-            if now - server_crash.reported_at <= COUNTS_S:
+        for incarnation, server_crash in list(self._crashes.items()):
+            if now - server_crash.reported_at <= CRASH_TTL_S:
                 break
-            del self._ends[incarnation]
+            del self._crashes[incarnation]
 
 
-def is_likely(crash: messages.Crash) -> bool:
+def is_likely_cause(crash: messages.Crash) -> bool:
     """Whether a server crashed just after it began to run a request."""
-    return crash.ran_ms <= SOON_S * 1000
+    return crash.ran_ms <= LIKELY_CAUSE_S * 1000
 
 
 def _likeliest(server_crashes: list[_ServerCrash]) -> int | None:
@@ -200,7 +202,7 @@
     weights: dict[int, float] = {}
     ran_ms: dict[int, int] = {}
     for server_crash in server_crashes:
-        for fingerprint, crash in server_crash.ran.items():
+        for fingerprint, crash in server_crash.requests.items():
             weight = weights.get(fingerprint, 0.0) + server_crash.weight(
                 fingerprint
             )
@@ -209,4 +211,4 @@
     if not weights:
         return None
     best = max(weights, key=lambda one: (weights[one], -ran_ms[one]))
-    return best if weights[best] >= ENDS else None
+    return best if weights[best] >= BLAME_WEIGHT else None
--- a/packages/core/foxtaildale/departures.py
+++ b/packages/core/foxtaildale/departures.py
@@ -15,19 +15,19 @@
 
 # Maximum number of servers remembered; those that changed longest ago are
 # removed first.
-MOST: Final = 4096
+MAX_SERVERS: Final = 4096
 # Number of entries with state ready, written after a server was found to leave,
 # that withdraw its departure, and the minimum interval between two that count,
 # seconds. One entry is not enough: it may have been in transit to the store,
 # and a store that is restored from a copy receives old entries again.
-READY_ENTRIES: Final = 3
-ENTRY_S: Final = 1.0
+WITHDRAWAL_ENTRIES: Final = 3
+MIN_ENTRY_INTERVAL_S: Final = 1.0
 # How long a change is reported to other entry VMs, seconds. A VM that was
 # disconnected for longer learns of it from the list or from the server.
-NEWS_S: Final = 10.0
+REPORT_S: Final = 10.0
 
 # When the server started, Unix milliseconds, and the revision.
-Word = tuple[int, int]
+Departure = tuple[int, int]
 
 
 class Departures:
@@ -37,14 +37,14 @@
 
     def __init__(self) -> None:
         # By server; the one that changed last is at the end.
-        self._states: dict[str, Word] = {}
+        self._states: dict[str, Departure] = {}
         # When the state of each server last changed here, seconds.
         self._changed_at: dict[str, float] = {}
         # For each leaving server, the number of entries with state ready, and
         # when the last one was counted, seconds.
         self._ready_entries: dict[str, tuple[int, float]] = {}
 
-    def leaving(self, server: str, started_at: int) -> bool:
+    def is_leaving(self, server: str, started_at: int) -> bool:
         """Whether an incarnation of a server leaves; safe from any thread."""
         return self.revision(server, started_at) % 2 == 1
 
@@ -53,7 +53,7 @@
         state = self._states.get(server)
         return state[1] if state is not None and state[0] >= started_at else 0
 
-    def said(self, now: float, server: str, started_at: int) -> bool:
+    def record_leaving(self, now: float, server: str, started_at: int) -> bool:
         """Records that an incarnation of a server leaves.
 
         Returns:
@@ -71,7 +71,9 @@
         self._put(now, server, (started_at, state[1] + 1))
         return True
 
-    def withdrawn(self, now: float, server: str, started_at: int) -> bool:
+    def record_withdrawal(
+        self, now: float, server: str, started_at: int
+    ) -> bool:
         """Records that an incarnation of a server no longer leaves.
 
         Returns:
@@ -83,23 +85,25 @@
         self._put(now, server, (started_at, state[1] + 1))
         return True
 
-    def listed(self, now: float, server: str, started_at: int) -> bool:
+    def count_ready_entry(
+        self, now: float, server: str, started_at: int
+    ) -> bool:
         """Counts an entry with state ready that was read from the store.
 
         Returns:
             Whether that withdraws the server's departure.
         """
-        if not self.leaving(server, started_at):
+        if not self.is_leaving(server, started_at):
             return False
         count, last_at = self._ready_entries.get(server, (0, now))
-        if count and now - last_at < ENTRY_S:
+        if count and now - last_at < MIN_ENTRY_INTERVAL_S:
             return False
         self._ready_entries[server] = (count + 1, now)
-        return count + 1 >= READY_ENTRIES and self.withdrawn(
+        return count + 1 >= WITHDRAWAL_ENTRIES and self.record_withdrawal(
             now, server, started_at
         )
 
-    def take(self, now: float, states: Mapping[str, Word]) -> list[str]:
+    def merge(self, now: float, states: Mapping[str, Departure]) -> list[str]:
         """Merges the states that another entry VM reports.
 
         Returns:
@@ -114,7 +118,7 @@
             self._put(now, server, (states[server][0], states[server][1]))
         return newer
 
-    def word(self, server: str) -> Word:
+    def state(self, server: str) -> Departure:
         """Returns the state of a server.
 
         Raises:
@@ -122,25 +126,25 @@
         """
         return self._states[server]
 
-    def words(self) -> dict[str, Word]:
+    def all_states(self) -> dict[str, Departure]:
         """Returns the states of all servers, for an entry VM that starts."""
         return dict(self._states)
 
-    def news(self, now: float) -> dict[str, Word]:
+    def recent_changes(self, now: float) -> dict[str, Departure]:
         """Returns the states that changed within the last `NEWS_S` seconds."""
-        recent: dict[str, Word] = {}
+        recent: dict[str, Departure] = {}
         for server, changed_at in reversed(self._changed_at.items()):
-            if now - changed_at >= NEWS_S:
+            if now - changed_at >= REPORT_S:
                 break
             recent[server] = self._states[server]
         return recent
 
-    def _put(self, now: float, server: str, state: Word) -> None:
+    def _put(self, now: float, server: str, state: Departure) -> None:
         for table in (self._states, self._changed_at, self._ready_entries):
             table.pop(server, None)
         self._states[server] = state
         self._changed_at[server] = now
-        if len(self._states) > MOST:
+        if len(self._states) > MAX_SERVERS:
             oldest = next(iter(self._states))
             del self._states[oldest]
             del self._changed_at[oldest]
--- a/packages/core/foxtaildale/divergence.py
+++ b/packages/core/foxtaildale/divergence.py
@@ -26,18 +26,18 @@
     other: str
 
 
-class Reports:
+class Divergences:
     """The divergences that one follower has detected."""
 
-    __slots__ = ('_unresolved', 'all')
+    __slots__ = ('_unresolved', 'recent')
 
     # Newest last; includes resolved ones.
-    all: tuple[Divergence, ...]
+    recent: tuple[Divergence, ...]
     # Sources whose last known state differs.
     _unresolved: set[str]
 
     def __init__(self) -> None:
-        self.all = ()
+        self.recent = ()
         self._unresolved = set()
 
     def __bool__(self) -> bool:
@@ -48,12 +48,12 @@
         """Whether a source has an unresolved divergence."""
         return source in self._unresolved
 
-    def report(self, divergence: Divergence) -> None:
+    def add(self, divergence: Divergence) -> None:
         """Records a divergence and marks its source as unresolved."""
         self._unresolved.add(divergence.source)
-        if divergence not in self.all:
-            self.all = (*self.all, divergence)[-_MAX_DIVERGENCES:]
+        if divergence not in self.recent:
+            self.recent = (*self.recent, divergence)[-_MAX_DIVERGENCES:]
 
-    def settle(self, source: str) -> None:
+    def resolve(self, source: str) -> None:
         """Records that a source agrees, for example after its replacement."""
         self._unresolved.discard(source)
--- a/packages/core/foxtaildale/speeds.py
+++ b/packages/core/foxtaildale/engine_speeds.py
@@ -18,16 +18,16 @@
 _NEW_WEIGHT: Final = 0.3
 # Ratio to the median from which on an engine counts as slow. Prompts of uneven
 # length that wait for each other spread by less.
-SLOW: Final = 2.0
+SLOW_RATIO: Final = 2.0
 # Time in which an engine's excess over the median halves without a measurement,
 # seconds. A slow engine gets little work to be measured by, and would otherwise
 # stay idle long after it has recovered.
-HALF_S: Final = 2.0
+HALF_LIFE_S: Final = 2.0
 # Maximum number of remembered engines; those measured longest ago are dropped.
 _MAX_ENGINES: Final = 256
 
 
-class Speeds:
+class EngineSpeeds:
     """Smoothed time of a token at each engine of a stage."""
 
     __slots__ = ('_token_times',)
@@ -37,7 +37,7 @@
         # engines measured last are at the end.
         self._token_times: dict[str, tuple[float, float]] = {}
 
-    def note(self, now: float, server: str, token_s: float) -> None:
+    def record(self, now: float, server: str, token_s: float) -> None:
         """Records a measured time of a token, seconds."""
         old_s, _ = self._token_times.pop(server, (token_s, now))
         smoothed_s = old_s + _NEW_WEIGHT * (token_s - old_s)
@@ -49,7 +49,7 @@
         """Discards what is known of a server that has restarted."""
         self._token_times.pop(server, None)
 
-    def usual_s(self) -> float | None:
+    def median_s(self) -> float | None:
         """Returns the median time of a token; None if not known."""
         if not self._token_times:
             return None
@@ -59,10 +59,10 @@
 
     def slowness(self, now: float, server: str) -> float:
         """Returns the ratio to the median; 1 if the engine is not slow."""
-        measured, median_s = self._token_times.get(server), self.usual_s()
+        measured, median_s = self._token_times.get(server), self.median_s()
         if measured is None or median_s is None:
             return 1.0
         token_s, measured_at = measured
         excess = max(0.0, token_s / median_s - 1.0)
-        ratio = 1.0 + excess * math.exp2((measured_at - now) / HALF_S)
-        return ratio if ratio >= SLOW else 1.0
+        ratio = 1.0 + excess * math.exp2((measured_at - now) / HALF_LIFE_S)
+        return ratio if ratio >= SLOW_RATIO else 1.0
--- a/packages/core/foxtaildale/errors.py
+++ b/packages/core/foxtaildale/errors.py
@@ -38,11 +38,11 @@
     """Nothing was sent, so the other side can't have acted on it."""
 
 
-class AnswerLostError(PortError):
+class NoReplyError(PortError):
     """Something was sent and no reply came, so the effect is unknown."""
 
 
-class BrokenOffError(AnswerLostError):
+class ConnectionBrokenError(NoReplyError):
     """The connection broke after something was sent."""
 
 
@@ -58,7 +58,7 @@
         self.code = code
 
 
-class LapsedError(PortError):
+class RecordsExpiredError(PortError):
     """The requested records are no longer in the platform's log.
 
     Attributes:
--- a/packages/core/foxtaildale/estimates.py
+++ b/packages/core/foxtaildale/estimates.py
@@ -10,9 +10,9 @@
 from typing import Final
 
 # Initial rates before the first measurement, seconds a token.
-PREFILL_S: Final = 1 / 10_000
-TRANSFER_S: Final = 1 / 40_000
-TOKEN_S: Final = 0.025
+INITIAL_PREFILL_S: Final = 1 / 10_000
+INITIAL_TRANSFER_S: Final = 1 / 40_000
+INITIAL_TOKEN_S: Final = 0.025
 # Minimum weight of a new measurement in an average.
 _WEIGHT: Final = 0.1
 # The same for decode times, which differ widely between responses. The initial
@@ -39,11 +39,11 @@
     _count: int
 
     def __init__(
-        self, assumed: float, weight: float = _WEIGHT, prior: int = 1
+        self, initial: float, weight: float = _WEIGHT, prior_count: int = 1
     ) -> None:
-        self.value = assumed
+        self.value = initial
         self._min_weight = weight
-        self._count = prior
+        self._count = prior_count
 
     def add(self, value: float) -> None:
         """Adds a measurement; the first ones have more weight."""
@@ -52,7 +52,7 @@
         self.value += weight * (value - self.value)
 
 
-class TokenTime:
+class TokenTimeFit:
     """Time between tokens as a linear function of the batch size.
 
     Decode slows down as the batch grows. The line is a least squares fit in
@@ -88,7 +88,7 @@
     def at(self, batch: float) -> float:
         """Returns the expected token time at a batch size, seconds."""
         if self._n == 0:
-            return TOKEN_S
+            return INITIAL_TOKEN_S
         mean_x = self._x / self._n
         mean_y = self._y / self._n
         return max(mean_y / 4, mean_y + self._slope() * (batch - mean_x))
@@ -123,47 +123,54 @@
 class Estimates:
     """The rates of one pool."""
 
-    __slots__ = ('_prefill_rates', '_transfer_rates', 'decode', 'token')
+    __slots__ = (
+        '_prefill_rates',
+        '_transfer_rates',
+        'decode_time',
+        'token_time',
+    )
 
     # Seconds a token, by prefill worker.
     _prefill_rates: dict[str, Average]
     _transfer_rates: dict[str, Average]
     # Time from the first to the last token, seconds.
-    decode: Average
-    token: TokenTime
+    decode_time: Average
+    token_time: TokenTimeFit
 
     def __init__(self, expected_tokens: int) -> None:
         self._prefill_rates = {}
         self._transfer_rates = {}
-        self.decode = Average(
-            expected_tokens * TOKEN_S, _DECODE_WEIGHT, _DECODE_PRIOR
+        self.decode_time = Average(
+            expected_tokens * INITIAL_TOKEN_S, _DECODE_WEIGHT, _DECODE_PRIOR
         )
-        self.token = TokenTime()
+        self.token_time = TokenTimeFit()
 
     def prefill_s(self, worker: str, tokens: float) -> float:
         """Returns how long a worker takes to prefill a prompt, seconds."""
         rate = self._prefill_rates.get(worker)
-        return tokens * (rate.value if rate else PREFILL_S)
+        return tokens * (rate.value if rate else INITIAL_PREFILL_S)
 
     def transfer_s(self, worker: str, tokens: int) -> float:
         """Returns how long a transfer occupies a worker's link, seconds."""
         rate = self._transfer_rates.get(worker)
-        return tokens * (rate.value if rate else TRANSFER_S)
+        return tokens * (rate.value if rate else INITIAL_TRANSFER_S)
 
-    def measured_prefill(self, worker: str, tokens: int, took_s: float) -> None:
+    def record_prefill(self, worker: str, tokens: int, took_s: float) -> None:
         """Records the measured time of a prefill."""
-        rate = self._prefill_rates.setdefault(worker, Average(PREFILL_S))
+        rate = self._prefill_rates.setdefault(
+            worker, Average(INITIAL_PREFILL_S)
+        )
         rate.add(took_s / max(1, tokens))
 
-    def measured_transfer(
-        self, worker: str, tokens: int, took_s: float
-    ) -> None:
+    def record_transfer(self, worker: str, tokens: int, took_s: float) -> None:
         """Records the measured time of a transfer."""
-        rate = self._transfer_rates.setdefault(worker, Average(TRANSFER_S))
+        rate = self._transfer_rates.setdefault(
+            worker, Average(INITIAL_TRANSFER_S)
+        )
         rate.add(took_s / max(1, tokens))
 
-    def measured_decode(self, batch: int, tokens: int, took_s: float) -> None:
+    def record_decode(self, batch: int, tokens: int, took_s: float) -> None:
         """Records the measured time of a complete stream."""
-        self.decode.add(took_s)
+        self.decode_time.add(took_s)
         if tokens > 1:
-            self.token.add(batch, took_s / (tokens - 1))
+            self.token_time.add(batch, took_s / (tokens - 1))
--- a/packages/core/foxtaildale/experience.py
+++ b/packages/core/foxtaildale/failure_rates.py
@@ -18,41 +18,41 @@
 
 # Time in which an outcome loses half of its weight, seconds. Faults begin and
 # end within seconds.
-HALF_S: Final = 1.0
+HALF_LIFE_S: Final = 1.0
 # Minimum number of recent requests, by weight, for a meaningful rate.
-LEAST: Final = 4.0
+MIN_RECENT_REQUESTS: Final = 4.0
 # Maximum number of remembered servers; those reported longest ago are dropped.
 _MAX_SERVERS: Final = 512
 
 # Number of requests that a server got, and of those that failed.
-Seen = tuple[float, float]
+Counts = tuple[float, float]
 
 
-class Experience:
+class FailureRates:
     """Requests and failures by server; the time is an argument."""
 
     __slots__ = ('_totals', '_unsent')
 
     def __init__(self) -> None:
         # Outcomes of this VM's requests that are not yet reported.
-        self._unsent: dict[str, Seen] = {}
+        self._unsent: dict[str, Counts] = {}
         # Time of the last update, requests and failures, as reported to this VM
         # by all entry VMs; the counts decay.
         self._totals: dict[str, tuple[float, float, float]] = {}
 
-    def note(self, server: str, *, failed: bool) -> None:
+    def record(self, server: str, *, failed: bool) -> None:
         """Records the outcome of a request of this VM."""
         requests, failures = self._unsent.get(server, (0.0, 0.0))
         self._unsent[server] = requests + 1.0, failures + failed
 
-    def news(self) -> dict[str, Seen]:
+    def take_unsent(self) -> dict[str, Counts]:
         """Returns the outcomes of this VM's requests since the last call."""
         unsent, self._unsent = self._unsent, {}
         return unsent
 
-    def told(self, now: float, news: Mapping[str, Seen]) -> None:
+    def merge(self, now: float, reported: Mapping[str, Counts]) -> None:
         """Adds the outcomes that an entry VM reports."""
-        for server, (requests, failures) in news.items():
+        for server, (requests, failures) in reported.items():
             old_requests, old_failures = self._decayed(now, server)
             self._totals.pop(server, None)
             self._totals[server] = (
@@ -68,13 +68,13 @@
         rates = {}
         for server in self._totals:
             requests, failures = self._decayed(now, server)
-            if requests >= LEAST:
+            if requests >= MIN_RECENT_REQUESTS:
                 rates[server] = failures / requests
         return rates
 
-    def _decayed(self, now: float, server: str) -> Seen:
+    def _decayed(self, now: float, server: str) -> Counts:
         updated_at, requests, failures = self._totals.get(
             server, (now, 0.0, 0.0)
         )
-        weight = math.exp2((updated_at - now) / HALF_S)
+        weight = math.exp2((updated_at - now) / HALF_LIFE_S)
         return weight * requests, weight * failures
--- a/packages/core/foxtaildale/reports.py
+++ b/packages/core/foxtaildale/failure_reports.py
@@ -15,15 +15,15 @@
 from typing import Final
 
 # Number of entry VMs that must report a server before it is excluded for all.
-WITNESSES: Final = 2
+MIN_WITNESSES: Final = 2
 # How long a report counts, seconds. A restarted engine has another id, so a
 # longer time would only exclude engines whose failure was temporary.
-COUNTS_S: Final = 3.0
+REPORT_TTL_S: Final = 3.0
 # Key that stands for the second witness; it is not the name of an entry VM.
 _REPLACED: Final = ''
 
 
-class Reports:
+class FailureReports:
     """Reports on one service's backend servers; the time is an argument."""
 
     __slots__ = ('_reported_at',)
@@ -32,7 +32,7 @@
         # When each entry VM last reported it, by server.
         self._reported_at: dict[str, dict[str, float]] = {}
 
-    def note(
+    def record(
         self, now: float, server: str, holder: str, *, replaced: bool = False
     ) -> None:
         """Records the report of an entry VM.
@@ -53,15 +53,15 @@
         """Discards what is known of a server that has restarted."""
         self._reported_at.pop(server, None)
 
-    def failed(self, now: float) -> frozenset[str]:
+    def failed_servers(self, now: float) -> frozenset[str]:
         """Returns the servers that get no work now."""
         failed = set()
         for server, reports in list(self._reported_at.items()):
             for holder, reported_at in list(reports.items()):
-                if now - reported_at > COUNTS_S:
+                if now - reported_at > REPORT_TTL_S:
                     del reports[holder]
             if not reports:
                 del self._reported_at[server]
-            elif len(reports) >= WITNESSES:
+            elif len(reports) >= MIN_WITNESSES:
                 failed.add(server)
         return frozenset(failed)
--- a/packages/core/foxtaildale/share.py
+++ b/packages/core/foxtaildale/fallback_share.py
@@ -10,7 +10,7 @@
 
 from foxtaildale import backends
 from foxtaildale import codes
-from foxtaildale import homes
+from foxtaildale import coordinator_choice
 from foxtaildale import ledger
 from foxtaildale import messages
 from foxtaildale import values
@@ -24,7 +24,7 @@
 _POLL_MS: Final = 100
 
 
-class Share:
+class FallbackShare:
     """The part of one service's slots that one entry VM may grant itself."""
 
     __slots__ = (
@@ -80,18 +80,18 @@
         if worker is not None:
             worker.load = load
 
-    def granted(
-        self, now: float, msg: messages.AskSlot, granted: messages.Granted
+    def count_grant(
+        self, now: float, msg: messages.SlotRequest, granted: messages.SlotGrant
     ) -> None:
         """Counts a grant of the coordinator against the share."""
-        self._add(now, msg, granted.prefill, granted.decode)
+        self._add(now, msg, granted.prefill_worker, granted.decode_worker)
 
-    def ask(
-        self, now: float, msg: messages.AskSlot
-    ) -> messages.Granted | messages.Queued | messages.Refused:
+    def request_slot(
+        self, now: float, msg: messages.SlotRequest
+    ) -> messages.SlotGrant | messages.Queued | messages.Refused:
         """Grants from the share, queues or refuses a request for a slot."""
         slot_role = 'plain' if self._service.kind == 'plain' else 'decode'
-        decodes = self._usable_workers(now, slot_role, msg.avoid)
+        decodes = self._usable_workers(now, slot_role, msg.excluded_worker)
         prefills = self._usable_workers(now, 'prefill', '')
         if not decodes or (slot_role == 'decode' and not prefills):
             return messages.Refused(
@@ -101,26 +101,26 @@
         if self._free_slots(decode) <= 0:
             return self._queue_or_refuse(msg)
         prefill = None
-        if slot_role == 'decode' and not msg.ready_at:
+        if slot_role == 'decode' and not msg.prefilled_at:
             self._prefill_turn += 1
             prefill = prefills[self._prefill_turn % len(prefills)]
         self._add(
             now,
             msg,
-            prefill.server.name if prefill else msg.ready_at,
+            prefill.server.name if prefill else msg.prefilled_at,
             decode.server.name,
         )
-        return messages.Granted(
-            grant=ledger.name(msg.request, msg.attempt),
-            prefill=prefill.server.name if prefill else msg.ready_at,
+        return messages.SlotGrant(
+            grant=ledger.grant_name(msg.request, msg.attempt),
+            prefill_worker=prefill.server.name if prefill else msg.prefilled_at,
             prefill_address=prefill.server.address if prefill else '',
-            decode=decode.server.name,
+            decode_worker=decode.server.name,
             decode_address=decode.server.address,
             start_in_ms=0,
-            lapses_ms=round(ledger.LAPSE_S * 1000),
+            expires_ms=round(ledger.GRANT_TTL_S * 1000),
         )
 
-    def end(self, now: float, msg: messages.EndSlot) -> None:
+    def release(self, now: float, msg: messages.SlotRelease) -> None:
         """Releases a grant."""
         grant = self._ledger.remove(msg.grant)
         if grant is None:
@@ -132,9 +132,9 @@
         }.get(msg.result, '')
         worker = self._workers.get(failed_worker)
         if worker is not None:
-            worker.failed(now)
+            worker.record_failure(now)
 
-    def part(self, worker: values.BackendServer) -> int:
+    def slot_share(self, worker: values.BackendServer) -> int:
         """Returns this entry VM's share of a worker's slots.
 
         A hash over the worker ranks the entry VMs, and the first ones get one
@@ -142,13 +142,16 @@
         """
         quotient, remainder = divmod(worker.slots, len(self._entry_vms))
         ranked = sorted(
-            self._entry_vms, key=lambda vm: homes.score(worker.name, vm)
+            self._entry_vms,
+            key=lambda vm: coordinator_choice.score(worker.name, vm),
         )
         return quotient + (ranked.index(self._entry_vm) < remainder)
 
     def _free_slots(self, worker: workers.Worker) -> int:
         server = worker.server
-        free_slots = self.part(server) - self._ledger.held(server.name)
+        free_slots = self.slot_share(server) - self._ledger.granted_slots(
+            server.name
+        )
         load = worker.load
         if load is None or load.age_ms > _MAX_REPORT_AGE_MS:
             return free_slots
@@ -160,17 +163,17 @@
         usable = [
             worker
             for worker in self._workers.values()
-            if worker.server.role == role and worker.usable(now)
+            if worker.server.role == role and worker.is_usable(now)
         ]
         return [w for w in usable if w.server.name != avoid] or usable
 
     def _queue_or_refuse(
-        self, msg: messages.AskSlot
+        self, msg: messages.SlotRequest
     ) -> messages.Queued | messages.Refused:
         target_ms = self._service.first_answer_ms
         limit_ms = target_ms or self._service.patience_ms
         if msg.waited_ms + _POLL_MS < limit_ms:
-            return messages.Queued(again_in_ms=_POLL_MS, position=0)
+            return messages.Queued(retry_in_ms=_POLL_MS, position=0)
         if target_ms:
             return messages.Refused(
                 code=codes.NO_CAPACITY.name,
@@ -187,7 +190,7 @@
         )
 
     def _add(
-        self, now: float, msg: messages.AskSlot, prefill: str, decode: str
+        self, now: float, msg: messages.SlotRequest, prefill: str, decode: str
     ) -> None:
         grant = ledger.Grant(
             request=msg.request,
@@ -196,7 +199,7 @@
             prefill=prefill,
             decode=decode,
             prompt_tokens=msg.prompt_tokens,
-            given_at=now,
+            granted_at=now,
             start_at=now,
             transfer_at=now,
             decode_at=now,
--- a/packages/core/foxtaildale/fingerprint.py
+++ b/packages/core/foxtaildale/fingerprint.py
@@ -12,7 +12,7 @@
 _BYTES = 8
 
 
-def of(call: forwarding.Call) -> int:
+def compute(call: forwarding.CallerRequest) -> int:
     """Returns the fingerprint of a request, 64 bits."""
     hasher = hashlib.blake2b(call.body, digest_size=_BYTES)
     for part in (call.account, call.host, call.method, call.target):
@@ -21,6 +21,6 @@
     return int.from_bytes(hasher.digest())
 
 
-def text(fingerprint: int) -> str:
+def to_text(fingerprint: int) -> str:
     """Returns a fingerprint as text for log lines and records."""
     return f'{fingerprint:016x}'
--- a/packages/core/foxtaildale/tries.py
+++ b/packages/core/foxtaildale/first_attempts.py
@@ -10,10 +10,10 @@
 
 # How long an unserved request is remembered, seconds; callers give up after
 # about fourteen.
-REMEMBERED_S: Final = 20.0
+ATTEMPT_TTL_S: Final = 20.0
 
 
-class FirstTries:
+class FirstAttempts:
     """First attempts of the requests of one service."""
 
     __slots__ = ('_first_at',)
@@ -22,22 +22,24 @@
         # Seconds, by digest; the requests that arrived last are at the end.
         self._first_at: dict[int, float] = {}
 
-    def came_first(self, now: float, digest: int, came_at: float) -> float:
+    def first_arrived_at(
+        self, now: float, digest: int, arrived_at: float
+    ) -> float:
         """Returns when the first attempt of a request arrived, seconds.
 
         Args:
             now: Seconds.
             digest: Shared by its attempts; 0 if not known.
-            came_at: When this attempt arrived, seconds.
+            arrived_at: When this attempt arrived, seconds.
         """
         if not digest:
-            return came_at
+            return arrived_at
         for old_digest, first_at in list(self._first_at.items()):
-            if now - first_at <= REMEMBERED_S:
+            if now - first_at <= ATTEMPT_TTL_S:
                 break
             del self._first_at[old_digest]
-        return self._first_at.setdefault(digest, came_at)
+        return self._first_at.setdefault(digest, arrived_at)
 
-    def served(self, digest: int) -> None:
+    def remove(self, digest: int) -> None:
         """Removes a request that got its complete response."""
         self._first_at.pop(digest, None)
--- a/packages/core/foxtaildale/fleet.py
+++ b/packages/core/foxtaildale/fleet.py
@@ -29,11 +29,11 @@
 # Time in which a failure loses half of its weight, seconds. A server that fails
 # only in part is tried again about every three seconds at the request rates of
 # the smallest site.
-FAULT_HALF_S: Final = 3.0
+FAILURE_HALF_LIFE_S: Final = 3.0
 # Weight of one failure, in queued requests: a server with one failure is chosen
 # only if its queue is this much shorter. A plain server has six slots, so one
 # failure weighs as much as a full server.
-FAULT_WEIGHT: Final = 6.0
+FAILURE_WEIGHT: Final = 6.0
 # Weights of a server that fails all of its requests, in queued requests. The
 # first is for a request that may run only once, whose caller then gets no
 # response; the second is for a request that is sent again to another server. A
@@ -44,23 +44,23 @@
 # requests.
 BACKOFF_WEIGHT: Final = 20.0
 # How long a reported failure rate counts, seconds; it is reported every 0.4 s.
-FAILING_S: Final = 1.5
+FAILURE_RATE_TTL_S: Final = 1.5
 # Decayed number of failures above which a server is excluded from the plan. One
 # failure excludes it for three seconds.
-FAULTY: Final = 0.5
+MAX_FAILURES: Final = 0.5
 # How long a server that refused a request because it was full is ranked lower,
 # seconds. About one in ten slots becomes free in this time.
-FULL_S: Final = 0.08
+FULL_PENALTY_S: Final = 0.08
 # How long a server is still used after it vanished from the list while the
 # store was unhealthy, seconds. Entries of running servers reappear within two
 # seconds after the store recovers. A leaving server must get no requests later
 # than two seconds after its departure was observed, so the time stays below
 # that bound.
-VANISHED_S: Final = 1.5
+VANISHED_GRACE_S: Final = 1.5
 # How long a server is excluded after another server responded at its address,
 # seconds. This is one heartbeat, within which its entry is renewed, changed or
 # removed.
-MISDIRECTED_S: Final = 1.2
+MISDIRECTED_EXCLUSION_S: Final = 1.2
 # Maximum number of servers whose newest incarnation is remembered; a deployment
 # lists fewer.
 _MAX_INCARNATIONS: Final = 4096
@@ -68,24 +68,24 @@
 _SMOOTHING: Final = 0.2
 
 
-class Tally:
+class ServerState:
     """The state of one backend server beyond its entry in the list."""
 
     __slots__ = (
         'backend',
-        'failing',
-        'failing_at',
-        'fault_at',
-        'faults',
+        'excess_failure_rate',
+        'failure_rate_at',
+        'failures',
+        'failures_at',
         'full_until',
-        'held_tokens',
         'in_flight',
+        'in_flight_tokens',
         'listed',
         'load',
         'load_at',
-        'load_mine',
+        'load_own',
         'misdirected_until',
-        'took_s',
+        'request_s',
         'vanished_at',
     )
 
@@ -97,42 +97,48 @@
         # Requests of this entry VM that are in flight there, and their KV
         # cache, tokens.
         self.in_flight = 0
-        self.held_tokens = 0
+        self.in_flight_tokens = 0
         self.load: forwarding.Load | None = None
         self.load_at = 0.0
         # How many requests of this entry VM are included in the load.
-        self.load_mine = 0
+        self.load_own = 0
         # Decaying number of failures, as of `fault_at`.
-        self.faults = 0.0
-        self.fault_at = 0.0
+        self.failures = 0.0
+        self.failures_at = 0.0
         self.full_until = 0.0
         self.misdirected_until = 0.0
         # Fraction of its requests that it fails, as seen by all entry VMs,
         # minus that of the best server of its service; and when it was
         # reported, seconds.
-        self.failing = 0.0
-        self.failing_at = -math.inf
+        self.excess_failure_rate = 0.0
+        self.failure_rate_at = -math.inf
         # Smoothed time of one request, seconds; 0 until one was measured.
-        self.took_s = 0.0
+        self.request_s = 0.0
         # When it vanished from the list; None while it is listed.
         self.vanished_at: float | None = None
 
-    def faults_now(self, now: float) -> float:
+    def decayed_failures(self, now: float) -> float:
         """Returns the decayed number of failures."""
-        if not self.faults:
+        if not self.failures:
             return 0.0
-        return self.faults * math.exp2((self.fault_at - now) / FAULT_HALF_S)
+        return self.failures * math.exp2(
+            (self.failures_at - now) / FAILURE_HALF_LIFE_S
+        )
 
-    def failing_now(self, now: float) -> float:
+    def current_failure_rate(self, now: float) -> float:
         """Returns its excess failure rate; 0 if there is no fresh report."""
-        return self.failing if now - self.failing_at < FAILING_S else 0.0
+        return (
+            self.excess_failure_rate
+            if now - self.failure_rate_at < FAILURE_RATE_TTL_S
+            else 0.0
+        )
 
-    def busy(self, now: float) -> float:
+    def estimated_requests(self, now: float) -> float:
         """Returns the estimated number of requests that it has."""
         others = 0
         if self.load is not None and now - self.load_at < LOAD_FRESH_S:
             reported = self.load.running + self.load.waiting
-            others = max(0, reported - self.load_mine)
+            others = max(0, reported - self.load_own)
         return self.in_flight + others
 
 
@@ -149,7 +155,7 @@
     )
 
     # By id of the server.
-    _states: dict[str, Tally]
+    _states: dict[str, ServerState]
 
     def __init__(self, data_centre: str, rng: random.Random) -> None:
         self._data_centre = data_centre
@@ -176,20 +182,20 @@
             not: it would direct requests to an incarnation that left, or mark a
             running one as leaving.
         """
-        if backend.born < self.born(backend.id):
+        if backend.born < self.started_at(backend.id):
             return False
         self._record_incarnation(backend)
         state = self._states.get(backend.id)
         if state is None or state.backend.born < backend.born:
-            state = self._states[backend.id] = Tally(backend)
+            state = self._states[backend.id] = ServerState(backend)
         elif state.listed != backend:
             state.misdirected_until = 0.0
         state.listed = backend
         state.vanished_at = None
-        self.left(backend.id)
+        self.update_departure(backend.id)
         return True
 
-    def left(self, server: str) -> None:
+    def update_departure(self, server: str) -> None:
         """Updates a server after a change in `departures`."""
         state = self._states.get(server)
         if state is not None:
@@ -197,35 +203,35 @@
             state.backend = msgspec.structs.replace(
                 listed,
                 leaving=listed.leaving
-                or self.departures.leaving(server, listed.born),
+                or self.departures.is_leaving(server, listed.born),
             )
 
-    def born(self, server: str) -> int:
+    def started_at(self, server: str) -> int:
         """Returns when a server's newest incarnation started; 0 if unknown."""
         return self._started_at.get(server, 0)
 
-    def remove(self, server: str, now: float, *, store_well: bool) -> None:
+    def remove(self, server: str, now: float, *, store_healthy: bool) -> None:
         """Handles the removal of an entry from the list.
 
         Args:
             server: The backend server's id.
             now: Seconds.
-            store_well: Whether the store was reachable all the time. If it was
+            store_healthy: Whether the store was reachable all the time. If it was
                 not, the entry may have expired although the server runs.
         """
         state = self._states.get(server)
         if state is None:
             return
-        if store_well or state.backend.leaving:
+        if store_healthy or state.backend.leaving:
             del self._states[server]
         elif state.vanished_at is None:
             state.vanished_at = now
 
-    def tally(self, server: str) -> Tally | None:
+    def server_state(self, server: str) -> ServerState | None:
         """Returns the state of one backend server; None if it is not known."""
         return self._states.get(server)
 
-    def known(self) -> list[Tally]:
+    def server_states(self) -> list[ServerState]:
         """Returns the states of all backend servers."""
         return list(self._states.values())
 
@@ -238,7 +244,7 @@
         *,
         repeatable: bool = True,
         in_backoff: bool = False,
-    ) -> list[Tally]:
+    ) -> list[ServerState]:
         """Returns the servers that may get requests of a service, best first.
 
         Args:
@@ -269,7 +275,7 @@
         servers.sort(
             key=lambda state: (
                 self._cost(state, now, median_s)
-                + failure_weight * state.failing_now(now)
+                + failure_weight * state.current_failure_rate(now)
             )
         )
         return servers
@@ -321,7 +327,7 @@
         Each stage is evaluated separately. If all servers of a stage failed, a
         shared cause is more likely; they are left out and tried again.
         """
-        stages: dict[forwarding.Stage, list[Tally]] = {}
+        stages: dict[forwarding.Stage, list[ServerState]] = {}
         for state in self._states.values():
             if state.backend.service == service and not state.backend.leaving:
                 stages.setdefault(state.backend.stage, []).append(state)
@@ -330,28 +336,28 @@
             failed = [
                 state.backend.id
                 for state in states
-                if state.faults_now(now) > FAULTY
+                if state.decayed_failures(now) > MAX_FAILURES
                 or self._in_backoff_elsewhere(state, now)
             ]
             if len(failed) < len(states):
                 faulty.extend(failed)
         return tuple(faulty)
 
-    def sent(self, server: str, tokens: int = 0) -> None:
+    def record_sent(self, server: str, tokens: int = 0) -> None:
         """Counts a request that is sent to a server."""
         state = self._states.get(server)
         if state is not None:
             state.in_flight += 1
-            state.held_tokens += tokens
+            state.in_flight_tokens += tokens
 
-    def ended(self, server: str, tokens: int = 0) -> None:
+    def record_finished(self, server: str, tokens: int = 0) -> None:
         """Counts a request that is no longer in flight."""
         state = self._states.get(server)
         if state is not None:
             state.in_flight = max(0, state.in_flight - 1)
-            state.held_tokens = max(0, state.held_tokens - tokens)
+            state.in_flight_tokens = max(0, state.in_flight_tokens - tokens)
 
-    def answered(
+    def record_success(
         self,
         server: str,
         now: float,
@@ -362,18 +368,18 @@
         if state is None:
             return
         if took_s is not None:
-            old_s = state.took_s or took_s
-            state.took_s = old_s + _SMOOTHING * (took_s - old_s)
-        state.faults = state.faults_now(now) * 0.5
-        state.fault_at = now
+            old_s = state.request_s or took_s
+            state.request_s = old_s + _SMOOTHING * (took_s - old_s)
+        state.failures = state.decayed_failures(now) * 0.5
+        state.failures_at = now
 
-    def loaded(
+    def record_load(
         self,
         server: str,
         now: float,
         load: forwarding.Load,
         *,
-        streams: bool = False,
+        streaming: bool = False,
     ) -> None:
         """Records the load that a response reported.
 
@@ -381,23 +387,25 @@
             server: The server's id.
             now: Seconds.
             load: The reported load.
-            streams: Whether the server is still streaming the response.
+            streaming: Whether the server is still streaming the response.
         """
         state = self._states.get(server)
         if state is None:
             return
         state.load = load
         state.load_at = now
-        state.load_mine = max(0, state.in_flight - (not streams))
+        state.load_own = max(0, state.in_flight - (not streaming))
 
-    def failed(self, server: str, now: float) -> None:
+    def record_failure(self, server: str, now: float) -> None:
         """Records a reset, a malformed response, a timeout or an error."""
         state = self._states.get(server)
         if state is not None:
-            state.faults = state.faults_now(now) + 1.0
-            state.fault_at = now
+            state.failures = state.decayed_failures(now) + 1.0
+            state.failures_at = now
 
-    def told_failing(self, rates: Mapping[str, float], now: float) -> None:
+    def update_failure_rates(
+        self, rates: Mapping[str, float], now: float
+    ) -> None:
         """Applies the failure rates of servers, as seen by all entry VMs."""
         min_rates: dict[str, float] = {}
         for server, rate in rates.items():
@@ -410,16 +418,20 @@
         for server, rate in rates.items():
             state = self._states.get(server)
             if state is not None:
-                state.failing = rate - min_rates[state.backend.service]
-                state.failing_at = now
+                state.excess_failure_rate = (
+                    rate - min_rates[state.backend.service]
+                )
+                state.failure_rate_at = now
 
-    def full(self, server: str, now: float) -> None:
+    def record_full(self, server: str, now: float) -> None:
         """Records a refusal by a server that is full."""
         state = self._states.get(server)
         if state is not None:
-            state.full_until = now + FULL_S
+            state.full_until = now + FULL_PENALTY_S
 
-    def not_run(self, server: str, now: float, *, misdirected: bool) -> None:
+    def record_not_run(
+        self, server: str, now: float, *, misdirected: bool
+    ) -> None:
         """Records a server's statement that a request did not run.
 
         Args:
@@ -431,9 +443,9 @@
         if misdirected:
             state = self._states.get(server)
             if state is not None:
-                state.misdirected_until = now + MISDIRECTED_S
+                state.misdirected_until = now + MISDIRECTED_EXCLUSION_S
         else:
-            self.full(server, now)
+            self.record_full(server, now)
 
     def _record_incarnation(self, backend: forwarding.Backend) -> None:
         if not backend.born:
@@ -448,21 +460,23 @@
             if _is_lost(state, now):
                 del self._states[server]
 
-    def _backoff_s(self, state: Tally, now: float) -> float:
+    def _backoff_s(self, state: ServerState, now: float) -> float:
         backend = state.backend
-        return self.backoffs.own_s(now, backend.id, backend.born)
+        return self.backoffs.local_s(now, backend.id, backend.born)
 
-    def _in_backoff_elsewhere(self, state: Tally, now: float) -> bool:
+    def _in_backoff_elsewhere(self, state: ServerState, now: float) -> bool:
         backend = state.backend
-        return self.backoffs.told_s(now, backend.id, backend.born) > 0
+        return self.backoffs.remote_s(now, backend.id, backend.born) > 0
 
-    def _cost(self, state: Tally, now: float, median_s: float) -> float:
+    def _cost(self, state: ServerState, now: float, median_s: float) -> float:
         """Returns the estimated queue ahead of a new request, in requests."""
-        slowness = state.took_s / median_s if median_s and state.took_s else 1.0
-        cost = (state.busy(now) + 1.0) * max(slowness, 0.5)
-        cost += FAULT_WEIGHT * state.faults_now(now)
+        slowness = (
+            state.request_s / median_s if median_s and state.request_s else 1.0
+        )
+        cost = (state.estimated_requests(now) + 1.0) * max(slowness, 0.5)
+        cost += FAILURE_WEIGHT * state.decayed_failures(now)
         if state.full_until > now:
-            cost += FAULT_WEIGHT
+            cost += FAILURE_WEIGHT
         if self._in_backoff_elsewhere(state, now):
             cost += BACKOFF_WEIGHT
         if state.backend.data_centre != self._data_centre:
@@ -472,13 +486,13 @@
         return cost
 
 
-def _is_lost(state: Tally, now: float) -> bool:
+def _is_lost(state: ServerState, now: float) -> bool:
     """Whether a server vanished from the list and did not reappear in time."""
     vanished_at = state.vanished_at
-    return vanished_at is not None and now - vanished_at > VANISHED_S
+    return vanished_at is not None and now - vanished_at > VANISHED_GRACE_S
 
 
-def _median_request_s(states: list[Tally]) -> float:
+def _median_request_s(states: list[ServerState]) -> float:
     """Returns the median time of a request, seconds; 0 if none was measured."""
-    times = sorted(state.took_s for state in states if state.took_s)
+    times = sorted(state.request_s for state in states if state.request_s)
     return times[len(times) // 2] if times else 0.0
--- a/packages/core/foxtaildale/fold.py
+++ b/packages/core/foxtaildale/fold.py
@@ -26,7 +26,7 @@
 
 # Number of offsets for which a verdict is remembered, and by which a record
 # may follow its `base`.
-WINDOW: Final = 256
+VERDICT_WINDOW: Final = 256
 # Maximum number of published presets. The oldest is removed first, but never
 # the one in force. Limits the state, and therefore checkpoints and pull
 # replies, to about 1 MB.
@@ -53,7 +53,7 @@
         return not self.reason
 
 
-class Published(msgspec.Struct, frozen=True, array_like=True):
+class PublishedPreset(msgspec.Struct, frozen=True, array_like=True):
     """A published preset in its canonical form."""
 
     name: str
@@ -73,7 +73,7 @@
     switched_at: int = 0
     in_force: str = ''
     # Oldest first.
-    published: tuple[Published, ...] = ()
+    published: tuple[PublishedPreset, ...] = ()
     # Id and verdict, oldest first.
     verdicts: tuple[tuple[str, Verdict], ...] = ()
 
@@ -103,7 +103,7 @@
     # The preset in force; None before the first switch.
     _in_force: values.InForce | None
     # By digest, oldest first.
-    _published: dict[str, Published]
+    _published: dict[str, PublishedPreset]
     # By id, oldest first.
     _verdicts: dict[str, Verdict]
     # Cached encoding of the state and its digest; empty if not computed since
@@ -137,7 +137,7 @@
         return self._revision
 
     @property
-    def published(self) -> tuple[Published, ...]:
+    def published(self) -> tuple[PublishedPreset, ...]:
         """Published presets, oldest first."""
         return tuple(self._published.values())
 
@@ -205,17 +205,17 @@
         if change.base > self.offset:
             # The writer has read a log other than this one.
             return 'ahead'
-        if self.offset - change.base >= WINDOW:
+        if self.offset - change.base >= VERDICT_WINDOW:
             return 'stale'
         return ''
 
     def _publish(self, change: changes.Publish) -> Reason:
-        preset = changes.preset_in(change)
+        preset = changes.verified_preset(change)
         if preset is None:
             return 'bad-preset'
         published = self._published.pop(change.digest, None)
         # Publishing a preset again makes it the newest one.
-        self._published[change.digest] = published or Published(
+        self._published[change.digest] = published or PublishedPreset(
             preset.name, change.digest, self.offset, change.preset
         )
         if len(self._published) > MAX_PUBLISHED:
@@ -241,16 +241,16 @@
         self._in_force = self._make_in_force(published)
         return ''
 
-    def _make_in_force(self, published: Published) -> values.InForce:
+    def _make_in_force(self, published: PublishedPreset) -> values.InForce:
         return values.InForce(
             self._revision,
             self._switched_at,
             published.digest,
-            changes.preset_of(published.data),
+            changes.decode_preset(published.data),
         )
 
     def _remove_old_verdicts(self) -> None:
-        oldest_offset = self.offset - WINDOW
+        oldest_offset = self.offset - VERDICT_WINDOW
         while self._verdicts:
             change_id = next(iter(self._verdicts))
             if self._verdicts[change_id].offset >= oldest_offset:
--- a/packages/core/foxtaildale/forwarding.py
+++ b/packages/core/foxtaildale/forwarding.py
@@ -47,7 +47,7 @@
     cores: float = 1.0
 
 
-class Held(msgspec.Struct, frozen=True):
+class QuarantinedRequest(msgspec.Struct, frozen=True):
     """A quarantined request, as stored in the store."""
 
     # Digest of the request; the same for all its attempts.
@@ -56,7 +56,7 @@
     until: float
 
 
-class Call(msgspec.Struct, kw_only=True):
+class CallerRequest(msgspec.Struct, kw_only=True):
     """One request of a caller."""
 
     # The caller's id of this attempt.
@@ -110,7 +110,7 @@
     backoff_s: float | None = None
 
 
-class Answer(msgspec.Struct, frozen=True, kw_only=True):
+class BackendResponse(msgspec.Struct, frozen=True, kw_only=True):
     """What every response of a backend server contains."""
 
     status: int
@@ -142,7 +142,7 @@
         return self.misdirected and bool(self.server) and self.server != server
 
 
-class Head(Answer, frozen=True, kw_only=True):
+class ResponseHead(BackendResponse, frozen=True, kw_only=True):
     """Status and headers of a backend server's response to a request."""
 
     headers: tuple[tuple[str, str], ...]
@@ -156,7 +156,7 @@
         return self.ran == 'no'
 
 
-class Reply(Answer, frozen=True, kw_only=True):
+class ControlResponse(BackendResponse, frozen=True, kw_only=True):
     """A backend server's response to a call without a caller's request."""
 
     # Result of the call: the name of a reservation, or the outcome of an order.
--- a/packages/core/foxtaildale/gossip.py
+++ b/packages/core/foxtaildale/gossip.py
@@ -16,17 +16,17 @@
 from typing import Final
 
 # Up to this number of keepers, a heartbeat goes to all others.
-FULL_MESH: Final = 9
+MAX_FULL_MESH_KEEPERS: Final = 9
 # Number of peers that receive one heartbeat if there are more keepers.
 FANOUT: Final = 2
 
 
-def fanout_of(keepers: int) -> int:
+def fanout_for(keepers: int) -> int:
     """Returns the number of peers that receive one heartbeat."""
-    return max(1, keepers - 1) if keepers <= FULL_MESH else FANOUT
+    return max(1, keepers - 1) if keepers <= MAX_FULL_MESH_KEEPERS else FANOUT
 
 
-class Gossip:
+class PeerSelector:
     """Selects the peers of one keeper's heartbeats."""
 
     __slots__ = ('_fanout', '_random', '_remaining')
@@ -43,7 +43,7 @@
         self._remaining = []
         self._random = random.Random(entry_vm)
 
-    def targets(self, addresses: Sequence[str]) -> tuple[str, ...]:
+    def next_targets(self, addresses: Sequence[str]) -> tuple[str, ...]:
         """Returns the addresses to which the next heartbeat goes.
 
         Args:
@@ -53,7 +53,7 @@
         self._remaining = [
             address for address in self._remaining if address in peers
         ]
-        fanout = self._fanout or fanout_of(len(peers) + 1)
+        fanout = self._fanout or fanout_for(len(peers) + 1)
         target_count = min(fanout, len(peers))
         chosen: list[str] = []
         while len(chosen) < target_count:
@@ -66,6 +66,6 @@
         return tuple(chosen)
 
 
-def round_beats(keepers: int) -> int:
+def heartbeats_per_round(keepers: int) -> int:
     """Returns the number of heartbeats that contact every peer once."""
-    return max(1, math.ceil((keepers - 1) / fanout_of(keepers)))
+    return max(1, math.ceil((keepers - 1) / fanout_for(keepers)))
--- a/packages/core/foxtaildale/waiting.py
+++ b/packages/core/foxtaildale/grant_queue.py
@@ -34,7 +34,7 @@
         self.prompt_tokens = prompt_tokens
 
 
-class Waiting:
+class GrantQueue:
     """The waiting requests of one pool."""
 
     __slots__ = ('_waiters',)
@@ -60,11 +60,11 @@
             self._waiters[request] = waiter
         waiter.due_at = due_at
 
-    def drop(self, request: str) -> None:
+    def remove(self, request: str) -> None:
         """Removes a request; does nothing if it does not wait."""
         self._waiters.pop(request, None)
 
-    def ahead(self, request: str, arrived_at: float) -> tuple[int, int]:
+    def count_ahead(self, request: str, arrived_at: float) -> tuple[int, int]:
         """Returns how many requests and prompt tokens are ahead of one."""
         waiter = self._waiters.get(request)
         rank = (waiter.arrived_at if waiter else arrived_at, request)
--- a/packages/core/foxtaildale/hints.py
+++ b/packages/core/foxtaildale/hints.py
@@ -44,13 +44,13 @@
         self._prefix_tokens[event.prefix] = event.tokens
         _trim(self._prefix_tokens)
         if event.kind == 'stored':
-            self.placed(worker, (event.prefix,))
+            self.record_placement(worker, (event.prefix,))
         else:
             self._prefixes.get(worker, collections.OrderedDict()).pop(
                 event.prefix, None
             )
 
-    def placed(self, worker: str, prefixes: Sequence[str]) -> None:
+    def record_placement(self, worker: str, prefixes: Sequence[str]) -> None:
         """Records that a prompt with these prefixes was placed at a worker."""
         worker_prefixes = self._prefixes.setdefault(
             worker, collections.OrderedDict()
@@ -60,19 +60,19 @@
             worker_prefixes.move_to_end(prefix)
         _trim(worker_prefixes)
 
-    def expect(self, worker: str, prefixes: Sequence[str]) -> int:
+    def expected_tokens(self, worker: str, prefixes: Sequence[str]) -> int:
         """Returns the estimated number of tokens that a worker has cached."""
         return round(
             self._accuracy.value * self._hinted_tokens(worker, prefixes)
         )
 
-    def checked(
-        self, worker: str, prefixes: Sequence[str], cached: int
+    def update_accuracy(
+        self, worker: str, prefixes: Sequence[str], cached_tokens: int
     ) -> None:
         """Updates the accuracy of hints with what an engine had cached."""
         hinted = self._hinted_tokens(worker, prefixes)
         if hinted:
-            self._accuracy.add(min(1.0, cached / hinted))
+            self._accuracy.add(min(1.0, cached_tokens / hinted))
 
     def _hinted_tokens(self, worker: str, prefixes: Sequence[str]) -> int:
         worker_prefixes = self._prefixes.get(worker, ())
--- a/packages/core/foxtaildale/keys.py
+++ b/packages/core/foxtaildale/idempotency_keys.py
@@ -20,18 +20,18 @@
 _IDENTITY_BYTES: Final = 16
 
 
-def prefix(offset: int) -> str:
+def key_prefix(offset: int) -> str:
     """Returns the prefix of the keys made at an offset."""
     return f'c{offset:x}.'
 
 
-def stamp(key: str) -> int | None:
+def key_offset(key: str) -> int | None:
     """Returns the offset in a key; None if the text is not a valid key."""
     match = _KEY.fullmatch(key)
     return int(match[1], 16) if match else None
 
 
-def identity(service: str, key: str) -> bytes:
+def key_digest(service: str, key: str) -> bytes:
     """Returns the digest that identifies a service's key in the log."""
     # The length separates the service from the key: otherwise the end of a
     # service could be read as the beginning of a key.
--- a/packages/core/foxtaildale/lease.py
+++ b/packages/core/foxtaildale/lease.py
@@ -17,10 +17,10 @@
 
 # Time in which orders may follow a claim, seconds, from just before the claim
 # is sent. It is enough for ten orders that each wait for their full timeout.
-ORDERS_S: Final = 1.5
+ORDER_WINDOW_S: Final = 1.5
 # Time after the orders and the lease before another holder claims, seconds. An
 # order that was sent at the last moment may still be in transit.
-MARGIN_S: Final = 1.5
+IN_TRANSIT_MARGIN_S: Final = 1.5
 
 
 class Lease:
@@ -64,7 +64,7 @@
             offset: Position of the newest claim; None if there was never one.
             holder: Holder that wrote it.
         """
-        claim_delay_s = ORDERS_S + self._lease_s + MARGIN_S
+        claim_delay_s = ORDER_WINDOW_S + self._lease_s + IN_TRANSIT_MARGIN_S
         if epoch != self._epoch:
             # A new process can't know how long ago the epoch changed.
             if epoch > 1 or self._epoch is not None:
@@ -79,12 +79,13 @@
             self._newest_at = now
         return now - self._newest_at >= claim_delay_s
 
-    def claiming(self, now: float) -> None:
+    def start_claim(self, now: float) -> None:
         """Records that a claim is about to be sent."""
         self._claimed_at = now
 
     def may_order(self, now: float) -> bool:
         """Returns whether orders may still follow the claim."""
         return (
-            self._claimed_at is not None and now - self._claimed_at < ORDERS_S
+            self._claimed_at is not None
+            and now - self._claimed_at < ORDER_WINDOW_S
         )
--- a/packages/core/foxtaildale/ledger.py
+++ b/packages/core/foxtaildale/ledger.py
@@ -10,10 +10,10 @@
 from typing import Final
 
 # A grant expires if its holder does not renew it for this long, seconds.
-LAPSE_S: Final = 3.0
+GRANT_TTL_S: Final = 3.0
 # A grant older than this that is missing from its holder's report is released,
 # seconds. A younger grant may have been issued while the report was in transit.
-CROSSING_S: Final = 1.0
+IN_TRANSIT_S: Final = 1.0
 
 
 class Grant:
@@ -21,13 +21,13 @@
 
     __slots__ = (
         'attempt',
+        'awaiting_slot',
         'decode',
         'decode_at',
-        'given_at',
-        'grant',
+        'expires_at',
+        'granted_at',
         'holder',
-        'lapses_at',
-        'parked',
+        'name',
         'prefill',
         'prefixes',
         'prompt_tokens',
@@ -38,7 +38,7 @@
 
     # Name on the wire. It consists of request and attempt, so a repeated
     # request gets the same name, also from another coordinator.
-    grant: str
+    name: str
     request: str
     attempt: int
     holder: str
@@ -51,14 +51,14 @@
     prefixes: tuple[str, ...]
     # Times on the coordinator's monotonic clock, seconds: of the grant, and of
     # the planned starts of prefill, transfer and decode.
-    given_at: float
+    granted_at: float
     start_at: float
     transfer_at: float
     decode_at: float
     # When the grant expires unless its holder renews it, seconds.
-    lapses_at: float
+    expires_at: float
     # Whether the prefill is done and no decode worker had a free slot.
-    parked: bool
+    awaiting_slot: bool
 
     def __init__(
         self,
@@ -69,28 +69,28 @@
         prefill: str,
         decode: str,
         prompt_tokens: int,
-        given_at: float,
+        granted_at: float,
         start_at: float,
         transfer_at: float,
         decode_at: float,
     ) -> None:
-        self.grant = name(request, attempt)
+        self.name = grant_name(request, attempt)
         self.request = request
         self.attempt = attempt
         self.holder = holder
         self.prefill = prefill
         self.decode = decode
         self.prompt_tokens = prompt_tokens
-        self.given_at = given_at
+        self.granted_at = granted_at
         self.start_at = start_at
         self.transfer_at = transfer_at
         self.decode_at = decode_at
-        self.lapses_at = start_at + LAPSE_S
-        self.parked = False
+        self.expires_at = start_at + GRANT_TTL_S
+        self.awaiting_slot = False
         self.prefixes = ()
 
 
-def name(request: str, attempt: int) -> str:
+def grant_name(request: str, attempt: int) -> str:
     """Returns the wire name of an attempt's grant."""
     return f'{request}/{attempt}'
 
@@ -115,34 +115,34 @@
         """Returns a grant, or None if there is none of this name."""
         return self._grants.get(grant)
 
-    def held(self, decode: str) -> int:
+    def granted_slots(self, decode: str) -> int:
         """Returns the number of granted slots of a worker."""
         return len(self._by_decode.get(decode, ()))
 
-    def occupied(self, decode: str, now: float) -> int:
+    def slots_in_use(self, decode: str, now: float) -> int:
         """Returns the number of granted slots of a worker that are in use.
 
         A grant does not use its slot while its prefill runs, or after its
         prefill while it waits for a free slot.
         """
         return sum(
-            grant.transfer_at <= now and not grant.parked
+            grant.transfer_at <= now and not grant.awaiting_slot
             for grant in self._by_decode.get(decode, {}).values()
         )
 
     def add(self, grant: Grant) -> None:
         """Adds a grant; replaces one of the same name."""
-        self.remove(grant.grant)
-        self._grants[grant.grant] = grant
-        self._by_decode.setdefault(grant.decode, {})[grant.grant] = grant
+        self.remove(grant.name)
+        self._grants[grant.name] = grant
+        self._by_decode.setdefault(grant.decode, {})[grant.name] = grant
 
     def move(self, now: float, grant: Grant, decode: str) -> None:
         """Moves a grant to another decode worker."""
-        self.remove(grant.grant)
+        self.remove(grant.name)
         grant.decode = decode
         grant.transfer_at = now
-        self._grants[grant.grant] = grant
-        self._by_decode.setdefault(decode, {})[grant.grant] = grant
+        self._grants[grant.name] = grant
+        self._by_decode.setdefault(decode, {})[grant.name] = grant
 
     def remove(self, grant: str) -> Grant | None:
         """Removes a grant; returns it, or None if there is none."""
@@ -152,7 +152,7 @@
         del self._by_decode[removed.decode][grant]
         return removed
 
-    def keep(
+    def renew(
         self, now: float, holder: str, grants: tuple[tuple[str, str], ...]
     ) -> tuple[str, ...]:
         """Renews the grants that a holder reports; returns released ones."""
@@ -160,11 +160,11 @@
         for grant, decode in grants:
             self._renew_grant(now, holder, grant, decode)
         released = tuple(
-            grant.grant
+            grant.name
             for grant in self._grants.values()
             if grant.holder == holder
-            and grant.grant not in reported
-            and grant.given_at <= now - CROSSING_S
+            and grant.name not in reported
+            and grant.granted_at <= now - IN_TRANSIT_S
         )
         for grant in released:
             self.remove(grant)
@@ -173,9 +173,9 @@
     def expire(self, now: float) -> tuple[str, ...]:
         """Removes the expired grants; returns their names."""
         expired = tuple(
-            grant.grant
+            grant.name
             for grant in self._grants.values()
-            if grant.lapses_at <= now
+            if grant.expires_at <= now
         )
         for grant in expired:
             self.remove(grant)
@@ -198,12 +198,12 @@
                 prefill='',
                 decode=decode,
                 prompt_tokens=0,
-                given_at=now,
+                granted_at=now,
                 start_at=now,
                 transfer_at=now,
                 decode_at=now,
             )
             # A reported name of another form is kept as the holder wrote it.
-            renewed.grant = grant
+            renewed.name = grant
             self.add(renewed)
-        renewed.lapses_at = max(renewed.lapses_at, now + LAPSE_S)
+        renewed.expires_at = max(renewed.expires_at, now + GRANT_TTL_S)
--- a/packages/core/foxtaildale/ownreads.py
+++ b/packages/core/foxtaildale/local_prefills.py
@@ -16,7 +16,7 @@
 
 # Prefill speed of a decode worker relative to a prefill worker. Engines do not
 # report it; half is the value in their protocol.
-SPEED: Final = 0.5
+RELATIVE_SPEED: Final = 0.5
 # Part of the maximum pause between events that may be spent on a local prefill
 # and on the tokens of the event that it delays.
 PAUSE_PART: Final = 0.8
@@ -25,7 +25,7 @@
 _MAX_WORKERS: Final = 256
 
 
-class OwnReads:
+class LocalPrefills:
     """Local prefills of one service's decode workers."""
 
     __slots__ = ('_free_at',)
@@ -38,46 +38,46 @@
         """Discards what is known of a server that has restarted."""
         self._free_at.pop(server, None)
 
-    def busy(self, now: float) -> frozenset[str]:
+    def busy_workers(self, now: float) -> frozenset[str]:
         """Returns the workers that may not prefill a prompt now."""
         return frozenset(
             worker for worker, free_at in self._free_at.items() if now < free_at
         )
 
-    def give(
-        self, now: float, worker: str, took_s: float, gap_s: float
+    def record(
+        self, now: float, worker: str, prefill_s: float, gap_s: float
     ) -> None:
         """Records a local prefill, which pauses the worker's responses.
 
         Args:
             now: Seconds.
             worker: Its id.
-            took_s: Time of the prefill, seconds.
+            prefill_s: Time of the prefill, seconds.
             gap_s: Maximum pause between events; the next local prefill must not
                 fall into the same pause.
         """
         self._free_at.pop(worker, None)
-        self._free_at[worker] = now + took_s + gap_s
+        self._free_at[worker] = now + prefill_s + gap_s
         if len(self._free_at) > _MAX_WORKERS:
             del self._free_at[next(iter(self._free_at))]
 
 
-def read_s(prompt: int, per_s: float) -> float:
+def local_prefill_s(prompt_tokens: int, tokens_per_s: float) -> float:
     """Returns how long a decode worker prefills a prompt, seconds.
 
     Args:
-        prompt: Tokens.
-        per_s: Speed of a prefill worker, prompt tokens a second.
+        prompt_tokens: Tokens.
+        tokens_per_s: Speed of a prefill worker, prompt tokens a second.
     """
-    return prompt / (SPEED * per_s)
+    return prompt_tokens / (RELATIVE_SPEED * tokens_per_s)
 
 
-def unseen(read_s: float, event_s: float, gap_s: float) -> bool:
+def is_unnoticed(prefill_s: float, event_s: float, gap_s: float) -> bool:
     """Whether callers of the worker's other responses notice no pause.
 
     Args:
-        read_s: Time of the prefill, seconds.
+        prefill_s: Time of the prefill, seconds.
         event_s: Time of the tokens of one event, seconds.
         gap_s: Maximum pause between events that meets the target, seconds.
     """
-    return read_s + event_s <= PAUSE_PART * gap_s
+    return prefill_s + event_s <= PAUSE_PART * gap_s
