--- a/packages/core/foxtaildale/logevents.py
+++ b/packages/core/foxtaildale/logevents.py
@@ -21,7 +21,7 @@
     on_request: bool = True
 
 
-ON_REQUEST: Final[dict[str, Event]] = {
+REQUEST_EVENTS: Final[dict[str, Event]] = {
     'let in': Event(
         'client account {account} was within its limit by its {by}:'
         ' the request costs {cost}, {remaining} remain',
@@ -114,7 +114,7 @@
     ),
 }
 
-OF_BELIEFS: Final[dict[str, Event]] = {
+STATE_EVENTS: Final[dict[str, Event]] = {
     name: Event(sentence, fields, on_request=False)
     for name, sentence, fields in (
         (
@@ -316,4 +316,4 @@
     )
 }
 
-ALL: Final[dict[str, Event]] = ON_REQUEST | OF_BELIEFS
+ALL: Final[dict[str, Event]] = REQUEST_EVENTS | STATE_EVENTS
--- a/packages/core/foxtaildale/members.py
+++ b/packages/core/foxtaildale/members.py
@@ -27,7 +27,7 @@
 _MAX_MISSED_ROUNDS: Final = 2
 
 
-def key_of(server: values.BackendServer) -> str:
+def server_key(server: values.BackendServer) -> str:
     """Returns the key of a backend server in reports, `NAME@ADDRESS`."""
     return f'{server.name}@{server.address}'
 
@@ -37,12 +37,14 @@
 
     __slots__ = ('heartbeat', 'received_at', 'replaced')
 
-    heartbeat: messages.Beat
+    heartbeat: messages.KeeperHeartbeat
     received_at: float
     # Earlier incarnations, oldest first.
     replaced: tuple[str, ...]
 
-    def __init__(self, heartbeat: messages.Beat, received_at: float) -> None:
+    def __init__(
+        self, heartbeat: messages.KeeperHeartbeat, received_at: float
+    ) -> None:
         self.heartbeat = heartbeat
         self.received_at = received_at
         self.replaced = ()
@@ -58,8 +60,8 @@
         '_peers',
         '_silence_s',
         'entry_vm',
-        'listed_at',
         'listing',
+        'listing_received_at',
     )
 
     # Name of the keeper's own VM.
@@ -67,7 +69,7 @@
     # Newest list received, with its own states; None before the first.
     listing: values.Listing | None
     # When the list was received; shows how old it is.
-    listed_at: float
+    listing_received_at: float
     # By VM name.
     _peers: dict[str, _Peer]
     # Keys of the entry VMs that a list named as leaving.
@@ -81,7 +83,7 @@
     ) -> None:
         self.entry_vm = entry_vm
         self.listing = None
-        self.listed_at = 0.0
+        self.listing_received_at = 0.0
         self._silence_s = silence_s
         self._heartbeat_s = heartbeat_s
         self._peers = {}
@@ -94,13 +96,13 @@
         return -1 if self.listing is None else self.listing.version
 
     @property
-    def leaving(self) -> tuple[str, ...]:
+    def reported_leaving(self) -> tuple[str, ...]:
         """Reported servers that the list shows as live, to forward to peers."""
         return tuple(
-            key_of(server)
+            server_key(server)
             for server in self._listed_servers()
             if server.state == 'live'
-            and key_of(server) in self._leaving_servers
+            and server_key(server) in self._leaving_servers
         )
 
     def on_listing(self, now: float, listing: values.Listing | None) -> bool:
@@ -112,15 +114,15 @@
         if listing is None or listing.version <= self.version:
             return False
         self.listing = listing
-        self.listed_at = now
-        named = {key_of(server) for server in listing.backend_servers}
+        self.listing_received_at = now
+        named = {server_key(server) for server in listing.backend_servers}
         # The name of a removed server may be assigned again.
         self._leaving_servers = {
             key: None for key in self._leaving_servers if key in named
         }
         for server in listing.backend_servers:
             if server.state == 'leaving':
-                self._leaving_servers[key_of(server)] = None
+                self._leaving_servers[server_key(server)] = None
         self._leaving_vms &= {_entry_vm_key(vm) for vm in listing.entry_vms}
         self._leaving_vms |= {
             _entry_vm_key(vm)
@@ -141,7 +143,7 @@
             or len(self._leaving_servers) >= _MAX_REPORTS
         ):
             return False
-        named = {key_of(server) for server in self._listed_servers()}
+        named = {server_key(server) for server in self._listed_servers()}
         if self.listing is not None and key not in named:
             # A peer with an older list reports a removed server; if recorded,
             # the report would exclude a new server of that name. A server
@@ -151,7 +153,9 @@
         self._leaving_servers[key] = None
         return True
 
-    def on_beat(self, now: float, heartbeat: messages.Beat) -> None:
+    def on_heartbeat(
+        self, now: float, heartbeat: messages.KeeperHeartbeat
+    ) -> None:
         """Handles a peer's heartbeat."""
         for key in heartbeat.leaving:
             self.on_leaving(key)
@@ -172,7 +176,7 @@
         peer.heartbeat = heartbeat
         peer.received_at = now
 
-    def servers(
+    def available_servers(
         self, service: str, role: values.Role
     ) -> tuple[values.BackendServer, ...]:
         """Returns the backend servers that may receive new work."""
@@ -193,7 +197,7 @@
             for server in self._listed_servers()
         )
 
-    def merged(self) -> values.Listing | None:
+    def merged_listing(self) -> values.Listing | None:
         """Returns the newest list with the merged states, for entries."""
         if self.listing is None:
             return None
@@ -203,7 +207,7 @@
 
     def is_leaving(self, server: values.BackendServer) -> bool:
         """Whether a backend server is leaving and must not get new work."""
-        return key_of(server) in self._leaving_servers
+        return server_key(server) in self._leaving_servers
 
     def peers(self) -> tuple[values.EntryVm, ...]:
         """Returns the other entry VMs to exchange heartbeats with.
@@ -225,7 +229,9 @@
         by_name.pop(self.entry_vm, None)
         return tuple(by_name.values())
 
-    def keepers(self, now: float) -> tuple[messages.Beat, ...]:
+    def keeper_heartbeats(
+        self, now: float
+    ) -> tuple[messages.KeeperHeartbeat, ...]:
         """Returns the last heartbeats of the present keepers, sorted by name.
 
         Keepers of leaving VMs are excluded, since they accept no new work.
@@ -238,7 +244,7 @@
             and f'{name}@{peer.heartbeat.address}' not in self._leaving_vms
         )
 
-    def forget(self, now: float) -> None:
+    def remove_silent_peers(self, now: float) -> None:
         """Removes peers that are not listed and have been silent for long.
 
         Hundreds of VMs are replaced each day; otherwise their last heartbeats
@@ -259,7 +265,7 @@
         With many keepers a peer is contacted only once in a round of
         heartbeats.
         """
-        heartbeats = gossip.round_beats(len(self.peers()) + 1)
+        heartbeats = gossip.heartbeats_per_round(len(self.peers()) + 1)
         if heartbeats == 1:
             return self._silence_s
         return max(
--- a/packages/core/foxtaildale/growth.py
+++ b/packages/core/foxtaildale/memory_growth.py
@@ -36,24 +36,28 @@
     started_at: float
 
 
-def expected_tokens(hinted: int, longest: int, typical: float) -> float:
+def expected_tokens(
+    hinted_tokens: int, max_output_tokens: int, typical_tokens: float
+) -> float:
     """Returns the expected length of a response, tokens.
 
     Args:
-        hinted: The caller's hint; 0 for none.
-        longest: The maximum that the caller set; 0 for none.
-        typical: Typical length of the service's responses; 0 if not known.
+        hinted_tokens: The caller's hint; 0 for none.
+        max_output_tokens: The maximum that the caller set; 0 for none.
+        typical_tokens: Typical length of the service's responses; 0 if not known.
     """
-    if hinted and typical:
-        log = math.log(hinted) * _HINT_WEIGHT
-        log += math.log(typical) * (1 - _HINT_WEIGHT)
+    if hinted_tokens and typical_tokens:
+        log = math.log(hinted_tokens) * _HINT_WEIGHT
+        log += math.log(typical_tokens) * (1 - _HINT_WEIGHT)
         expected = math.exp(log)
     else:
-        expected = hinted or typical or longest
-    return min(expected, longest) if longest else expected
+        expected = hinted_tokens or typical_tokens or max_output_tokens
+    return min(expected, max_output_tokens) if max_output_tokens else expected
 
 
-def peak(requests: Iterable[Running], now: float, token_s: float) -> float:
+def peak_tokens(
+    requests: Iterable[Running], now: float, token_s: float
+) -> float:
     """Returns the peak memory of the requests together, tokens.
 
     Args:
@@ -61,7 +65,7 @@
         now: Seconds.
         token_s: Time of one token, seconds.
     """
-    outlooks = [_outlook(request, now, token_s) for request in requests]
+    outlooks = [_forecast(request, now, token_s) for request in requests]
     outlooks.sort(reverse=True)
     max_tokens = total_base = 0.0
     started = 0
@@ -83,7 +87,7 @@
     return max_tokens
 
 
-def _outlook(
+def _forecast(
     request: Running, now: float, token_s: float
 ) -> tuple[float, float, float]:
     """Returns the time until its end, its memory now and its start delay.
--- a/packages/core/foxtaildale/messages.py
+++ b/packages/core/foxtaildale/messages.py
@@ -18,7 +18,7 @@
     """Base class of every message."""
 
 
-class Fail(Wire, frozen=True, tag='Fail'):
+class ErrorReply(Wire, frozen=True, tag='Fail'):
     """Error reply: the receiver could not handle the message."""
 
     code: str
@@ -33,7 +33,7 @@
     """Reply to `Ping` and to each message that needs no data in return."""
 
 
-class Hello(Wire, frozen=True, tag='Hello'):
+class EntryHeartbeat(Wire, frozen=True, tag='Hello'):
     """Heartbeat of an entry to the keeper of its VM, about once a second."""
 
     incarnation: str
@@ -46,7 +46,7 @@
     leaving: tuple[str, ...] = ()
 
 
-class HelloReply(Wire, frozen=True, tag='HelloReply'):
+class EntryHeartbeatReply(Wire, frozen=True, tag='HelloReply'):
     """The state that an entry needs for routing."""
 
     keeper: str
@@ -59,7 +59,7 @@
     key_prefix: str = ''
 
 
-class Bye(Wire, frozen=True, tag='Bye'):
+class StopNotice(Wire, frozen=True, tag='Bye'):
     """Announces that the sending process stops as planned.
 
     Receivers treat it as removed from now on.
@@ -68,7 +68,7 @@
     incarnation: str
 
 
-class Beat(Wire, frozen=True, tag='Beat'):
+class KeeperHeartbeat(Wire, frozen=True, tag='Beat'):
     """Heartbeat between keepers, about once a second.
 
     The reply is the heartbeat of the receiver.
@@ -91,13 +91,13 @@
     leaving: tuple[str, ...] = ()
 
 
-class Pull(Wire, frozen=True, tag='Pull'):
+class StateRequest(Wire, frozen=True, tag='Pull'):
     """Requests the folded state of a keeper with a higher log offset."""
 
     offset: int
 
 
-class PullReply(Wire, frozen=True, tag='PullReply'):
+class StateReply(Wire, frozen=True, tag='PullReply'):
     """The folded state of a keeper, in checkpoint format."""
 
     offset: int
@@ -106,7 +106,7 @@
     listing: values.Listing | None
 
 
-class AskSlot(Wire, frozen=True, tag='AskSlot'):
+class SlotRequest(Wire, frozen=True, tag='AskSlot'):
     """Request of an entry for a decode slot.
 
     The receiver is the coordinator of the service's pool.
@@ -119,40 +119,40 @@
     prompt_tokens: int
     output_tokens: int
     # Digests of the prompt's prefixes, shortest first, for cache hints.
-    prefixes: tuple[str, ...] = ()
+    prefix_digests: tuple[str, ...] = ()
     # Time since the request arrived, milliseconds.
     waited_ms: int = 0
     # Prefill worker that has finished the prefill of this request. If set, only
     # link time and a decode slot are requested.
-    ready_at: str = ''
+    prefilled_at: str = ''
     # Decode worker on which an earlier attempt failed; it is not granted again.
-    avoid: str = ''
+    excluded_worker: str = ''
 
 
-class Granted(Wire, frozen=True, tag='Granted'):
+class SlotGrant(Wire, frozen=True, tag='Granted'):
     """Slot and link time are reserved; prefill starts after `start_in_ms`."""
 
     grant: str
-    prefill: str
+    prefill_worker: str
     prefill_address: str
-    decode: str
+    decode_worker: str
     decode_address: str
     start_in_ms: int
     # Time after the start at which an unused grant expires.
-    lapses_ms: int
+    expires_ms: int
 
 
 class Queued(Wire, frozen=True):
     """The request is queued; the sender retries after `again_in_ms`."""
 
-    again_in_ms: int
+    retry_in_ms: int
     position: int
     # Estimated remaining wait; 0 if it is not known.
     wait_ms: int = 0
     # Whether an earlier attempt of the request was not served.
-    came_back: bool = False
+    is_retry: bool = False
     # The resource that the request waits for; empty if it is not known.
-    short_of: str = ''
+    missing_resource: str = ''
 
 
 class Refused(Wire, frozen=True):
@@ -163,7 +163,7 @@
     retry_after_ms: int
 
 
-class EndSlot(Wire, frozen=True, tag='EndSlot'):
+class SlotRelease(Wire, frozen=True, tag='EndSlot'):
     """Releases a grant, whatever its result."""
 
     service: str
@@ -181,7 +181,7 @@
     cached_tokens: int = 0
 
 
-class KeepSlots(Wire, frozen=True, tag='KeepSlots'):
+class SlotRenewal(Wire, frozen=True, tag='KeepSlots'):
     """Renews the grants of a holder at the coordinator.
 
     A coordinator that lost its ledger rebuilds it from these messages.
@@ -193,13 +193,13 @@
     grants: tuple[tuple[str, str], ...]
 
 
-class AskClaim(Wire, frozen=True, tag='AskClaim'):
+class ClaimRequest(Wire, frozen=True, tag='AskClaim'):
     """Request of an entry to its keeper for the right to run a key."""
 
     service: str
     key: str
     # Digest of the request body, hexadecimal.
-    body: str
+    body_digest: str
     request: str
     holder: str
 
@@ -220,14 +220,14 @@
     outcome: values.Outcome | None = None
 
 
-class EndClaim(Wire, frozen=True, tag='EndClaim'):
+class ClaimReport(Wire, frozen=True, tag='EndClaim'):
     """Report of the owner of a claim to its keeper on the outcome."""
 
     service: str
     key: str
     outcome: values.Outcome
     # The complete response as JSON, stored for a caller that did not get it.
-    answer: bytes = b''
+    response: bytes = b''
 
 
 class Ticket(Wire, frozen=True):
@@ -242,15 +242,15 @@
     witness: str
     witness_address: str
     # Time of issue in seconds on the executor's own monotonic clock.
-    minted_at: float
+    issued_at: float
     # Reading of the witness's own monotonic clock, taken before the issue,
     # seconds.
-    witness_at: float
+    witness_clock: float
     # Hex HMAC-SHA256 of the fields above.
     mac: str = ''
 
 
-class Note(Wire, frozen=True, tag='Note'):
+class StartRequest(Wire, frozen=True, tag='Note'):
     """Request of the executor to the witness to record a start.
 
     The executor sends it before the first byte of the request.
@@ -258,13 +258,13 @@
 
     identity: str
     witness: str
-    body: str
+    body_digest: str
     # Copied from the ticket; from it the witness decides whether it may have
     # forgotten the identity.
-    witness_at: float
+    witness_clock: float
 
 
-class Void(Wire, frozen=True, tag='Void'):
+class VoidRequest(Wire, frozen=True, tag='Void'):
     """Request to the witness to void an identity, so that it never runs.
 
     Any process may send it.
@@ -272,22 +272,22 @@
 
     identity: str
     witness: str
-    body: str
-    witness_at: float
+    body_digest: str
+    witness_clock: float
 
 
-class Tell(Wire, frozen=True, tag='Tell'):
+class OutcomeReport(Wire, frozen=True, tag='Tell'):
     """Report of the executor to the witness on the outcome."""
 
     identity: str
     witness: str
-    body: str
-    witness_at: float
+    body_digest: str
+    witness_clock: float
     outcome: values.Outcome
-    answer: bytes = b''
+    response: bytes = b''
 
 
-class AskReading(Wire, frozen=True, tag='AskReading'):
+class ClockRequest(Wire, frozen=True, tag='AskReading'):
     """Request of an executor for the clock of a witness."""
 
     witness: str
@@ -304,12 +304,12 @@
 
     status: str
     # The witness's clock, seconds; each reply has it for later tickets.
-    at: float = 0.0
+    clock: float = 0.0
     outcome: values.Outcome | None = None
-    answer: bytes = b''
+    response: bytes = b''
 
 
-class RunTicket(Wire, frozen=True, tag='RunTicket'):
+class RunRequest(Wire, frozen=True, tag='RunTicket'):
     """Passes a ticket and its request from an entry to the executor."""
 
     ticket: Ticket
@@ -322,17 +322,17 @@
     """The outcome of a ticket, with the response if there is one."""
 
     outcome: values.Outcome
-    answer: bytes = b''
+    response: bytes = b''
 
 
-class AskOutcome(Wire, frozen=True, tag='AskOutcome'):
+class OutcomeRequest(Wire, frozen=True, tag='AskOutcome'):
     """Request of an entry to the owner of a claim for its outcome."""
 
     service: str
     key: str
 
 
-class Dump(Wire, frozen=True, tag='Dump'):
+class DumpRequest(Wire, frozen=True, tag='Dump'):
     """Requests the state of a process."""
 
 
@@ -342,14 +342,14 @@
     state: bytes
 
 
-class AskRecords(Wire, frozen=True, tag='AskRecords'):
+class RecordsRequest(Wire, frozen=True, tag='AskRecords'):
     """Requests newer records of the store's keyed topics from an entry VM."""
 
     # Position up to which the sender knows each topic.
-    ends: dict[str, int]
+    positions: dict[str, int]
     # Requests that the sender sent to plain servers since its last message, and
     # how many of them failed, by server id.
-    seen: dict[str, tuple[float, float]] = {}
+    request_counts: dict[str, tuple[float, float]] = {}
     # Recent updates on servers that leave or no longer leave
     # (`departures.Word`), by server id.
     departures: dict[str, tuple[int, int]] = {}
@@ -364,18 +364,18 @@
     # the rank of the removed record.
     records: dict[str, tuple[tuple[str, int, bytes, tuple[int, int]], ...]]
     # Position up to which the sender knows each topic.
-    ends: dict[str, int]
+    positions: dict[str, int]
     # Time since the store's last reply to the sender, seconds.
-    age_s: float
+    store_age_s: float
     # Ratio of recent requests to plain servers that failed, by server id, over
     # all entry VMs that report to the sender.
-    failing: dict[str, float] = {}
+    failure_ratios: dict[str, float] = {}
     # Whether a call of the sender to the store failed since the store's last
     # reply.
-    store_lost: bool = False
+    store_failed: bool = False
     # Quarantined requests, which are sent to no server, and requests that can't
     # be quarantined: remaining time in seconds by fingerprint.
-    held: dict[int, float] = {}
+    quarantined: dict[int, float] = {}
     cleared: dict[int, float] = {}
     # Updates on servers that announced that they leave (`departures.Word`), and
     # backoff requests (`backoffs.Word`), by server id.
@@ -383,7 +383,7 @@
     backoffs: dict[str, tuple[int, float]] = {}
 
 
-class AskPlace(Wire, frozen=True, tag='AskPlace'):
+class PlacementRequest(Wire, frozen=True, tag='AskPlace'):
     """Request of an entry VM for a placement on the engines of a service.
 
     The receiver is the coordinator of the service.
@@ -394,9 +394,9 @@
     # The entry VM that sends the request.
     holder: str
     # Prompt tokens, and the estimated and maximum tokens of the response.
-    prompt: int
-    hinted: int
-    longest: int
+    prompt_tokens: int
+    hinted_tokens: int
+    max_output_tokens: int
     # Time since the request arrived, and time within which its first event is
     # due, milliseconds.
     waited_ms: int
@@ -404,35 +404,35 @@
     # 0 is the highest priority.
     priority: int
     # Ids of backend servers that must not get the request.
-    avoid: tuple[str, ...] = ()
+    excluded_servers: tuple[str, ...] = ()
     # The same for all attempts of one request; 0 if it is not known.
-    digest: int = 0
+    request_digest: int = 0
     # Whether the caller already has a part of the response.
-    started: bool = False
+    response_started: bool = False
     # Longest allowed pause between two events; 0 if there is no limit.
-    gap_ms: int = 0
+    max_gap_ms: int = 0
     # How long the caller still waits for the complete response; 0 if it is not
     # known.
-    left_ms: int = 0
+    remaining_ms: int = 0
 
 
-class Place(Wire, frozen=True, tag='Place'):
+class PlacementGrant(Wire, frozen=True, tag='Place'):
     """A placement: decode worker memory and prefill worker time, by id."""
 
-    worker: str
+    decode_worker: str
     # Empty if the decode worker has to prefill the prompt itself.
-    prefiller: str
+    prefill_worker: str
     # Whether the decode worker prefills because all prefill workers are busy.
-    reads_itself: bool = False
+    local_prefill: bool = False
 
 
-class TooLate(Wire, frozen=True, tag='TooLate'):
+class DeadlineUnreachable(Wire, frozen=True, tag='TooLate'):
     """No placement would complete the response in time."""
 
-    needs_ms: int
+    required_ms: int
 
 
-class EndPlace(Wire, frozen=True, tag='EndPlace'):
+class PlacementRelease(Wire, frozen=True, tag='EndPlace'):
     """Releases a placement, whatever its result."""
 
     service: str
@@ -441,14 +441,14 @@
     # was not reached.
     prefill_ms: int = 0
     decode_ms: int = 0
-    tokens: int = 0
+    output_tokens: int = 0
     # Whether the response was complete.
-    whole: bool = False
+    complete: bool = False
     # Whether the decode worker rejected the result of the prefill worker.
-    refused: bool = False
+    prefill_rejected: bool = False
 
 
-class ServerFailed(Wire, frozen=True, tag='ServerFailed'):
+class ServerFailureReport(Wire, frozen=True, tag='ServerFailed'):
     """Reports a refused connection or a broken response of a server."""
 
     service: str
@@ -466,7 +466,7 @@
 
     # The server's id, and its start time, Unix milliseconds.
     server: str
-    born: int
+    started_at: int
     # Digest of the request; the same for all attempts.
     fingerprint: int
     # How long the server had run the request, or had it if the run time is not
@@ -483,25 +483,25 @@
     # Fingerprints of quarantined requests that completed on the sending VM.
     cleared: tuple[int, ...] = ()
     # Whether the receiver is a possible successor and not the coordinator.
-    copy: bool = False
+    to_successor: bool = False
 
 
-class Quarantined(Wire, frozen=True, tag='Quarantined'):
+class QuarantineUpdate(Wire, frozen=True, tag='Quarantined'):
     """The quarantined requests, which are sent to no server.
 
     It is the reply to `CrashReports`, and is announced to all entry VMs.
     """
 
     # Identifies the coordinator process that sends it.
-    judge: int
+    coordinator_id: int
     # Remaining quarantine in seconds by fingerprint.
-    held: dict[int, float] = {}
+    quarantined: dict[int, float] = {}
     # For other requests, remaining time during which they can't be quarantined,
     # seconds by fingerprint.
     cleared: dict[int, float] = {}
 
 
-class SendAsk(Wire, frozen=True, tag='SendAsk'):
+class ServerSendRequest(Wire, frozen=True, tag='SendAsk'):
     """A VM's record of one server's limit, and the sends it requests."""
 
     # Requests per second; None if the server no longer reports a limit.
@@ -509,52 +509,52 @@
     # Time since the server reported the limit, seconds.
     age_s: float
     # Number of sends requested.
-    wants: int
+    requested: int
     # Number of granted sends that expired unused.
-    lapsed: int = 0
+    expired: int = 0
 
 
-class SendGrant(Wire, frozen=True, tag='SendGrant'):
+class ServerSendGrant(Wire, frozen=True, tag='SendGrant'):
     """The coordinator's record of a server's limit, and the granted sends."""
 
     limit: float | None
     age_s: float
     # Number of sends granted.
-    tokens: int = 0
+    granted: int = 0
 
 
-class AskSends(Wire, frozen=True, tag='AskSends'):
+class SendTokensRequest(Wire, frozen=True, tag='AskSends'):
     """Request of an entry VM to the coordinator of server limits."""
 
     holder: str
     # By server id.
-    asks: dict[str, SendAsk]
+    requests: dict[str, ServerSendRequest]
 
 
-class Sends(Wire, frozen=True, tag='Sends'):
+class SendTokensReply(Wire, frozen=True, tag='Sends'):
     """Reply to `AskSends`.
 
     It is also announced to all entry VMs, without tokens, when a limit begins
     or ends.
     """
 
-    grants: dict[str, SendGrant]
+    grants: dict[str, ServerSendGrant]
 
 
-class KeptPlace(Wire, frozen=True, tag='KeptPlace'):
+class ActivePlacement(Wire, frozen=True, tag='KeptPlace'):
     """A placement in use."""
 
     request: str
-    worker: str
-    prompt: int
-    hinted: int
-    longest: int
+    decode_worker: str
+    prompt_tokens: int
+    hinted_tokens: int
+    max_output_tokens: int
     age_ms: int = 0
     # Start time of the worker, Unix milliseconds; 0 if it is not reported.
-    born: int = 0
+    started_at: int = 0
 
 
-class AskCredit(Wire, frozen=True, tag='AskCredit'):
+class CreditRequest(Wire, frozen=True, tag='AskCredit'):
     """Request of an entry VM to admit a request of a client account.
 
     The receiver is the coordinator of the account.
@@ -565,17 +565,17 @@
     cost: float
 
 
-class Credit(Wire, frozen=True, tag='Credit'):
+class CreditReply(Wire, frozen=True, tag='Credit'):
     """Reply to `AskCredit`."""
 
     # 0 if the request is admitted; otherwise the time until it would be,
     # milliseconds.
     wait_ms: int
     # Credit that the account has left, units.
-    level: float
+    remaining: float
 
 
-class GiveBack(Wire, frozen=True, tag='GiveBack'):
+class CreditRefund(Wire, frozen=True, tag='GiveBack'):
     """Refunds the cost of an admitted request that did not run.
 
     The receiver is the coordinator of the client account.
@@ -585,30 +585,30 @@
     cost: float
 
 
-class LetIn(Wire, frozen=True, tag='LetIn'):
+class UsageReport(Wire, frozen=True, tag='LetIn'):
     """Usage that a coordinator of client accounts admitted.
 
     The coordinator sends it to its possible successors.
     """
 
     # Admitted units less refunded units, by account.
-    used: dict[str, float]
+    admitted: dict[str, float]
 
 
-class AskHome(Wire, frozen=True, tag='AskHome'):
+class EligibilityRequest(Wire, frozen=True, tag='AskHome'):
     """Requests whether an entry VM may be a coordinator."""
 
 
-class HomeReply(Wire, frozen=True, tag='HomeReply'):
+class EligibilityReply(Wire, frozen=True, tag='HomeReply'):
     """Reply to `AskHome`."""
 
-    fit: bool
+    eligible: bool
     # Whether the process has been up long enough to be preferred over a new
     # one.
-    grown: bool
+    established: bool
 
 
-class AskHeld(Wire, frozen=True, tag='AskHeld'):
+class InventoryRequest(Wire, frozen=True, tag='AskHeld'):
     """Request of a service's coordinator for the placements of an entry VM.
 
     A new coordinator sends it to all entry VMs.
@@ -617,7 +617,7 @@
     service: str
 
 
-class KeepPlaces(Wire, frozen=True, tag='KeepPlaces'):
+class PlacementRenewal(Wire, frozen=True, tag='KeepPlaces'):
     """Renews all placements of one entry VM at the coordinator.
 
     A new coordinator rebuilds its plan from these messages.
@@ -625,73 +625,73 @@
 
     service: str
     holder: str
-    places: tuple[KeptPlace, ...]
+    places: tuple[ActivePlacement, ...]
 
 
-Any = (
-    Fail
+Message = (
+    ErrorReply
     | Ping
     | Pong
-    | Hello
-    | HelloReply
-    | Bye
-    | Beat
-    | Pull
-    | PullReply
-    | AskSlot
-    | Granted
+    | EntryHeartbeat
+    | EntryHeartbeatReply
+    | StopNotice
+    | KeeperHeartbeat
+    | StateRequest
+    | StateReply
+    | SlotRequest
+    | SlotGrant
     | Queued
     | Refused
-    | EndSlot
-    | KeepSlots
-    | AskClaim
+    | SlotRelease
+    | SlotRenewal
+    | ClaimRequest
     | ClaimReply
-    | EndClaim
+    | ClaimReport
     | Ticket
-    | Note
-    | Void
-    | Tell
-    | AskReading
+    | StartRequest
+    | VoidRequest
+    | OutcomeReport
+    | ClockRequest
     | WitnessReply
-    | RunTicket
+    | RunRequest
     | RunReply
-    | AskOutcome
-    | Dump
+    | OutcomeRequest
+    | DumpRequest
     | DumpReply
-    | AskRecords
+    | RecordsRequest
     | RecordsReply
-    | AskPlace
-    | Place
-    | TooLate
-    | EndPlace
-    | ServerFailed
+    | PlacementRequest
+    | PlacementGrant
+    | DeadlineUnreachable
+    | PlacementRelease
+    | ServerFailureReport
     | CrashReports
-    | AskSends
-    | Sends
-    | Quarantined
-    | AskCredit
-    | Credit
-    | GiveBack
-    | LetIn
-    | AskHome
-    | HomeReply
-    | AskHeld
-    | KeepPlaces
+    | SendTokensRequest
+    | SendTokensReply
+    | QuarantineUpdate
+    | CreditRequest
+    | CreditReply
+    | CreditRefund
+    | UsageReport
+    | EligibilityRequest
+    | EligibilityReply
+    | InventoryRequest
+    | PlacementRenewal
 )
 
 # Longest message between processes, bytes; a longer one is not decoded.
 MAX_BYTES: Final = 8 * 1024 * 1024
 
 _encoder: Final = msgspec.msgpack.Encoder()
-_decoder: Final = msgspec.msgpack.Decoder(Any)
+_decoder: Final = msgspec.msgpack.Decoder(Message)
 
 
-def encode(msg: Any) -> bytes:
+def encode(msg: Message) -> bytes:
     """Returns the bytes of a message."""
     return _encoder.encode(msg)
 
 
-def decode(data: bytes) -> Any:
+def decode(data: bytes) -> Message:
     """Returns the message in `data`.
 
     Raises:
--- a/packages/core/foxtaildale/mirror.py
+++ b/packages/core/foxtaildale/mirror.py
@@ -24,7 +24,7 @@
 # Maximum number of removed keys that are remembered, so that a peer's older
 # record does not restore one. Enough for some minutes of replaced backend
 # servers in the largest system.
-MAX_REMOVED: Final = 4096
+MAX_REMOVED_KEYS: Final = 4096
 
 # Orders the records of one key as they were written; `UNRANKED` if the value
 # does not contain the order.
@@ -90,10 +90,10 @@
         self,
         rank: Callable[[str, bytes], Rank] = _unranked,
         *,
-        keeps: bool = False,
+        retain_carried: bool = False,
     ) -> None:
         self._rank = rank
-        self._retain_carried = keeps
+        self._retain_carried = retain_carried
         self._entries = {}
         self._changed_position = {}
         self._changed_position_before_restore = {}
@@ -149,7 +149,7 @@
             changed.append(self._remove(entry, may_return=is_later))
         return changed
 
-    def drop_carried(self) -> list[Entry]:
+    def remove_carried(self) -> list[Entry]:
         """Removes the keys not written again since the store was restored.
 
         Returns:
@@ -163,7 +163,7 @@
             if entry.value
         ]
 
-    def carries(self) -> bool:
+    def has_carried(self) -> bool:
         """Whether there are records that the store may lack."""
         return bool(self._carried)
 
@@ -174,7 +174,7 @@
             positions.epoch(newest.offset) < positions.epoch(self.end)
         )
 
-    def since(self, end: int) -> list[Entry]:
+    def entries_since(self, end: int) -> list[Entry]:
         """Returns the records that a peer lacks.
 
         Records with the same content as the previous one of their key are left
@@ -196,7 +196,7 @@
             or self._carried.get(entry.key)
         ]
 
-    def repeats(self, entry: Entry, same_since: int) -> None:
+    def mark_repeated(self, entry: Entry, same_since: int) -> None:
         """Records that an entry has the same content as the previous one.
 
         Args:
@@ -213,7 +213,7 @@
             # copy only.
             self._changed_position_before_restore[entry.key] = same_since
 
-    def changed_at(self, key: str) -> int | None:
+    def changed_position(self, key: str) -> int | None:
         """Returns the position since which a key has had its value.
 
         Returns None if the key has no value.
@@ -291,7 +291,7 @@
         if entry.value:
             return
         self._removed[entry.key] = None
-        if len(self._removed) > MAX_REMOVED:
+        if len(self._removed) > MAX_REMOVED_KEYS:
             oldest = next(iter(self._removed))
             del self._removed[oldest]
             del self._entries[oldest]
--- a/packages/core/foxtaildale/orders.py
+++ b/packages/core/foxtaildale/orders.py
@@ -19,12 +19,12 @@
 from foxtaildale import backends
 
 # Time between polls of a backend server that is set as wanted, seconds.
-LOOK_S: Final = 2.0
+POLL_S: Final = 2.0
 # Time before an order is repeated, seconds. It doubles from the first to the
 # last value, since loading a model may be slow and the weight store limits the
 # rate.
-FIRST_REPEAT_S: Final = 0.5
-LAST_REPEAT_S: Final = 16.0
+MIN_REPEAT_S: Final = 0.5
+MAX_REPEAT_S: Final = 16.0
 
 
 class Status(msgspec.Struct, frozen=True, kw_only=True):
@@ -63,14 +63,14 @@
         self.orders_sent = 0
         # No order is sent before this time, seconds.
         self.next_order_at = 0.0
-        self.repeat_s = FIRST_REPEAT_S
+        self.repeat_s = MIN_REPEAT_S
         self.behind = False
 
     def on_applied(self) -> None:
         """Records that the backend server is set as wanted."""
         self.orders_sent = 0
         self.next_order_at = 0.0
-        self.repeat_s = FIRST_REPEAT_S
+        self.repeat_s = MIN_REPEAT_S
 
 
 class _Server:
@@ -93,11 +93,11 @@
 
     __slots__ = ('_poll_s', '_servers')
 
-    def __init__(self, look_s: float = LOOK_S) -> None:
-        self._poll_s = look_s
+    def __init__(self, poll_s: float = POLL_S) -> None:
+        self._poll_s = poll_s
         self._servers: dict[str, _Server] = {}
 
-    def want(
+    def set_wanted(
         self, server: str, kind: backends.OrderKind, value: str, fence: int
     ) -> None:
         """Sets a wanted setting; ignores one with an older fencing number."""
@@ -107,7 +107,7 @@
             server_state.settings[kind] = _Setting(value, fence)
             server_state.next_poll_at = 0.0
 
-    def forget(self, server: str) -> None:
+    def remove(self, server: str) -> None:
         """Removes a backend server that this keeper no longer coordinates."""
         self._servers.pop(server, None)
 
@@ -115,7 +115,7 @@
         """Returns the backend servers with wanted settings."""
         return frozenset(self._servers)
 
-    def due(self, now: float) -> tuple[str, ...]:
+    def due_servers(self, now: float) -> tuple[str, ...]:
         """Returns the backend servers to poll now."""
         return tuple(
             name
@@ -123,21 +123,25 @@
             if server_state.next_poll_at <= now
         )
 
-    def unseen(self, server: str, now: float) -> None:
+    def on_poll_failed(self, server: str, now: float) -> None:
         """Records that a poll failed; the next one is not immediate."""
         server_state = self._servers.get(server)
         if server_state is not None:
             server_state.next_poll_at = now + self._poll_s
 
-    def seen(
-        self, server: str, observed: backends.Observed, folded: int, now: float
+    def on_observed(
+        self,
+        server: str,
+        observed: backends.Observed,
+        applied_offset: int,
+        now: float,
     ) -> tuple[backends.Order, ...]:
         """Applies the result of a poll and returns the orders to send.
 
         Args:
             server: Name of the backend server.
             observed: Its actual settings.
-            folded: Offset up to which this process has applied the log.
+            applied_offset: Offset up to which this process has applied the log.
             now: Seconds.
         """
         server_state = self._servers.get(server)
@@ -148,13 +152,13 @@
         server_state.next_poll_at = now + self._poll_s
         for kind, setting in server_state.settings.items():
             setting.observed = replies.get(kind)
-            if not self._differs(setting, folded):
+            if not self._differs(setting, applied_offset):
                 continue
             if setting.next_order_at <= now:
                 due_orders.append(_order(kind, setting))
                 setting.orders_sent += 1
                 setting.next_order_at = now + setting.repeat_s
-                setting.repeat_s = min(2 * setting.repeat_s, LAST_REPEAT_S)
+                setting.repeat_s = min(2 * setting.repeat_s, MAX_REPEAT_S)
             server_state.next_poll_at = min(
                 server_state.next_poll_at, setting.next_order_at
             )
--- a/packages/core/foxtaildale/packing.py
+++ b/packages/core/foxtaildale/packing.py
@@ -11,19 +11,19 @@
 from typing import Final
 
 from foxtaildale import fleet
-from foxtaildale import growth
+from foxtaildale import memory_growth
 from foxtaildale import routes
 
 # Part of an engine's memory that is planned with. A smaller part leaves memory
 # unused in a burst; with a larger one engines preempt requests, whose prompts
 # are prefilled again.
-FILL: Final = 0.95
+PLANNED_MEMORY_FRACTION: Final = 0.95
 # A worker in the data centre of the prefill worker is preferred while it has
 # less room than the roomiest worker by at most this part of the planned memory.
 # A transfer between data centres takes twice as long and costs twice as much.
 # The part is less than the memory of one request, so that workers stay evenly
 # full.
-NEAR_PART: Final = 0.1
+SAME_DATA_CENTRE_FRACTION: Final = 0.1
 
 
 class Packing:
@@ -52,14 +52,14 @@
         self,
         now: float,
         service: routes.Service,
-        decoders: Iterable[fleet.Tally],
-        running: Iterable[tuple[str, growth.Running]],
+        decoders: Iterable[fleet.ServerState],
+        running: Iterable[tuple[str, memory_growth.Running]],
         token_s: Callable[[str], float],
     ) -> None:
         self._now = now
         self.event_tokens = service.event_tokens
         # Tokens.
-        self._memory_limit = FILL * service.kv_tokens
+        self._memory_limit = PLANNED_MEMORY_FRACTION * service.kv_tokens
         self._slots = service.slots or math.inf
         # Ids in order of preference.
         self._open_workers = []
@@ -68,9 +68,9 @@
             self._open_workers.append(tally.backend.id)
             self._data_centres[tally.backend.id] = tally.backend.data_centre
         # By worker id.
-        self._requests: dict[str, list[growth.Running]] = {}
+        self._requests: dict[str, list[memory_growth.Running]] = {}
         for worker, request in running:
-            self.give(worker, request)
+            self.add(worker, request)
         # Computed once for each scheduling pass: it takes a median over all
         # engines, and every waiter is tried at every worker.
         self._token_s = {
@@ -78,15 +78,15 @@
         }
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether no worker accepts further requests."""
         return not self._open_workers
 
-    def roomiest(
+    def find_roomiest(
         self,
-        request: growth.Running,
+        request: memory_growth.Running,
         avoid: Collection[str],
-        near: str = '',
+        preferred_data_centre: str = '',
     ) -> tuple[str, bool]:
         """Returns the worker with the most room, and whether the request fits.
 
@@ -95,7 +95,7 @@
         Args:
             request: The request to place.
             avoid: Workers that it must not go to.
-            near: Data centre of its prefill worker; empty for none. A decode
+            preferred_data_centre: Data centre of its prefill worker; empty for none. A decode
                 worker there is preferred among those with room.
         """
         best, min_peak = '', math.inf
@@ -105,24 +105,30 @@
             if worker in avoid or len(requests) >= self._slots:
                 continue
             token_s = self._token_s[worker]
-            peak = growth.peak([*requests, request], self._now, token_s)
+            peak = memory_growth.peak_tokens(
+                [*requests, request], self._now, token_s
+            )
             if not requests:
                 # Even the largest request is accepted by an idle engine.
                 peak = min(peak, self._memory_limit)
             if peak < min_peak:
                 best, min_peak = worker, peak
-            if self._data_centres[worker] == near and peak < min_near_peak:
+            if (
+                self._data_centres[worker] == preferred_data_centre
+                and peak < min_near_peak
+            ):
                 nearest, min_near_peak = worker, peak
         if min_near_peak <= min(
-            self._memory_limit, min_peak + NEAR_PART * self._memory_limit
+            self._memory_limit,
+            min_peak + SAME_DATA_CENTRE_FRACTION * self._memory_limit,
         ):
             return nearest, True
         return best, min_peak <= self._memory_limit
 
-    def give(self, worker: str, request: growth.Running) -> None:
+    def add(self, worker: str, request: memory_growth.Running) -> None:
         """Adds a request to a worker."""
         self._requests.setdefault(worker, []).append(request)
 
-    def keep(self, worker: str) -> None:
+    def close(self, worker: str) -> None:
         """Closes a worker to all other requests in this scheduling pass."""
         self._open_workers.remove(worker)
--- a/packages/core/foxtaildale/placing.py
+++ b/packages/core/foxtaildale/placement_plan.py
@@ -19,39 +19,41 @@
 from collections.abc import Sequence
 from typing import Final
 
-from foxtaildale import balance
+from foxtaildale import engine_speeds
+from foxtaildale import failure_reports
 from foxtaildale import fleet
-from foxtaildale import growth
-from foxtaildale import holdings
-from foxtaildale import lengths
+from foxtaildale import local_prefills
+from foxtaildale import memory_growth
 from foxtaildale import messages
-from foxtaildale import ownreads
 from foxtaildale import packing
+from foxtaildale import plan_entries
 from foxtaildale import prefills
 from foxtaildale import queues
 from foxtaildale import refusals
-from foxtaildale import reports
-from foxtaildale import room
+from foxtaildale import response_lengths
 from foxtaildale import routes
-from foxtaildale import speeds
+from foxtaildale import stage_balance
+from foxtaildale import wait_limits
 
 # Maximum number of waiters that fit nowhere and are overtaken by smaller ones
 # behind them. For each of them, the worker with the most room is closed to all
 # others for the pass, so that it does not starve behind many small requests.
-PASSED: Final = 4
+MAX_PASSED_OVER: Final = 4
 # Time between scheduling passes while requests wait, seconds. A pass goes
 # through all engines. A coordinator with many waiters would do nothing else if
 # each poll started a pass.
-LOOK_S: Final = 0.02
+PASS_INTERVAL_S: Final = 0.02
 # Time after which a placement expires if its holder does not renew it, seconds.
-KEEP_S: Final = 4.0
+RENEWAL_TIMEOUT_S: Final = 4.0
 # Initial time of one token before the first measurement, seconds.
-TOKEN_S: Final = 0.0007
+INITIAL_TOKEN_S: Final = 0.0007
 # Weight of a new measurement in the moving average.
 _NEW_WEIGHT: Final = 0.1
 
 # Returns the decode workers and the prefill workers.
-Engines = Callable[[], tuple[Sequence[fleet.Tally], Sequence[fleet.Tally]]]
+Engines = Callable[
+    [], tuple[Sequence[fleet.ServerState], Sequence[fleet.ServerState]]
+]
 
 
 class Plan:
@@ -61,7 +63,7 @@
         '_decode_speeds',
         '_lengths',
         '_local_prefills',
-        '_look_at',
+        '_next_pass_at',
         '_placed',
         '_prefills',
         '_queue',
@@ -73,27 +75,29 @@
 
     def __init__(self) -> None:
         # Shares of the stages in the service's engines.
-        self.balance = balance.Balance()
+        self.balance = stage_balance.StageBalance()
         # By request.
-        self._placed: dict[str, holdings.Held] = {}
+        self._placed: dict[str, plan_entries.PlacedRequest] = {}
         self._queue = queues.Queue()
-        self._lengths = lengths.Lengths()
+        self._lengths = response_lengths.ResponseLengths()
         # When the next scheduling pass is due, seconds.
-        self._look_at = 0.0
-        self._local_prefills = ownreads.OwnReads()
+        self._next_pass_at = 0.0
+        self._local_prefills = local_prefills.LocalPrefills()
         self._prefills = prefills.Prefills()
-        self._token_s = TOKEN_S
-        self._decode_speeds = speeds.Speeds()
+        self._token_s = INITIAL_TOKEN_S
+        self._decode_speeds = engine_speeds.EngineSpeeds()
         self._refusals = refusals.Refusals()
-        self._reports = reports.Reports()
+        self._reports = failure_reports.FailureReports()
 
-    def ask(
+    def request_placement(
         self,
         now: float,
-        msg: messages.AskPlace,
+        msg: messages.PlacementRequest,
         service: routes.Service,
         engines: Engines,
-    ) -> messages.Place | messages.Queued | messages.TooLate:
+    ) -> (
+        messages.PlacementGrant | messages.Queued | messages.DeadlineUnreachable
+    ):
         """Grants a placement or queues the request; may be called repeatedly.
 
         Args:
@@ -104,101 +108,119 @@
                 may get work, best first.
         """
         waiter = self._queue.get(msg.request)
-        if waiter is None or waiter.place is None:
+        if waiter is None or waiter.placement is None:
             too_late = self._check_deadline(msg)
             if too_late is not None:
                 self._queue.leave(msg.request)
                 return too_late
         if waiter is None:
             waiter = self._queue.join(now, msg)
-            expected = msg.hinted or self._lengths.expected(0, msg.longest)
-            self.balance.note(msg.prompt, expected)
+            expected = msg.hinted_tokens or self._lengths.expected_tokens(
+                0, msg.max_output_tokens
+            )
+            self.balance.record_request(msg.prompt_tokens, expected)
             if not waiter.position:
-                self._look_at = now
-        waiter.asked_at = now
+                self._next_pass_at = now
+        waiter.polled_at = now
         waiter.msg = msg
-        if now >= self._look_at:
-            self._look_at = now + LOOK_S
+        if now >= self._next_pass_at:
+            self._next_pass_at = now + PASS_INTERVAL_S
             self._remove_expired(now)
-            unusable = self._reports.failed(now) | self.balance.changing(now)
+            unusable = self._reports.failed_servers(
+                now
+            ) | self.balance.changing_engines(now)
             decoders, prefillers = engines()
             self._grant_placements(
                 now,
                 service,
                 _exclude(
-                    _exclude(decoders, unusable), self._refusals.closed(now)
+                    _exclude(decoders, unusable),
+                    self._refusals.closed_workers(now),
                 ),
                 _exclude(prefillers, unusable),
             )
-        if waiter.place is not None:
+        if waiter.placement is not None:
             self._queue.leave(msg.request)
-            return waiter.place
-        return self._queue.told(waiter)
+            return waiter.placement
+        return self._queue.reply_for(waiter)
 
     def _check_deadline(
-        self, msg: messages.AskPlace
-    ) -> messages.TooLate | None:
+        self, msg: messages.PlacementRequest
+    ) -> messages.DeadlineUnreachable | None:
         """Returns the refusal of a request that can't be completed in time."""
-        if not msg.left_ms or msg.started:
+        if not msg.remaining_ms or msg.response_started:
             return None
-        tokens = self._lengths.expected(msg.hinted, msg.longest)
-        token_s = self._decode_speeds.usual_s() or self._token_s
-        needs_s = self._prefills.usual_s(msg.prompt) + tokens * token_s
-        if not room.unfinished(needs_s, msg.left_ms / 1000):
+        tokens = self._lengths.expected_tokens(
+            msg.hinted_tokens, msg.max_output_tokens
+        )
+        token_s = self._decode_speeds.median_s() or self._token_s
+        needs_s = (
+            self._prefills.unqueued_s(msg.prompt_tokens) + tokens * token_s
+        )
+        if not wait_limits.cannot_finish(needs_s, msg.remaining_ms / 1000):
             return None
-        return messages.TooLate(needs_ms=int(needs_s * 1000))
+        return messages.DeadlineUnreachable(required_ms=int(needs_s * 1000))
 
-    def end(self, now: float, msg: messages.EndPlace) -> None:
+    def release(self, now: float, msg: messages.PlacementRelease) -> None:
         """Releases a placement and records its holder's measurements."""
         self._queue.leave(msg.request)
         placed = self._placed.pop(msg.request, None)
         if placed is None:
             return
-        self._look_at = min(self._look_at, now)
-        if msg.whole:
-            self._queue.served(placed.digest)
-        if msg.refused or msg.tokens:
-            placement, accepted = placed.place, not msg.refused
-            self._refusals.note(
-                now, placement.worker, placement.prefiller, taken=accepted
+        self._next_pass_at = min(self._next_pass_at, now)
+        if msg.complete:
+            self._queue.record_served(placed.digest)
+        if msg.prefill_rejected or msg.output_tokens:
+            placement, accepted = placed.placement, not msg.prefill_rejected
+            self._refusals.record(
+                now,
+                placement.decode_worker,
+                placement.prefill_worker,
+                accepted=accepted,
             )
         if msg.prefill_ms:
             prompt_tokens, took_s = placed.running.prompt, msg.prefill_ms / 1000
-            self._prefills.note(
+            self._prefills.record_prefill(
                 now,
-                placed.place.prefiller,
+                placed.placement.prefill_worker,
                 prompt_tokens,
                 took_s,
-                alone=placed.read_alone,
+                alone=placed.prefilled_alone,
             )
-            if placed.place.prefiller and (msg.refused or msg.tokens):
-                accepted = not msg.refused
-                self._prefills.note_use(
-                    now, placed.place.prefiller, taken=accepted
+            if placed.placement.prefill_worker and (
+                msg.prefill_rejected or msg.output_tokens
+            ):
+                accepted = not msg.prefill_rejected
+                self._prefills.record_use(
+                    now, placed.placement.prefill_worker, accepted=accepted
                 )
-        if msg.tokens and msg.decode_ms and msg.whole:
-            token_s = msg.decode_ms / 1000 / msg.tokens
+        if msg.output_tokens and msg.decode_ms and msg.complete:
+            token_s = msg.decode_ms / 1000 / msg.output_tokens
             self._token_s += _NEW_WEIGHT * (token_s - self._token_s)
-            self._decode_speeds.note(now, placed.place.worker, token_s)
-            self._lengths.note(msg.tokens)
+            self._decode_speeds.record(
+                now, placed.placement.decode_worker, token_s
+            )
+            self._lengths.record(msg.output_tokens)
 
-    def restarted(self, server: str) -> None:
+    def forget(self, server: str) -> None:
         """Discards what is known of a worker that has restarted."""
         for request, placed in list(self._placed.items()):
-            if placed.place.worker == server:
+            if placed.placement.decode_worker == server:
                 del self._placed[request]
         self._prefills.forget(server)
         self._decode_speeds.forget(server)
         self._refusals.forget(server)
         self._local_prefills.forget(server)
         self._reports.forget(server)
-        self.balance.settled(server)
+        self.balance.record_restart(server)
 
-    def failed(self, now: float, msg: messages.ServerFailed) -> None:
+    def record_failure(
+        self, now: float, msg: messages.ServerFailureReport
+    ) -> None:
         """Records a holder's report of a failed server."""
-        self._reports.note(now, msg.server, msg.holder, replaced=msg.replaced)
+        self._reports.record(now, msg.server, msg.holder, replaced=msg.replaced)
 
-    def keep(self, now: float, msg: messages.KeepPlaces) -> None:
+    def renew(self, now: float, msg: messages.PlacementRenewal) -> None:
         """Renews all placements of a holder, which lists them.
 
         A listed placement that is not known is added. One that is known and not
@@ -209,86 +231,95 @@
             # Its release was lost, unless the grant is still on its way to the
             # holder.
             is_unlisted = placed.holder == msg.holder and request not in listed
-            if is_unlisted and now - placed.kept_at > queues.WAITER_S:
+            if is_unlisted and now - placed.renewed_at > queues.WAITER_TTL_S:
                 del self._placed[request]
         for entry in msg.places:
             existing = self._placed.get(entry.request)
             if existing is not None:
-                existing.kept_at = now
+                existing.renewed_at = now
                 continue
-            running = growth.Running(
-                prompt=entry.prompt,
-                expected=self._lengths.expected(entry.hinted, entry.longest),
-                longest=entry.longest,
+            running = memory_growth.Running(
+                prompt=entry.prompt_tokens,
+                expected=self._lengths.expected_tokens(
+                    entry.hinted_tokens, entry.max_output_tokens
+                ),
+                longest=entry.max_output_tokens,
                 started_at=now - entry.age_ms / 1000,
             )
-            self._placed[entry.request] = holdings.Held(
+            self._placed[entry.request] = plan_entries.PlacedRequest(
                 msg.holder,
-                messages.Place(worker=entry.worker, prefiller=''),
+                messages.PlacementGrant(
+                    decode_worker=entry.decode_worker, prefill_worker=''
+                ),
                 running,
                 now,
             )
 
     def stage_changes(
         self, now: float, service: routes.Service, engines: Engines
-    ) -> tuple[balance.Change, ...]:
+    ) -> tuple[stage_balance.Change, ...]:
         """Returns the engines that should change their stage now."""
-        token_s = self._decode_speeds.usual_s() or self._token_s
-        share = self.balance.share(
-            service, self._prefills.reading.per_s, token_s
+        token_s = self._decode_speeds.median_s() or self._token_s
+        share = self.balance.prefill_share(
+            service, self._prefills.speed.tokens_per_s, token_s
         )
-        has_queue = self._prefills.waiting(self.balance.prompt)
+        has_queue = self._prefills.has_queue(self.balance.mean_prompt_tokens)
         decoders, prefillers = engines()
         # A slow engine is of no use as a prefill worker, but of some use as a
         # decode worker.
         healthy = [
             tally
             for tally in prefillers
-            if not self._prefills.slow(now, tally.backend.id)
+            if not self._prefills.is_slow(now, tally.backend.id)
         ]
         return self.balance.changes(
-            now, share, decoders, healthy, waiting=has_queue
+            now, share, decoders, healthy, has_queue=has_queue
         )
 
     def holders(self) -> set[str]:
         """Returns the entry VMs that hold placements."""
         return {placed.holder for placed in self._placed.values()}
 
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """Returns the number of waiting requests."""
         return len(self._queue)
 
-    def planned(self) -> dict[str, int]:
+    def planned_counts(self) -> dict[str, int]:
         """Returns the number of planned requests by decode worker."""
         counts: dict[str, int] = {}
         for placed in self._placed.values():
-            counts[placed.place.worker] = counts.get(placed.place.worker, 0) + 1
+            counts[placed.placement.decode_worker] = (
+                counts.get(placed.placement.decode_worker, 0) + 1
+            )
         return counts
 
     def _grant_placements(
         self,
         now: float,
         service: routes.Service,
-        decoders: Sequence[fleet.Tally],
-        prefillers: Sequence[fleet.Tally],
+        decoders: Sequence[fleet.ServerState],
+        prefillers: Sequence[fleet.ServerState],
     ) -> None:
         """Grants placements to the first waiters as long as there is room."""
         decode_workers = packing.Packing(
             now,
             service,
             decoders,
-            ((h.place.worker, h.running) for h in self._placed.values()),
+            (
+                (h.placement.decode_worker, h.running)
+                for h in self._placed.values()
+            ),
             lambda worker: self._token_s_at(now, worker),
         )
         passed_over = 0
         position = 0
-        for waiter in self._queue.ranked(now, self._prefills.mean_s):
-            if passed_over <= PASSED and not decode_workers.full:
+        for waiter in self._queue.ranked(now, self._prefills.mean_prefill_s):
+            if passed_over <= MAX_PASSED_OVER and not decode_workers.is_full:
                 passed_over += not self._place(
                     now, waiter, decode_workers, prefillers
                 )
-            if waiter.place is not None:
-                self._queue.granted(now)
+            if waiter.placement is not None:
+                self._queue.record_grant(now)
                 continue
             waiter.position = position
             position += 1
@@ -296,9 +327,9 @@
     def _place(
         self,
         now: float,
-        waiter: holdings.Waiter,
+        waiter: plan_entries.Waiter,
         decode_workers: packing.Packing,
-        prefillers: Sequence[fleet.Tally],
+        prefillers: Sequence[fleet.ServerState],
     ) -> bool:
         """Grants a placement; returns whether there was room.
 
@@ -306,82 +337,94 @@
         other waiters of this pass, since the request will fit there first.
         """
         msg = waiter.msg
-        turn = self._prefills.choose(now, msg.prompt, prefillers, msg.avoid)
+        turn = self._prefills.choose_worker(
+            now, msg.prompt_tokens, prefillers, msg.excluded_servers
+        )
         # If every prefill worker loses prompts, either their memory evicts the
         # prompts or the decode workers are fuller than planned. Neither can
         # lose a prompt that is prefilled at its decode worker.
-        is_losing = self._prefills.losing(now, turn.worker)
+        is_losing = self._prefills.is_losing_prompts(now, turn.worker)
         if is_losing and self._place_with_local_prefill(
             now, waiter, decode_workers
         ):
             return True
-        if self._prefills.too_busy(now, msg.prompt, turn):
-            waiter.short_of = 'prefill'
+        if self._prefills.is_too_busy(now, msg.prompt_tokens, turn):
+            waiter.missing_resource = 'prefill'
             return self._place_with_local_prefill(now, waiter, decode_workers)
         running = self._running_request(msg, turn.ready_at)
         near = _data_centre(prefillers, turn.worker)
-        worker, fits = decode_workers.roomiest(running, msg.avoid, near)
-        waiter.short_of = 'memory'
+        worker, fits = decode_workers.find_roomiest(
+            running, msg.excluded_servers, near
+        )
+        waiter.missing_resource = 'memory'
         if not worker:
             return False
         if not fits:
-            decode_workers.keep(worker)
+            decode_workers.close(worker)
             return False
         if turn.worker:
-            self._prefills.give(turn)
-        placement = messages.Place(worker=worker, prefiller=turn.worker)
+            self._prefills.assign(turn)
+        placement = messages.PlacementGrant(
+            decode_worker=worker, prefill_worker=turn.worker
+        )
         self._record_placement(now, waiter, placement, running, decode_workers)
-        self._placed[msg.request].read_alone = turn.starts_at <= now
+        self._placed[msg.request].prefilled_alone = turn.starts_at <= now
         return True
 
     def _place_with_local_prefill(
         self,
         now: float,
-        waiter: holdings.Waiter,
+        waiter: plan_entries.Waiter,
         decode_workers: packing.Packing,
     ) -> bool:
         """Grants a placement at a decode worker that prefills the prompt."""
         msg = waiter.msg
-        prefill_s = ownreads.read_s(msg.prompt, self._prefills.reading.per_s)
+        prefill_s = local_prefills.local_prefill_s(
+            msg.prompt_tokens, self._prefills.speed.tokens_per_s
+        )
         event_s = self._token_s * decode_workers.event_tokens
-        gap_s = msg.gap_ms / 1000
-        if not ownreads.unseen(prefill_s, event_s, gap_s):
+        gap_s = msg.max_gap_ms / 1000
+        if not local_prefills.is_unnoticed(prefill_s, event_s, gap_s):
             return False
         running = self._running_request(msg, now + prefill_s)
-        busy = self._local_prefills.busy(now)
-        worker, fits = decode_workers.roomiest(running, (*msg.avoid, *busy))
+        busy = self._local_prefills.busy_workers(now)
+        worker, fits = decode_workers.find_roomiest(
+            running, (*msg.excluded_servers, *busy)
+        )
         if not worker or not fits:
             return False
-        self._local_prefills.give(now, worker, prefill_s, gap_s)
-        placement = messages.Place(
-            worker=worker, prefiller='', reads_itself=True
+        self._local_prefills.record(now, worker, prefill_s, gap_s)
+        placement = messages.PlacementGrant(
+            decode_worker=worker, prefill_worker='', local_prefill=True
         )
         self._record_placement(now, waiter, placement, running, decode_workers)
         return True
 
     def _running_request(
-        self, msg: messages.AskPlace, started_at: float
-    ) -> growth.Running:
-        return growth.Running(
-            prompt=msg.prompt,
-            expected=self._lengths.expected(msg.hinted, msg.longest),
-            longest=msg.longest,
+        self, msg: messages.PlacementRequest, started_at: float
+    ) -> memory_growth.Running:
+        return memory_growth.Running(
+            prompt=msg.prompt_tokens,
+            expected=self._lengths.expected_tokens(
+                msg.hinted_tokens, msg.max_output_tokens
+            ),
+            longest=msg.max_output_tokens,
             started_at=started_at,
         )
 
     def _record_placement(
         self,
         now: float,
-        waiter: holdings.Waiter,
-        placement: messages.Place,
-        running: growth.Running,
+        waiter: plan_entries.Waiter,
+        placement: messages.PlacementGrant,
+        running: memory_growth.Running,
         decode_workers: packing.Packing,
     ) -> None:
-        decode_workers.give(placement.worker, running)
-        waiter.place = placement
+        decode_workers.add(placement.decode_worker, running)
+        waiter.placement = placement
         msg = waiter.msg
-        self._placed[msg.request] = holdings.Held(
-            msg.holder, placement, running, now, msg.digest
+        self._placed[msg.request] = plan_entries.PlacedRequest(
+            msg.holder, placement, running, now, msg.request_digest
         )
 
     def _token_s_at(self, now: float, worker: str) -> float:
@@ -390,14 +433,14 @@
     def _remove_expired(self, now: float) -> None:
         """Removes waiters that stopped polling and expired placements."""
         for waiter in self._queue.expire(now):
-            if waiter.place is not None:
+            if waiter.placement is not None:
                 self._placed.pop(waiter.msg.request, None)
         for request, placed in list(self._placed.items()):
-            if now - placed.kept_at > KEEP_S:
+            if now - placed.renewed_at > RENEWAL_TIMEOUT_S:
                 del self._placed[request]
 
 
-def _data_centre(tallies: Sequence[fleet.Tally], server: str) -> str:
+def _data_centre(tallies: Sequence[fleet.ServerState], server: str) -> str:
     for tally in tallies:
         if tally.backend.id == server:
             return tally.backend.data_centre
@@ -405,8 +448,8 @@
 
 
 def _exclude(
-    tallies: Sequence[fleet.Tally], excluded: frozenset[str]
-) -> Sequence[fleet.Tally]:
+    tallies: Sequence[fleet.ServerState], excluded: frozenset[str]
+) -> Sequence[fleet.ServerState]:
     """Returns the servers that are not excluded; all if all are.
 
     If all servers of a stage are excluded, the cause is probably common to all
--- a/packages/core/foxtaildale/holdings.py
+++ b/packages/core/foxtaildale/plan_entries.py
@@ -1,6 +1,6 @@
 """A request that waits for a placement, and one that has a placement."""
 
-from foxtaildale import growth
+from foxtaildale import memory_growth
 from foxtaildale import messages
 
 
@@ -9,59 +9,63 @@
 
     __slots__ = (
         'arrived_at',
-        'asked_at',
-        'came_back',
+        'is_retry',
+        'missing_resource',
         'msg',
-        'place',
+        'placement',
+        'polled_at',
         'position',
-        'short_of',
     )
 
     def __init__(
-        self, msg: messages.AskPlace, arrived_at: float, *, came_back: bool
+        self,
+        msg: messages.PlacementRequest,
+        arrived_at: float,
+        *,
+        is_retry: bool,
     ) -> None:
         self.msg = msg
         # When its first attempt arrived, seconds.
         self.arrived_at = arrived_at
         # Whether an earlier attempt of it was not served.
-        self.came_back = came_back
+        self.is_retry = is_retry
         # When its entry VM last polled, seconds.
-        self.asked_at = 0.0
+        self.polled_at = 0.0
         # Number of waiters ahead of it at the last scheduling pass.
         self.position = 0
         # Resource that it lacked at the last scheduling pass.
-        self.short_of = ''
+        self.missing_resource = ''
         # Granted already; sent as the reply to the next poll.
-        self.place: messages.Place | None = None
+        self.placement: messages.PlacementGrant | None = None
 
 
-class Held:
+class PlacedRequest:
     """A request with a granted placement."""
 
     __slots__ = (
         'digest',
         'holder',
-        'kept_at',
-        'place',
-        'read_alone',
+        'placement',
+        'prefilled_alone',
+        'renewed_at',
         'running',
     )
 
     def __init__(
         self,
         holder: str,
-        place: messages.Place,
-        running: growth.Running,
+        placement: messages.PlacementGrant,
+        running: memory_growth.Running,
         now: float,
         digest: int = 0,
     ) -> None:
         self.holder = holder
         # Its prefill worker is empty if it is not known or none was granted.
-        self.place = place
+        self.placement = placement
         # Shared by the attempts of its request; 0 if not known.
         self.digest = digest
         self.running = running
         # When its holder last renewed it, seconds.
-        self.kept_at = now
+        self.renewed_at = now
         # Whether no other prompt was ahead of its own at its prefill worker.
-        self.read_alone = False
+        self.prefilled_alone = False
--- a/packages/core/foxtaildale/planning.py
+++ b/packages/core/foxtaildale/planning.py
@@ -30,10 +30,10 @@
     __slots__ = (
         'decode',
         'decode_at',
-        'own_s',
         'prefill',
         'start_at',
         'transfer_at',
+        'work_s',
     )
 
     # None if the prefill is done already or the service is plain.
@@ -44,7 +44,7 @@
     transfer_at: float
     decode_at: float
     # Time for the request's own prefill and transfer, without waiting, seconds.
-    own_s: float
+    work_s: float
 
     def __init__(
         self,
@@ -54,18 +54,18 @@
         start_at: float,
         transfer_at: float,
         decode_at: float,
-        own_s: float = 0.0,
+        work_s: float = 0.0,
     ) -> None:
         self.prefill = prefill
         self.decode = decode
         self.start_at = start_at
         self.transfer_at = transfer_at
         self.decode_at = decode_at
-        self.own_s = own_s
+        self.work_s = work_s
 
 
 def _rank(plan: Plan) -> tuple[float, float, float]:
-    free_at = plan.prefill.free_at if plan.prefill else 0.0
+    free_at = plan.prefill.prefills_end_at if plan.prefill else 0.0
     work_s = plan.transfer_at - plan.start_at
     return plan.decode_at // _TIE_S, work_s, free_at
 
@@ -74,38 +74,38 @@
     """Plans requests over the workers of one pool."""
 
     __slots__ = (
-        'born_at',
+        'first_worker_at',
         'grants',
         'hints',
-        'listed',
         'rates',
         'service',
         'weights',
+        'workers_by_name',
     )
 
     service: values.Service
     weights: values.Weights
-    listed: dict[str, workers.Worker]
+    workers_by_name: dict[str, workers.Worker]
     grants: ledger.Ledger
     rates: estimates.Estimates
     hints: hints.Hints
     # When this coordinator was notified of its first worker, seconds; None
     # before.
-    born_at: float | None
+    first_worker_at: float | None
 
     def __init__(self, service: values.Service) -> None:
         self.service = service
         self.weights = values.Weights()
-        self.listed = {}
+        self.workers_by_name = {}
         self.grants = ledger.Ledger()
         self.rates = estimates.Estimates(service.expected_tokens)
         self.hints = hints.Hints()
-        self.born_at = None
+        self.first_worker_at = None
 
     def plan(
         self,
         now: float,
-        msg: messages.AskSlot,
+        msg: messages.SlotRequest,
         ahead_count: int,
         ahead_tokens: int,
     ) -> Plan | None:
@@ -117,7 +117,7 @@
             ahead_count: Number of requests ahead of it in the queue.
             ahead_tokens: Sum of their prompt tokens.
         """
-        earliest = self._earliest_slot(now, ahead_count, msg.avoid)
+        earliest = self._earliest_slot(now, ahead_count, msg.excluded_worker)
         if earliest is None:
             return None
         decode, slot_at = earliest
@@ -129,9 +129,9 @@
                 transfer_at=slot_at,
                 decode_at=slot_at,
             )
-        if msg.ready_at:
+        if msg.prefilled_at:
             return self._plan_transfer(now, msg, decode, slot_at)
-        usable = self.usable(now, 'prefill')
+        usable = self.usable_workers(now, 'prefill')
         plans = [
             self._plan_with_prefill(
                 now,
@@ -150,7 +150,7 @@
     def _plan_with_prefill(
         self,
         now: float,
-        msg: messages.AskSlot,
+        msg: messages.SlotRequest,
         prefill: workers.Worker,
         *,
         decode: workers.Worker,
@@ -161,24 +161,27 @@
         name = prefill.server.name
         ahead_s = self.rates.prefill_s(name, ahead_tokens)
         cached_tokens = min(
-            self.hints.expect(name, msg.prefixes), msg.prompt_tokens
+            self.hints.expected_tokens(name, msg.prefix_digests),
+            msg.prompt_tokens,
         )
         prefill_s = self.rates.prefill_s(
             name, msg.prompt_tokens - cached_tokens
         )
         transfer_s = self.rates.transfer_s(name, msg.prompt_tokens)
-        ready_at = max(now, prefill.free_at) + ahead_s + prefill_s
-        transfer_at = max(ready_at, slot_at, prefill.link_at)
+        ready_at = max(now, prefill.prefills_end_at) + ahead_s + prefill_s
+        transfer_at = max(ready_at, slot_at, prefill.link_free_at)
         return Plan(
             prefill,
             decode,
             start_at=transfer_at - prefill_s,
             transfer_at=transfer_at,
             decode_at=transfer_at + transfer_s,
-            own_s=prefill_s + transfer_s,
+            work_s=prefill_s + transfer_s,
         )
 
-    def usable(self, now: float, role: values.Role) -> list[workers.Worker]:
+    def usable_workers(
+        self, now: float, role: values.Role
+    ) -> list[workers.Worker]:
         """Returns the workers of a role that may get new work.
 
         If all live workers are suspended, all count as usable: a failure of
@@ -187,54 +190,57 @@
         """
         live = [
             worker
-            for worker in self.listed.values()
-            if worker.server.role == role and worker.live()
+            for worker in self.workers_by_name.values()
+            if worker.server.role == role and worker.is_live()
         ]
-        return [worker for worker in live if worker.usable(now)] or live
+        return [worker for worker in live if worker.is_usable(now)] or live
 
     def slot_workers(self, now: float) -> list[workers.Worker]:
         """Returns the usable workers whose slots are granted."""
         plain = self.service.kind == 'plain'
-        return self.usable(now, 'plain' if plain else 'decode')
+        return self.usable_workers(now, 'plain' if plain else 'decode')
 
-    def limit(self, worker: workers.Worker) -> int:
+    def slot_limit(self, worker: workers.Worker) -> int:
         """Returns the most slots that meet the target between tokens."""
         target_s = self.service.between_tokens_ms / 1000
-        return self.rates.token.largest_batch(worker.server.slots, target_s)
+        return self.rates.token_time.largest_batch(
+            worker.server.slots, target_s
+        )
 
-    def free_now(self, now: float) -> workers.Worker | None:
+    def worker_with_free_slot(self, now: float) -> workers.Worker | None:
         """Returns a worker with a free slot, or None."""
         worker = min(
             self.slot_workers(now),
             key=lambda w: (
-                self.grants.occupied(w.server.name, now) / self.limit(w)
+                self.grants.slots_in_use(w.server.name, now)
+                / self.slot_limit(w)
             ),
             default=None,
         )
         if worker is None:
             return None
-        occupied = self.grants.occupied(worker.server.name, now)
-        return worker if occupied < self.limit(worker) else None
+        occupied = self.grants.slots_in_use(worker.server.name, now)
+        return worker if occupied < self.slot_limit(worker) else None
 
     def _plan_transfer(
         self,
         now: float,
-        msg: messages.AskSlot,
+        msg: messages.SlotRequest,
         decode: workers.Worker,
         slot_at: float,
     ) -> Plan:
         """Plans link time and a slot for a prefill that is done."""
-        source = self.listed.get(msg.ready_at)
-        link_at = source.link_at if source else now
+        source = self.workers_by_name.get(msg.prefilled_at)
+        link_at = source.link_free_at if source else now
         transfer_at = max(now, slot_at, link_at)
-        duration_s = self.rates.transfer_s(msg.ready_at, msg.prompt_tokens)
+        duration_s = self.rates.transfer_s(msg.prefilled_at, msg.prompt_tokens)
         return Plan(
             None,
             decode,
             start_at=transfer_at,
             transfer_at=transfer_at,
             decode_at=transfer_at + duration_s,
-            own_s=duration_s,
+            work_s=duration_s,
         )
 
     def _earliest_slot(
@@ -246,9 +252,9 @@
         if not usable:
             return None
         worker = min(
-            usable, key=lambda w: self._slots_used(now, w) / self.limit(w)
+            usable, key=lambda w: self._slots_used(now, w) / self.slot_limit(w)
         )
-        limit = self.limit(worker)
+        limit = self.slot_limit(worker)
         missing_slots = (
             self._slots_used(now, worker)
             + ahead_count / len(usable)
@@ -258,7 +264,7 @@
         if missing_slots <= 0:
             return worker, now
         # A full worker frees one slot per decode time / limit on average.
-        wait_s = missing_slots * self.rates.decode.value / limit
+        wait_s = missing_slots * self.rates.decode_time.value / limit
         return worker, now + self._wait_factor() * wait_s
 
     def _wait_factor(self) -> float:
@@ -275,9 +281,10 @@
 
     def _slots_used(self, now: float, worker: workers.Worker) -> int:
         """Returns the slots in use, by the ledger or by the load report."""
-        granted_slots = self.grants.held(worker.server.name)
+        granted_slots = self.grants.granted_slots(worker.server.name)
         rebuilding = (
-            self.born_at is not None and now < self.born_at + _REBUILD_S
+            self.first_worker_at is not None
+            and now < self.first_worker_at + _REBUILD_S
         )
         if rebuilding and worker.load is not None:
             return max(granted_slots, worker.load.running)
--- a/packages/core/foxtaildale/pool.py
+++ b/packages/core/foxtaildale/pool.py
@@ -65,25 +65,27 @@
         for server in servers:
             if server.service != self._name:
                 continue
-            worker = self._planner.listed.get(server.name)
+            worker = self._planner.workers_by_name.get(server.name)
             if worker is None or worker.server.address != server.address:
                 worker = workers.Worker(server)
             worker.server = server
             listed[server.name] = worker
-        self._planner.listed = listed
-        if self._planner.born_at is None and listed:
-            self._planner.born_at = now
+        self._planner.workers_by_name = listed
+        if self._planner.first_worker_at is None and listed:
+            self._planner.first_worker_at = now
 
     def on_load(self, now: float, server: str, load: backends.Load) -> None:
         """Applies a delayed load report of one backend server."""
-        worker = self._planner.listed.get(server)
+        worker = self._planner.workers_by_name.get(server)
         if worker is None:
             return
         worker.load = load
         reported_at = now - load.age_ms / 1000
         busy_s = self._planner.rates.prefill_s(server, load.backlog_tokens)
         # Only the load report shows that prefills run slower than planned.
-        worker.free_at = max(worker.free_at, reported_at + busy_s)
+        worker.prefills_end_at = max(
+            worker.prefills_end_at, reported_at + busy_s
+        )
 
     def on_cache(
         self, server: str, events: Sequence[backends.CacheEvent]
@@ -92,14 +94,14 @@
         for event in events:
             self._planner.hints.on_event(server, event)
 
-    def ask(
-        self, now: float, msg: messages.AskSlot
-    ) -> messages.Granted | messages.Queued | messages.Refused:
+    def request_slot(
+        self, now: float, msg: messages.SlotRequest
+    ) -> messages.SlotGrant | messages.Queued | messages.Refused:
         """Grants, queues or refuses a request for a slot; idempotent."""
         planner = self._planner
-        grant = planner.grants.get(ledger.name(msg.request, msg.attempt))
-        if grant is not None and grant.decode in planner.listed:
-            if msg.ready_at:
+        grant = planner.grants.get(ledger.grant_name(msg.request, msg.attempt))
+        if grant is not None and grant.decode in planner.workers_by_name:
+            if msg.prefilled_at:
                 self._move_to_free_worker(now, grant)
             return self._granted_reply(now, grant)
         if now >= self._expire_at:
@@ -107,38 +109,38 @@
             # a check at every request would cost more than everything else.
             self._expire_at = now + _EXPIRE_S
             self.expire(now)
-        waiting = self._admission.waiting
+        waiting = self._admission.queue
         arrived_at = now - msg.waited_ms / 1000
-        ahead_count, ahead_tokens = waiting.ahead(msg.request, arrived_at)
+        ahead_count, ahead_tokens = waiting.count_ahead(msg.request, arrived_at)
         plan = planner.plan(now, msg, ahead_count, ahead_tokens)
         if plan is None:
-            waiting.drop(msg.request)
+            waiting.remove(msg.request)
             return messages.Refused(
                 code=codes.NO_BACKEND.name, figures=(), retry_after_ms=1000
             )
         reply = self._admission.decide(now, msg, plan)
         return reply or self._granted_reply(now, self._book(now, msg, plan))
 
-    def end(self, now: float, msg: messages.EndSlot) -> None:
+    def release(self, now: float, msg: messages.SlotRelease) -> None:
         """Releases a grant and applies the times that its holder measured."""
         grant = self._planner.grants.get(msg.grant)
         if grant is None:
             request, _, _ = msg.grant.rpartition('/')
-            self._admission.waiting.drop(request)
+            self._admission.queue.remove(request)
             return
-        batch = self._planner.grants.held(grant.decode)
+        batch = self._planner.grants.granted_slots(grant.decode)
         self._planner.grants.remove(msg.grant)
         self._release_booked_time(now, grant)
         self._update_estimates(grant, msg, batch)
         self._update_suspensions(now, grant, msg.result)
 
-    def keep(self, now: float, msg: messages.KeepSlots) -> None:
+    def renew(self, now: float, msg: messages.SlotRenewal) -> None:
         """Renews the grants that a holder reports."""
-        self._planner.grants.keep(now, msg.holder, msg.grants)
+        self._planner.grants.renew(now, msg.holder, msg.grants)
 
     def expire(self, now: float) -> tuple[str, ...]:
         """Removes expired grants and waiting requests; returns the grants."""
-        self._admission.waiting.expire(now)
+        self._admission.queue.expire(now)
         return self._planner.grants.expire(now)
 
     def dump(self) -> dict[str, object]:
@@ -147,58 +149,60 @@
         return {
             'service': self._name,
             'granted': len(planner.grants),
-            'waiting': len(self._admission.waiting),
-            'decode_s': round(planner.rates.decode.value, 3),
+            'waiting': len(self._admission.queue),
+            'decode_s': round(planner.rates.decode_time.value, 3),
             'workers': {
                 name: {
                     'role': worker.server.role,
                     'state': worker.server.state,
-                    'held': planner.grants.held(name),
-                    'limit': planner.limit(worker),
+                    'held': planner.grants.granted_slots(name),
+                    'limit': planner.slot_limit(worker),
                 }
-                for name, worker in sorted(planner.listed.items())
+                for name, worker in sorted(planner.workers_by_name.items())
             },
         }
 
     def _book(
-        self, now: float, msg: messages.AskSlot, plan: planning.Plan
+        self, now: float, msg: messages.SlotRequest, plan: planning.Plan
     ) -> ledger.Grant:
         prefill = plan.prefill
         grant = ledger.Grant(
             request=msg.request,
             attempt=msg.attempt,
             holder=msg.holder,
-            prefill=prefill.server.name if prefill else msg.ready_at,
+            prefill=prefill.server.name if prefill else msg.prefilled_at,
             decode=plan.decode.server.name,
             prompt_tokens=msg.prompt_tokens,
-            given_at=now,
+            granted_at=now,
             start_at=plan.start_at,
             transfer_at=plan.transfer_at,
             decode_at=plan.decode_at,
         )
         self._planner.grants.add(grant)
         if prefill is not None:
-            prefill.free_at = plan.transfer_at
-            grant.prefixes = msg.prefixes
-            self._planner.hints.placed(prefill.server.name, msg.prefixes)
-        source = prefill or self._planner.listed.get(msg.ready_at)
+            prefill.prefills_end_at = plan.transfer_at
+            grant.prefixes = msg.prefix_digests
+            self._planner.hints.record_placement(
+                prefill.server.name, msg.prefix_digests
+            )
+        source = prefill or self._planner.workers_by_name.get(msg.prefilled_at)
         if source is not None:
-            source.link_at = plan.decode_at
+            source.link_free_at = plan.decode_at
         return grant
 
     def _granted_reply(
         self, now: float, grant: ledger.Grant
-    ) -> messages.Granted:
-        prefill = self._planner.listed.get(grant.prefill)
-        decode = self._planner.listed[grant.decode]
-        return messages.Granted(
-            grant=grant.grant,
-            prefill=grant.prefill,
+    ) -> messages.SlotGrant:
+        prefill = self._planner.workers_by_name.get(grant.prefill)
+        decode = self._planner.workers_by_name[grant.decode]
+        return messages.SlotGrant(
+            grant=grant.name,
+            prefill_worker=grant.prefill,
             prefill_address=prefill.server.address if prefill else '',
-            decode=grant.decode,
+            decode_worker=grant.decode,
             decode_address=decode.server.address,
             start_in_ms=max(0, round((grant.start_at - now) * 1000)),
-            lapses_ms=round(ledger.LAPSE_S * 1000),
+            expires_ms=round(ledger.GRANT_TTL_S * 1000),
         )
 
     def _move_to_free_worker(self, now: float, grant: ledger.Grant) -> None:
@@ -208,17 +212,17 @@
         prefill starts. If the grant stayed at its first worker, the result
         could be evicted while another worker has a free slot.
         """
-        grant.parked = True
-        worker = self._planner.free_now(now)
+        grant.awaiting_slot = True
+        worker = self._planner.worker_with_free_slot(now)
         if worker is not None:
             # Grants booked there whose prefill still runs are moved when
             # their own prefill is done.
-            grant.parked = False
+            grant.awaiting_slot = False
             self._planner.grants.move(now, grant, worker.server.name)
 
     def _release_booked_time(self, now: float, grant: ledger.Grant) -> None:
         """Frees the unused booked time of a grant's prefill worker."""
-        worker = self._planner.listed.get(grant.prefill)
+        worker = self._planner.workers_by_name.get(grant.prefill)
         if worker is None or grant.transfer_at <= now:
             return
         booked = [
@@ -226,38 +230,38 @@
             for other in self._planner.grants.grants()
             if other.prefill == grant.prefill and other.transfer_at > now
         ]
-        worker.free_at = max((g.transfer_at for g in booked), default=now)
-        worker.link_at = max((g.decode_at for g in booked), default=now)
+        worker.prefills_end_at = max(
+            (g.transfer_at for g in booked), default=now
+        )
+        worker.link_free_at = max((g.decode_at for g in booked), default=now)
 
     def _update_estimates(
-        self, grant: ledger.Grant, msg: messages.EndSlot, batch: int
+        self, grant: ledger.Grant, msg: messages.SlotRelease, batch: int
     ) -> None:
         rates = self._planner.rates
         if grant.prefill and grant.prompt_tokens:
             if msg.prefill_ms:
-                self._planner.hints.checked(
+                self._planner.hints.update_accuracy(
                     grant.prefill, grant.prefixes, msg.cached_tokens
                 )
-                rates.measured_prefill(
+                rates.record_prefill(
                     grant.prefill,
                     grant.prompt_tokens - msg.cached_tokens,
                     msg.prefill_ms / 1000,
                 )
             if msg.transfer_ms:
-                rates.measured_transfer(
+                rates.record_transfer(
                     grant.prefill, grant.prompt_tokens, msg.transfer_ms / 1000
                 )
         if msg.result == 'done' and msg.decode_ms:
-            rates.measured_decode(
-                batch, msg.output_tokens, msg.decode_ms / 1000
-            )
+            rates.record_decode(batch, msg.output_tokens, msg.decode_ms / 1000)
 
     def _update_suspensions(
         self, now: float, grant: ledger.Grant, result: str
     ) -> None:
         """Suspends workers that failed and reinstates those that succeeded."""
-        prefill = self._planner.listed.get(grant.prefill)
-        decode = self._planner.listed.get(grant.decode)
+        prefill = self._planner.workers_by_name.get(grant.prefill)
+        decode = self._planner.workers_by_name.get(grant.decode)
         suspects: tuple[workers.Worker | None, ...] = {
             'prefill-failed': (prefill,),
             # One failed transfer does not show which side failed. The next
@@ -267,7 +271,7 @@
         }.get(result, ())
         for worker in (prefill, decode) if result == 'done' else ():
             if worker is not None:
-                worker.worked()
+                worker.record_success()
         for worker in suspects:
             if worker is not None:
-                worker.failed(now)
+                worker.record_failure(now)
--- a/packages/core/foxtaildale/ports.py
+++ b/packages/core/foxtaildale/ports.py
@@ -56,7 +56,7 @@
         """
 
 
-class Keyed(msgspec.Struct, frozen=True):
+class KeyedRecords(msgspec.Struct, frozen=True):
     """Records read from a keyed topic."""
 
     # Position that the next record gets, as of this reply.
@@ -64,13 +64,15 @@
     entries: tuple[mirror.Entry, ...]
 
 
-class Topics(Protocol):
+class KeyedTopics(Protocol):
     """Keyed topics of the platform's store: the newest record of each key."""
 
-    def newest(self, topic: str) -> Keyed:
+    def read_newest(self, topic: str) -> KeyedRecords:
         """Reads the newest record of every key."""
 
-    def follow(self, topic: str, offset: int, wait_s: float) -> Keyed:
+    def wait_for_records(
+        self, topic: str, offset: int, wait_s: float
+    ) -> KeyedRecords:
         """Waits for records from a position on; returns none after a timeout.
 
         Raises:
@@ -81,7 +83,9 @@
     def put(self, topic: str, key: str, value: bytes) -> None:
         """Writes the newest record of a key; an empty value removes it."""
 
-    def claim(self, topic: str, key: str, value: bytes, end: int) -> int:
+    def put_if_unchanged(
+        self, topic: str, key: str, value: bytes, end: int
+    ) -> int:
         """Writes a record if the topic still ends at `end`.
 
         Returns the position of the record.
@@ -91,7 +95,7 @@
                 store was restored from a copy.
         """
 
-    def move(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Sets the address that is used from the next call on."""
 
 
@@ -114,38 +118,40 @@
     def rank(self, topic: str, key: str, value: bytes) -> mirror.Rank:
         """Returns the rank of a record among its writer's; raises nothing."""
 
-    def seal(self, topic: str, value: bytes) -> bytes:
+    def redact(self, topic: str, value: bytes) -> bytes:
         """Returns a record with digests in place of secrets; raises nothing."""
 
-    def table(self, value: bytes) -> routes.Table:
+    def decode_table(self, value: bytes) -> routes.RoutingTable:
         """Decodes a version of the configuration."""
 
-    def server(self, key: str, value: bytes) -> forwarding.Backend:
+    def decode_server(self, key: str, value: bytes) -> forwarding.Backend:
         """Decodes a backend server."""
 
-    def member(self, key: str, value: bytes) -> forwarding.EntryVm:
+    def decode_member(self, key: str, value: bytes) -> forwarding.EntryVm:
         """Decodes an entry VM."""
 
-    def held(self, value: bytes) -> forwarding.Held:
+    def decode_quarantined(self, value: bytes) -> forwarding.QuarantinedRequest:
         """Decodes a quarantined request."""
 
-    def held_request(self, key: str) -> int | None:
+    def quarantined_fingerprint(self, key: str) -> int | None:
         """Returns the fingerprint in the key of a quarantined request.
 
         Returns None for other keys.
         """
 
-    def held_key(self, fingerprint: int) -> str:
+    def quarantined_key(self, fingerprint: int) -> str:
         """Returns the key of a quarantined request."""
 
-    def encode_held(self, held: forwarding.Held) -> tuple[str, bytes]:
+    def encode_quarantined(
+        self, held: forwarding.QuarantinedRequest
+    ) -> tuple[str, bytes]:
         """Returns the key and value of a quarantined request."""
 
     def encode_member(self, member: forwarding.EntryVm) -> bytes:
         """Encodes an entry VM."""
 
 
-class Flight(Protocol):
+class ServerExchange(Protocol):
     """One exchange of a request and its response with a backend server."""
 
     def send(self, timeout_s: float) -> None:
@@ -156,10 +162,10 @@
             errors.AnswerLostError: A part may have been sent.
         """
 
-    def head(self, timeout_s: float) -> forwarding.Head:
+    def read_head(self, timeout_s: float) -> forwarding.ResponseHead:
         """Waits for the head of the response."""
 
-    def read(self, timeout_s: float) -> bytes:
+    def read_chunk(self, timeout_s: float) -> bytes:
         """Waits for a chunk of the body; empty when the body is complete."""
 
     def cancel(self) -> None:
@@ -169,17 +175,17 @@
         """Frees the connection; only the reading thread may call it."""
 
 
-class Workers(Protocol):
+class ServerClient(Protocol):
     """Backend servers, which get requests in the form the caller sent."""
 
-    def plain(
+    def forward(
         self,
-        call: forwarding.Call,
+        call: forwarding.CallerRequest,
         server: forwarding.Backend,
         left_s: float,
         *,
         repeatable: bool = False,
-    ) -> Flight:
+    ) -> ServerExchange:
         """Prepares a request as the caller sent it.
 
         Args:
@@ -191,22 +197,25 @@
         """
 
     def prefill(
-        self, call: forwarding.Call, server: forwarding.Backend, left_s: float
-    ) -> Flight:
+        self,
+        call: forwarding.CallerRequest,
+        server: forwarding.Backend,
+        left_s: float,
+    ) -> ServerExchange:
         """Prepares the prefill of a request."""
 
     def decode(
         self,
-        call: forwarding.Call,
+        call: forwarding.CallerRequest,
         reserved: forwarding.Reserved,
         prefilled: forwarding.Prefilled | None,
         left_s: float,
         *,
         repeatable: bool = False,
-    ) -> Flight:
+    ) -> ServerExchange:
         """Prepares the decode of a request; see `plain` for the arguments."""
 
-    def handle(self, body: bytes) -> str:
+    def decode_handle(self, body: bytes) -> str:
         """Returns the handle in the response to a prefill.
 
         Raises:
@@ -215,13 +224,17 @@
 
     def reserve(
         self, server: forwarding.Backend, tokens: int, ttl_s: float
-    ) -> forwarding.Reply:
+    ) -> forwarding.ControlResponse:
         """Reserves a slot and memory; the reply text is the reservation id."""
 
-    def release(self, reserved: forwarding.Reserved) -> forwarding.Reply:
+    def release_reservation(
+        self, reserved: forwarding.Reserved
+    ) -> forwarding.ControlResponse:
         """Releases a reservation that was not used."""
 
-    def free(self, prefilled: forwarding.Prefilled) -> forwarding.Reply:
+    def release_prefill(
+        self, prefilled: forwarding.Prefilled
+    ) -> forwarding.ControlResponse:
         """Releases a prefill result that was not used."""
 
     def order_stage(
@@ -230,7 +243,7 @@
         stage: forwarding.Stage,
         holder: str,
         fence: int,
-    ) -> forwarding.Reply:
+    ) -> forwarding.ControlResponse:
         """Orders an engine to change its stage.
 
         The reply text is the text that the engine sent.
@@ -244,23 +257,23 @@
 
 
 # Result of a connection attempt that checks whether a server is up.
-Reach = Literal['open', 'refused', 'silent']
+ProbeResult = Literal['open', 'refused', 'silent']
 
 
 class Probe(Protocol):
     """Checks whether a backend server is up."""
 
-    def reach(self, address: str) -> Reach:
+    def check(self, address: str) -> ProbeResult:
         """Returns the result of a connection attempt to 'IP:PORT'."""
 
 
-class Tidy(Protocol):
+class ResourceReleaser(Protocol):
     """Releases resources of engines without blocking the calling thread."""
 
-    def release(self, reserved: forwarding.Reserved) -> None:
+    def release_reservation(self, reserved: forwarding.Reserved) -> None:
         """Releases a reservation."""
 
-    def free(self, prefilled: forwarding.Prefilled) -> None:
+    def release_prefill(self, prefilled: forwarding.Prefilled) -> None:
         """Releases a prefill result."""
 
 
@@ -271,13 +284,13 @@
         """Reads the list."""
 
 
-class Pieces(Protocol):
+class EventStream(Protocol):
     """The events of one stream; iterating raises as the other calls do."""
 
-    def __iter__(self) -> Iterator[backends.Piece | backends.Last]:
+    def __iter__(self) -> Iterator[backends.Chunk | backends.StreamEnd]:
         """Returns an iterator over the events, which ends with a `Last`."""
 
-    def __next__(self) -> backends.Piece | backends.Last:
+    def __next__(self) -> backends.Chunk | backends.StreamEnd:
         """Waits for the next event."""
 
     def close(self) -> None:
@@ -298,14 +311,14 @@
     ) -> backends.PrefillReply:
         """Runs a prefill and returns when its result is ready."""
 
-    def fetch(
+    def import_kv(
         self, address: str, req: backends.ImportReq, timeout_s: float
     ) -> backends.ImportReply:
         """Transfers a KV cache to the decode worker at `address`."""
 
     def decode(
         self, address: str, req: backends.DecodeReq, silence_s: float
-    ) -> Pieces:
+    ) -> EventStream:
         """Starts a stream; it fails after `silence_s` without an event."""
 
     def resume(
@@ -315,7 +328,7 @@
         position: int,
         holder: str,
         silence_s: float,
-    ) -> Pieces:
+    ) -> EventStream:
         """Resumes a stream at a position."""
 
     def cancel(
@@ -329,7 +342,7 @@
     def holdings(self, address: str) -> backends.Holdings:
         """Reads the resources that the engine holds."""
 
-    def cache(self, address: str, after: int) -> backends.CacheEvents:
+    def cache_events(self, address: str, after: int) -> backends.CacheEvents:
         """Reads the cache events after a sequence number."""
 
     def order(self, address: str, order: backends.Order) -> backends.OrderReply:
@@ -370,16 +383,16 @@
 class Peers(Protocol):
     """Other processes of the system, by address."""
 
-    def ask(
-        self, address: str, msg: messages.Any, timeout_s: float
-    ) -> messages.Any:
+    def request(
+        self, address: str, msg: messages.Message, timeout_s: float
+    ) -> messages.Message:
         """Sends a message and waits for its reply."""
 
 
 class PeerGroup(Peers, Protocol):
     """Other processes that can get a message at the same time."""
 
-    def ask_all(
-        self, addresses: Sequence[str], msg: messages.Any, timeout_s: float
-    ) -> dict[str, messages.Any]:
+    def request_all(
+        self, addresses: Sequence[str], msg: messages.Message, timeout_s: float
+    ) -> dict[str, messages.Message]:
         """Sends a message to several; returns the received replies."""
--- a/packages/core/foxtaildale/reading.py
+++ b/packages/core/foxtaildale/prefill_speed.py
@@ -14,10 +14,10 @@
 
 # Initial speed of an engine before the first measurement, prompt tokens a
 # second.
-PER_S: Final = 50_000.0
+INITIAL_TOKENS_PER_S: Final = 50_000.0
 # Initial fixed overhead of a prefill, seconds: the network delay to the worker
 # and back, and the processing at either end.
-WAY_S: Final = 0.02
+INITIAL_OVERHEAD_S: Final = 0.02
 # Maximum and minimum number of prompts in the linear fit.
 _MAX_POINTS: Final = 64
 _MIN_POINTS: Final = 12
@@ -32,10 +32,10 @@
 _FASTEST_DECAY: Final = 0.01
 
 
-class Reading:
+class PrefillSpeed:
     """Learns the overhead and the speed from prompts that did not wait."""
 
-    __slots__ = ('_max_per_s', '_samples', 'per_s', 'way_s')
+    __slots__ = ('_max_per_s', '_samples', 'overhead_s', 'tokens_per_s')
 
     def __init__(self) -> None:
         # Tokens and seconds of the last prompts that had an engine to
@@ -46,25 +46,25 @@
         # Speed of the fastest prefill including its overhead, tokens a second.
         self._max_per_s = 0.0
         # Speed of an engine, prompt tokens a second.
-        self.per_s = PER_S
+        self.tokens_per_s = INITIAL_TOKENS_PER_S
         # Fixed overhead of a prefill, seconds.
-        self.way_s = WAY_S
+        self.overhead_s = INITIAL_OVERHEAD_S
 
-    def note(self, prompt: int, took_s: float, *, alone: bool) -> None:
+    def record(self, prompt_tokens: int, took_s: float, *, alone: bool) -> None:
         """Records a measured prefill of an engine that is not slow.
 
         Args:
-            prompt: Tokens.
+            prompt_tokens: Tokens.
             took_s: Time since the placement, seconds.
             alone: Whether no other prompt was ahead of it at its engine.
         """
         if alone:
-            self._samples.append((prompt, took_s))
+            self._samples.append((prompt_tokens, took_s))
         if len(self._samples) < _MIN_POINTS:
             self._max_per_s = max(
-                self._max_per_s * (1 - _FASTEST_DECAY), prompt / took_s
+                self._max_per_s * (1 - _FASTEST_DECAY), prompt_tokens / took_s
             )
-            self.per_s = self._max_per_s
+            self.tokens_per_s = self._max_per_s
         elif alone:
             self._fit()
 
@@ -77,5 +77,5 @@
         )
         if line.slope <= 0.0:
             return
-        self.per_s = 1 / line.slope
-        self.way_s = max(0.0, line.intercept)
+        self.tokens_per_s = 1 / line.slope
+        self.overhead_s = max(0.0, line.intercept)
--- a/packages/core/foxtaildale/quarantine.py
+++ b/packages/core/foxtaildale/quarantine.py
@@ -14,10 +14,10 @@
 
 # How long a request is quarantined, and how long a cleared one can't be,
 # seconds.
-HELD_S: Final = 900.0
+QUARANTINE_S: Final = 900.0
 # Maximum number of quarantined and of cleared requests remembered; those that
 # expire first are removed first.
-MOST: Final = 256
+MAX_REQUESTS: Final = 256
 # A repeated report extends an expiry only if it does so by more than this, and
 # a report with less than this left is ignored, seconds: otherwise the network
 # delay between two VMs would extend the expiry with each report.
@@ -41,7 +41,7 @@
             return False
         until = {key: at for key, at in self.until.items() if at > now}
         until[fingerprint] = now + left_s
-        while len(until) > MOST:
+        while len(until) > MAX_REQUESTS:
             del until[min(until, key=until.__getitem__)]
         self.until = until
         return expiry <= now
@@ -67,21 +67,21 @@
         self._quarantined = _ExpiringSet()
         self._cleared = _ExpiringSet()
 
-    def hold(
-        self, now: float, fingerprint: int, left_s: float = HELD_S
+    def add(
+        self, now: float, fingerprint: int, left_s: float = QUARANTINE_S
     ) -> bool:
         """Quarantines a request; returns whether that is a change."""
         if self._cleared.until.get(fingerprint, now) > now:
             return False
-        if not 0 < left_s <= HELD_S:
+        if not 0 < left_s <= QUARANTINE_S:
             return False
         return self._quarantined.add(now, fingerprint, left_s)
 
     def clear(
-        self, now: float, fingerprint: int, left_s: float = HELD_S
+        self, now: float, fingerprint: int, left_s: float = QUARANTINE_S
     ) -> bool:
         """Clears a request; returns whether that is a change."""
-        if not 0 < left_s <= HELD_S:
+        if not 0 < left_s <= QUARANTINE_S:
             return False
         self._quarantined.drop(fingerprint)
         return self._cleared.add(now, fingerprint, left_s)
@@ -96,7 +96,7 @@
             return 0.0
         return max(0.0, until.get(fingerprint, now) - now)
 
-    def held(self, now: float) -> dict[int, float]:
+    def quarantined(self, now: float) -> dict[int, float]:
         """Returns how long each request is quarantined, seconds."""
         return self._quarantined.left(now)
 
@@ -104,10 +104,10 @@
         """Returns how long each request stays cleared, seconds."""
         return self._cleared.left(now)
 
-    def take(
+    def merge(
         self,
         now: float,
-        held: Mapping[int, float],
+        quarantined: Mapping[int, float],
         cleared: Mapping[int, float],
     ) -> list[int]:
         """Merges the report of another VM.
@@ -120,6 +120,6 @@
                 self.clear(now, fingerprint, left_s)
         return [
             fingerprint
-            for fingerprint, left_s in held.items()
-            if left_s > _SLACK_S and self.hold(now, fingerprint, left_s)
+            for fingerprint, left_s in quarantined.items()
+            if left_s > _SLACK_S and self.add(now, fingerprint, left_s)
         ]
--- a/packages/core/foxtaildale/queues.py
+++ b/packages/core/foxtaildale/queues.py
@@ -13,25 +13,25 @@
 
 from typing import Final
 
-from foxtaildale import holdings
+from foxtaildale import first_attempts
 from foxtaildale import messages
-from foxtaildale import room
-from foxtaildale import tries
+from foxtaildale import plan_entries
+from foxtaildale import wait_limits
 
 # A waiter that has not polled for this long is removed, seconds: twice the
 # longest poll interval.
-WAITER_S: Final = 0.5
+WAITER_TTL_S: Final = 0.5
 # Shortest time between two attempts of one request, seconds. A smaller
 # difference is one attempt as seen by the clocks of two VMs.
-AGAIN_S: Final = 0.05
+MIN_RETRY_INTERVAL_S: Final = 0.05
 # Poll interval of a waiter, milliseconds: of the first waiter, the increment
 # for each waiter before it, and the maximum.
-AGAIN_MS: Final = 40
-AGAIN_STEP_MS: Final = 12
-AGAIN_MOST_MS: Final = 250
+BASE_POLL_MS: Final = 40
+POLL_INCREMENT_MS: Final = 12
+MAX_POLL_MS: Final = 250
 # Longest time between two placements that enters the average, seconds; a longer
 # one means that no request was waiting.
-BETWEEN_MOST_S: Final = 1.0
+MAX_GRANT_INTERVAL_S: Final = 1.0
 # Weight of a new measurement in the moving average.
 _NEW_WEIGHT: Final = 0.1
 
@@ -48,8 +48,8 @@
 
     def __init__(self) -> None:
         # By request.
-        self._waiters: dict[str, holdings.Waiter] = {}
-        self._first_attempts = tries.FirstTries()
+        self._waiters: dict[str, plan_entries.Waiter] = {}
+        self._first_attempts = first_attempts.FirstAttempts()
         # Smoothed time between placements, and when the last one was granted,
         # seconds.
         self._mean_interval_s = 0.0
@@ -58,17 +58,21 @@
     def __len__(self) -> int:
         return len(self._waiters)
 
-    def get(self, request: str) -> holdings.Waiter | None:
+    def get(self, request: str) -> plan_entries.Waiter | None:
         """Returns a waiter; None if it is not known."""
         return self._waiters.get(request)
 
-    def join(self, now: float, msg: messages.AskPlace) -> holdings.Waiter:
+    def join(
+        self, now: float, msg: messages.PlacementRequest
+    ) -> plan_entries.Waiter:
         """Adds a request behind those that wait for a placement."""
         arrived_at = now - msg.waited_ms / 1000
-        first_at = self._first_attempts.came_first(now, msg.digest, arrived_at)
-        is_retry = first_at < arrived_at - AGAIN_S
-        waiter = holdings.Waiter(msg, first_at, came_back=is_retry)
-        waiter.position = self.unplaced()
+        first_at = self._first_attempts.first_arrived_at(
+            now, msg.request_digest, arrived_at
+        )
+        is_retry = first_at < arrived_at - MIN_RETRY_INTERVAL_S
+        waiter = plan_entries.Waiter(msg, first_at, is_retry=is_retry)
+        waiter.position = self.unplaced_count()
         self._waiters[msg.request] = waiter
         return waiter
 
@@ -76,11 +80,11 @@
         """Removes a waiter; does nothing if it is not known."""
         self._waiters.pop(request, None)
 
-    def served(self, digest: int) -> None:
+    def record_served(self, digest: int) -> None:
         """Records that a request got its complete response."""
-        self._first_attempts.served(digest)
+        self._first_attempts.remove(digest)
 
-    def unplaced(self) -> int:
+    def unplaced_count(self) -> int:
         """Returns how many requests wait for a placement.
 
         Waiters that have one and have not polled for it yet are not counted.
@@ -88,45 +92,49 @@
         waiters counted, a burst that is over would go on delaying every new
         request, since there are always some that have just been placed.
         """
-        return sum(waiter.place is None for waiter in self._waiters.values())
+        return sum(
+            waiter.placement is None for waiter in self._waiters.values()
+        )
 
-    def ranked(self, now: float, reading_s: float) -> list[holdings.Waiter]:
+    def ranked(
+        self, now: float, mean_prefill_s: float
+    ) -> list[plan_entries.Waiter]:
         """Returns the waiters without a placement, the next one first.
 
         Args:
             now: Seconds.
-            reading_s: Mean time from a placement to the end of its prefill,
+            mean_prefill_s: Mean time from a placement to the end of its prefill,
                 seconds.
         """
-        waiters = [w for w in self._waiters.values() if w.place is None]
-        waiters.sort(key=lambda waiter: _rank(now, waiter, reading_s))
+        waiters = [w for w in self._waiters.values() if w.placement is None]
+        waiters.sort(key=lambda waiter: _rank(now, waiter, mean_prefill_s))
         return waiters
 
-    def granted(self, now: float) -> None:
+    def record_grant(self, now: float) -> None:
         """Records a granted placement, to learn the rate of placements."""
-        interval_s = min(now - self._last_granted_at, BETWEEN_MOST_S)
+        interval_s = min(now - self._last_granted_at, MAX_GRANT_INTERVAL_S)
         self._last_granted_at = now
         self._mean_interval_s += _NEW_WEIGHT * (
             interval_s - self._mean_interval_s
         )
 
-    def told(self, waiter: holdings.Waiter) -> messages.Queued:
+    def reply_for(self, waiter: plan_entries.Waiter) -> messages.Queued:
         """Returns the reply to a request that has to wait."""
-        poll_ms = AGAIN_MS + AGAIN_STEP_MS * waiter.position
+        poll_ms = BASE_POLL_MS + POLL_INCREMENT_MS * waiter.position
         return messages.Queued(
-            again_in_ms=min(poll_ms, AGAIN_MOST_MS),
+            retry_in_ms=min(poll_ms, MAX_POLL_MS),
             position=waiter.position,
             wait_ms=int(waiter.position * self._mean_interval_s * 1000),
-            came_back=waiter.came_back,
-            short_of=waiter.short_of,
+            is_retry=waiter.is_retry,
+            missing_resource=waiter.missing_resource,
         )
 
-    def expire(self, now: float) -> list[holdings.Waiter]:
+    def expire(self, now: float) -> list[plan_entries.Waiter]:
         """Removes and returns the waiters that stopped polling."""
         expired = [
             waiter
             for waiter in self._waiters.values()
-            if now - waiter.asked_at > WAITER_S
+            if now - waiter.polled_at > WAITER_TTL_S
         ]
         for waiter in expired:
             del self._waiters[waiter.msg.request]
@@ -134,10 +142,10 @@
 
 
 def _rank(
-    now: float, waiter: holdings.Waiter, prefill_s: float
+    now: float, waiter: plan_entries.Waiter, prefill_s: float
 ) -> tuple[bool, bool, int, float, str]:
     msg = waiter.msg
     age_s = now - waiter.arrived_at
-    is_late = room.too_late(age_s, msg.target_ms / 1000, prefill_s)
+    is_late = wait_limits.misses_target(age_s, msg.target_ms / 1000, prefill_s)
     tie_break = msg.priority, waiter.arrived_at, msg.request
-    return not msg.started, is_late, *tie_break
+    return not msg.response_started, is_late, *tie_break
--- a/packages/core/foxtaildale/refusals.py
+++ b/packages/core/foxtaildale/refusals.py
@@ -18,14 +18,14 @@
 
 # Consecutive refusals that close a worker: the number of prefill workers whose
 # prompts it refused, or the number of prompts.
-SOURCES: Final = 2
-PROMPTS: Final = 3
+MAX_REFUSED_SOURCES: Final = 2
+MAX_REFUSED_PROMPTS: Final = 3
 # Time for which it is closed at first, seconds; one in ten of an engine's
 # requests ends in that time.
-FIRST_S: Final = 0.3
+MIN_CLOSED_S: Final = 0.3
 # Maximum time for which it is closed, seconds; an engine changes its stage in
 # about six.
-MOST_S: Final = 2.4
+MAX_CLOSED_S: Final = 2.4
 # Maximum number of remembered workers; the oldest entries are dropped.
 _MAX_WORKERS: Final = 256
 
@@ -37,7 +37,7 @@
         self.prompts = 0
         self.sources: set[str] = set()
         # How long it was closed last, and until when, seconds.
-        self.closed_s = FIRST_S / 2
+        self.closed_s = MIN_CLOSED_S / 2
         self.closed_until = 0.0
 
 
@@ -50,8 +50,8 @@
         # By id.
         self._refusing: dict[str, _RefusingWorker] = {}
 
-    def note(
-        self, now: float, worker: str, prefiller: str, *, taken: bool
+    def record(
+        self, now: float, worker: str, prefiller: str, *, accepted: bool
     ) -> None:
         """Records whether a worker accepted a request that was placed there.
 
@@ -60,9 +60,9 @@
             worker: The decode worker.
             prefiller: The worker that prefilled the prompt; empty if that is
                 not known.
-            taken: Whether it was accepted.
+            accepted: Whether it was accepted.
         """
-        if taken:
+        if accepted:
             self._refusing.pop(worker, None)
             return
         refusing = self._refusing.get(worker)
@@ -73,18 +73,19 @@
         refusing.prompts += 1
         refusing.sources.add(prefiller)
         is_proven = (
-            len(refusing.sources) >= SOURCES or refusing.prompts >= PROMPTS
+            len(refusing.sources) >= MAX_REFUSED_SOURCES
+            or refusing.prompts >= MAX_REFUSED_PROMPTS
         )
         # Requests that were placed before it was closed prove nothing new.
         if is_proven and now >= refusing.closed_until:
-            refusing.closed_s = min(2 * refusing.closed_s, MOST_S)
+            refusing.closed_s = min(2 * refusing.closed_s, MAX_CLOSED_S)
             refusing.closed_until = now + refusing.closed_s
 
     def forget(self, server: str) -> None:
         """Discards what is known of a server that has restarted."""
         self._refusing.pop(server, None)
 
-    def closed(self, now: float) -> frozenset[str]:
+    def closed_workers(self, now: float) -> frozenset[str]:
         """Returns the workers that get no requests now."""
         return frozenset(
             worker
--- a/packages/core/foxtaildale/budget.py
+++ b/packages/core/foxtaildale/retry_budgets.py
@@ -13,7 +13,7 @@
 WINDOW_S: Final = 10.0
 
 
-class Budget:
+class RetryBudget:
     """Counts first attempts and retries of one service at one entry."""
 
     __slots__ = ('_burst', '_first_attempts', '_ratio', '_retries')
@@ -37,12 +37,12 @@
         self._ratio = ratio
         self._burst = burst
 
-    def first(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Counts a first attempt."""
         self._prune(now)
         self._first_attempts.append(now)
 
-    def allow(self, now: float, deadline: float | None) -> bool:
+    def acquire(self, now: float, deadline: float | None) -> bool:
         """Returns whether a retry may start, and counts it if so.
 
         Args:
--- a/packages/core/foxtaildale/comeback.py
+++ b/packages/core/foxtaildale/retry_delays.py
@@ -11,13 +11,13 @@
 
 # Minimum delay, seconds; a slot of a plain service becomes free about this
 # fast.
-MIN_S: Final = 0.1
+MIN_DELAY_S: Final = 0.1
 # If the end of the cause is known, retries are spread over this part of the
 # remaining time beyond it, so that they do not all arrive at its end.
 _SPREAD: Final = 0.1
 # Maximum delay as a part of the time that the caller has left. It is less than
 # a third, to allow for the network delay.
-PART: Final = 0.28
+MAX_TIME_LEFT_FRACTION: Final = 0.28
 
 
 def retry_after_s(wait_s: float, left_s: float, rng: random.Random) -> float:
@@ -29,10 +29,10 @@
         rng: Spreads callers that are refused together.
     """
     spread_s = rng.uniform(0.7, 1.6) * wait_s
-    max_s = rng.uniform(0.6, 1.0) * PART * left_s
-    return max(MIN_S, min(spread_s, max_s))
+    max_s = rng.uniform(0.6, 1.0) * MAX_TIME_LEFT_FRACTION * left_s
+    return max(MIN_DELAY_S, min(spread_s, max_s))
 
 
-def not_before_s(wait_s: float, rng: random.Random) -> float:
+def retry_after_end_s(wait_s: float, rng: random.Random) -> float:
     """Returns the delay if the cause is certain to end in `wait_s`, seconds."""
-    return max(MIN_S, wait_s * (1.0 + rng.uniform(0.0, _SPREAD)))
+    return max(MIN_DELAY_S, wait_s * (1.0 + rng.uniform(0.0, _SPREAD)))
--- a/packages/core/foxtaildale/routes.py
+++ b/packages/core/foxtaildale/routes.py
@@ -14,7 +14,7 @@
 from foxtaildale import accounts
 
 # Whether a request may run again after it was sent once.
-Kind = Literal['idempotent', 'non_idempotent', 'stream']
+RequestKind = Literal['idempotent', 'non_idempotent', 'stream']
 
 
 class Target(msgspec.Struct, frozen=True):
@@ -32,7 +32,7 @@
     host: str
     # Begins and ends with a slash.
     path_prefix: str
-    kind: Kind
+    kind: RequestKind
     targets: tuple[Target, ...]
     # Maximum time until the final response of a request, seconds.
     timeout_s: float
@@ -83,7 +83,7 @@
     idle_s: float = 15.0
 
 
-class Table(msgspec.Struct, frozen=True, kw_only=True):
+class RoutingTable(msgspec.Struct, frozen=True, kw_only=True):
     """One version of the configuration."""
 
     version: int
@@ -107,12 +107,12 @@
 
     __slots__ = ('_by_host', 'client_accounts', 'table')
 
-    table: Table
+    table: RoutingTable
     client_accounts: accounts.Accounts
     # Routes by host, longest path prefix first.
     _by_host: dict[str, tuple[Route, ...]]
 
-    def __init__(self, table: Table) -> None:
+    def __init__(self, table: RoutingTable) -> None:
         self.table = table
         self.client_accounts = accounts.Accounts(table.client_accounts or ())
         hosts: dict[str, list[Route]] = {}
@@ -124,11 +124,11 @@
         }
 
     @property
-    def keyed(self) -> bool:
+    def requires_key(self) -> bool:
         """Whether requests need the key of a client account."""
         return self.table.client_accounts is not None
 
-    def find(self, host: str, path: str) -> Route | None:
+    def match(self, host: str, path: str) -> Route | None:
         """Returns the route with the longest matching path prefix, if any.
 
         Args:
--- a/packages/core/foxtaildale/rules.py
+++ b/packages/core/foxtaildale/rules.py
@@ -37,7 +37,7 @@
     compared: tuple[str, ...] = ()
 
 
-def options_faults(cfg: options.Options, given: frozenset[str]) -> list[Fault]:
+def check_options(cfg: options.Options, given: frozenset[str]) -> list[Fault]:
     """Returns the faults of options whose fields are valid separately.
 
     Args:
@@ -153,7 +153,7 @@
     return faults
 
 
-def service_faults(path: str, service: values.Service) -> list[Fault]:
+def check_service(path: str, service: values.Service) -> list[Fault]:
     """Returns the faults of a service whose fields are valid separately.
 
     Args:
@@ -205,7 +205,7 @@
     return faults
 
 
-def account_faults(accounts: Mapping[str, values.Account]) -> list[Fault]:
+def check_accounts(accounts: Mapping[str, values.Account]) -> list[Fault]:
     """Returns the faults of accounts whose fields are valid separately."""
     faults: list[Fault] = []
     owners: dict[str, str] = {}
--- a/packages/core/foxtaildale/sendtokens.py
+++ b/packages/core/foxtaildale/sendtokens.py
@@ -17,17 +17,17 @@
 from foxtaildale import messages
 
 # Lifetime of a granted token, seconds.
-LEASE_S: Final = 1.0
+TOKEN_TTL_S: Final = 1.0
 # Tokens that accumulate at the coordinator while no VM requests them: a fixed
 # number, plus the limit's tokens of this many seconds.
 _MIN_BURST: Final = 2.0
 _BURST_S: Final = 0.5
 # Time for which a limit stays valid after the last response or VM that reported
 # it, seconds.
-HOLDS_S: Final = 60.0
+LIMIT_TTL_S: Final = 60.0
 # Minimum rate that is granted, tokens a second: without an occasional response
 # no VM would learn that a server accepts more.
-LEAST: Final = 0.2
+MIN_RATE: Final = 0.2
 # A limit younger than this was named just now, seconds. If a coordinator learns
 # of an older one, another coordinator has already granted tokens of it.
 _NEW_S: Final = 1.0
@@ -38,9 +38,9 @@
 _MAX_GRANT: Final = 64
 # Maximum number of VMs remembered for each limit; those with the most recent
 # requests stay.
-VMS: Final = 1024
+MAX_VMS: Final = 1024
 # Maximum number of servers whose limits are remembered.
-SERVERS: Final = 512
+MAX_SERVERS: Final = 512
 
 
 class _Limit:
@@ -93,7 +93,7 @@
         """Returns all limits, requests a second, by server."""
         return {server: entry.limit for server, entry in self._limits.items()}
 
-    def named(self, now: float, server: str, limit: float | None) -> None:
+    def set_limit(self, now: float, server: str, limit: float | None) -> None:
         """Records the limit that a response of a server names."""
         if limit is None:
             if self._limits.pop(server, None) is not None:
@@ -102,7 +102,7 @@
             return
         self._put(server, limit, now)
 
-    def take(self, now: float, server: str) -> bool:
+    def try_spend(self, now: float, server: str) -> bool:
         """Spends a token for one send to a server.
 
         Returns:
@@ -117,7 +117,7 @@
             return True
         return False
 
-    def spent(self, now: float) -> frozenset[str]:
+    def request_exhausted(self, now: float) -> frozenset[str]:
         """Returns the servers without a token, and requests one for each."""
         exhausted = set()
         for server, entry in self._limits.items():
@@ -126,7 +126,9 @@
                 exhausted.add(server)
         return frozenset(exhausted)
 
-    def asks(self, now: float) -> dict[str, messages.SendAsk]:
+    def drain_requests(
+        self, now: float
+    ) -> dict[str, messages.ServerSendRequest]:
         """Returns the requests to the coordinator, by server.
 
         Resets the counts of wanted sends.
@@ -138,29 +140,29 @@
             lapsed, entry.tokens = entry.tokens - left, left
             wants = min(_MAX_GRANT, entry.wanted) - left
             entry.wanted = 0
-            requests[server] = messages.SendAsk(
+            requests[server] = messages.ServerSendRequest(
                 limit=entry.limit,
                 age_s=now - entry.as_of,
-                wants=max(0, wants),
-                lapsed=lapsed,
+                requested=max(0, wants),
+                expired=lapsed,
             )
         for server in self._unreported & self._ended.keys():
             age_s = now - self._ended[server]
-            requests[server] = messages.SendAsk(
-                limit=None, age_s=age_s, wants=0
+            requests[server] = messages.ServerSendRequest(
+                limit=None, age_s=age_s, requested=0
             )
         self._unreported.clear()
         return {
             server: request
             for server, request in requests.items()
-            if request.wants
-            or request.lapsed
+            if request.requested
+            or request.expired
             or request.limit is None
             or request.age_s < _NEW_S
         }
 
-    def granted(
-        self, now: float, grants: dict[str, messages.SendGrant]
+    def apply_grants(
+        self, now: float, grants: dict[str, messages.ServerSendGrant]
     ) -> None:
         """Applies the limits and tokens in a reply of the coordinator."""
         for server, grant in grants.items():
@@ -175,28 +177,28 @@
                     continue
                 entry = self._put(server, grant.limit, as_of)
             entry.level_at = None
-            if grant.tokens:
+            if grant.granted:
                 left = entry.tokens if now < entry.until else 0
-                entry.tokens = left + grant.tokens
-                entry.until = now + LEASE_S
+                entry.tokens = left + grant.granted
+                entry.until = now + TOKEN_TTL_S
 
-    def alone(self, now: float, entry_vms: int) -> None:
+    def grant_local_share(self, now: float, entry_vms: int) -> None:
         """Grants this VM its share of each limit if no coordinator replies."""
         for entry in self._limits.values():
             since = now if entry.level_at is None else entry.level_at
-            rate = max(LEAST, entry.limit) / max(1, entry_vms)
+            rate = max(MIN_RATE, entry.limit) / max(1, entry_vms)
             entry.level = min(1.0, entry.level + rate * (now - since))
             entry.level_at = now
             if entry.level >= 1.0 and not (entry.tokens and now < entry.until):
                 entry.level = 0.0
                 entry.tokens = 1
-                entry.until = now + LEASE_S
+                entry.until = now + TOKEN_TTL_S
 
     def _put(self, server: str, limit: float, as_of: float) -> _Limit:
         entry = self._limits.get(server)
         if entry is None:
             entry = self._limits[server] = _Limit(limit, as_of)
-            if len(self._limits) > SERVERS:
+            if len(self._limits) > MAX_SERVERS:
                 del self._limits[next(iter(self._limits))]
         entry.limit = limit
         entry.as_of = as_of
@@ -205,10 +207,10 @@
 
     def _forget(self, now: float) -> None:
         for server, entry in list(self._limits.items()):
-            if now - entry.as_of > HOLDS_S:
+            if now - entry.as_of > LIMIT_TTL_S:
                 del self._limits[server]
         for server, ended_at in list(self._ended.items()):
-            if now - ended_at > HOLDS_S:
+            if now - ended_at > LIMIT_TTL_S:
                 del self._ended[server]
 
 
@@ -234,7 +236,7 @@
 
     def rate(self) -> float:
         """Returns how many tokens a second are granted."""
-        return max(LEAST, self.limit or 0.0)
+        return max(MIN_RATE, self.limit or 0.0)
 
     def grant(self, now: float, vm: str, wants: int, lapsed: int) -> int:
         """Grants tokens.
@@ -263,7 +265,7 @@
             now if granted else granted_at,
             now if granted < wants else -math.inf,
         )
-        if len(self.vms) > VMS:
+        if len(self.vms) > MAX_VMS:
             del self.vms[next(iter(self.vms))]
         return granted
 
@@ -279,13 +281,16 @@
         # Servers whose limit began or ended and was not yet announced.
         self._unannounced: set[str] = set()
 
-    def ask(
-        self, now: float, holder: str, asks: dict[str, messages.SendAsk]
-    ) -> dict[str, messages.SendGrant]:
+    def request_tokens(
+        self,
+        now: float,
+        vm: str,
+        requests: dict[str, messages.ServerSendRequest],
+    ) -> dict[str, messages.ServerSendGrant]:
         """Records the limits that a VM reports, and grants tokens to it."""
-        return dict(self._grants(now, holder, asks))
+        return dict(self._grants(now, vm, requests))
 
-    def news(self, now: float) -> dict[str, messages.SendGrant]:
+    def drain_changes(self, now: float) -> dict[str, messages.ServerSendGrant]:
         """Returns the changes to announce to all VMs; each is returned once."""
         changes = {
             server: _grant(now, self._buckets[server])
@@ -296,29 +301,36 @@
         return changes
 
     def _grants(
-        self, now: float, vm: str, requests: dict[str, messages.SendAsk]
-    ) -> Iterator[tuple[str, messages.SendGrant]]:
+        self,
+        now: float,
+        vm: str,
+        requests: dict[str, messages.ServerSendRequest],
+    ) -> Iterator[tuple[str, messages.ServerSendGrant]]:
         for server, request in requests.items():
             bucket = self._record(now, server, request)
             if bucket is None:
                 continue
             tokens = 0
-            if bucket.limit is not None and (request.wants or request.lapsed):
-                tokens = bucket.grant(now, vm, request.wants, request.lapsed)
+            if bucket.limit is not None and (
+                request.requested or request.expired
+            ):
+                tokens = bucket.grant(
+                    now, vm, request.requested, request.expired
+                )
             yield server, _grant(now, bucket, tokens)
 
     def _record(
-        self, now: float, server: str, request: messages.SendAsk
+        self, now: float, server: str, request: messages.ServerSendRequest
     ) -> _Bucket | None:
         as_of = now - request.age_s
         bucket = self._buckets.get(server)
-        if bucket is None or now - bucket.as_of > HOLDS_S:
+        if bucket is None or now - bucket.as_of > LIMIT_TTL_S:
             if request.limit is None:
                 return None
             bucket = _Bucket(now, request.limit, as_of)
             self._buckets[server] = bucket
             self._unannounced.add(server)
-            if len(self._buckets) > SERVERS:
+            if len(self._buckets) > MAX_SERVERS:
                 del self._buckets[next(iter(self._buckets))]
         elif as_of > bucket.as_of:
             if (bucket.limit is None) != (request.limit is None):
@@ -328,7 +340,9 @@
         return bucket
 
 
-def _grant(now: float, bucket: _Bucket, tokens: int = 0) -> messages.SendGrant:
-    return messages.SendGrant(
-        limit=bucket.limit, age_s=now - bucket.as_of, tokens=tokens
+def _grant(
+    now: float, bucket: _Bucket, tokens: int = 0
+) -> messages.ServerSendGrant:
+    return messages.ServerSendGrant(
+        limit=bucket.limit, age_s=now - bucket.as_of, granted=tokens
     )
--- a/packages/core/foxtaildale/settings.py
+++ b/packages/core/foxtaildale/settings.py
@@ -30,7 +30,7 @@
 # Maximum length of a value in a message, characters.
 _MAX_SHOWN_CHARS: Final = 60
 # Maximum length of a file, characters.
-MAX_TEXT: Final = 1_048_576
+MAX_TEXT_CHARS: Final = 1_048_576
 
 # Values used for required fields that are missing or invalid while the other
 # fields are compared; they violate no rule.
@@ -69,7 +69,7 @@
 )
 
 
-def options(text: str, name: str) -> options_lib.Options:
+def parse_options(text: str, name: str) -> options_lib.Options:
     """Parses the options of a daemon.
 
     Args:
@@ -82,7 +82,7 @@
     return _parse_checked(text, name, options_lib.Options, _check_options)
 
 
-def preset(text: str, name: str) -> values.Preset:
+def parse_preset(text: str, name: str) -> values.Preset:
     """Parses a preset.
 
     Args:
@@ -142,7 +142,7 @@
     cfg = msgspec.convert({**_PLACEHOLDERS, **valid}, options_lib.Options)
     return [
         fault
-        for fault in rules.options_faults(cfg, frozenset(parsed))
+        for fault in rules.check_options(cfg, frozenset(parsed))
         if not invalid & {fault.path, *fault.compared}
     ]
 
@@ -168,7 +168,7 @@
             for invalid_path in invalid
         )
     }
-    return rules.account_faults(valid)
+    return rules.check_accounts(valid)
 
 
 def _check_services(
@@ -186,18 +186,18 @@
             for invalid_path in invalid
         ):
             continue
-        faults += rules.service_faults(
+        faults += rules.check_service(
             path, msgspec.convert(value, values.Service)
         )
     return faults
 
 
 def _decode(text: str, name: str) -> object:
-    if len(text) > MAX_TEXT:
+    if len(text) > MAX_TEXT_CHARS:
         raise errors.SettingsError(
             (
                 f'{name}: found {len(text)} characters,'
-                f' allowed: at most {MAX_TEXT}',
+                f' allowed: at most {MAX_TEXT_CHARS}',
             )
         )
     try:
--- a/packages/core/foxtaildale/shares.py
+++ b/packages/core/foxtaildale/shares.py
@@ -9,7 +9,7 @@
 
 from foxtaildale import accounts
 from foxtaildale import allowances
-from foxtaildale import bucket
+from foxtaildale import token_bucket
 
 
 class Shares:
@@ -18,11 +18,11 @@
     __slots__ = ('_buckets',)
 
     def __init__(self) -> None:
-        self._buckets: dict[str, bucket.Bucket] = {}
+        self._buckets: dict[str, token_bucket.Bucket] = {}
 
-    def ask(
+    def admit(
         self, now: float, account: accounts.Account, cost: float, entry_vms: int
-    ) -> allowances.Answer:
+    ) -> allowances.Decision:
         """Admits a request, or returns how long until it would be admitted.
 
         Args:
@@ -32,18 +32,18 @@
             entry_vms: How many VMs share the limit.
         """
         share = self._bucket(now, account, entry_vms)
-        wait_s = share.take(now, cost)
-        return allowances.Answer(wait_s, share.level(now))
+        wait_s = share.try_spend(now, cost)
+        return allowances.Decision(wait_s, share.level(now))
 
-    def give_back(self, now: float, name: str, cost: float) -> None:
+    def refund(self, now: float, name: str, cost: float) -> None:
         """Refunds the cost of a request that did not run."""
         share = self._buckets.get(name)
         if share is not None:
-            share.give_back(now, cost)
+            share.refund(now, cost)
 
     def _bucket(
         self, now: float, account: accounts.Account, entry_vms: int
-    ) -> bucket.Bucket:
+    ) -> token_bucket.Bucket:
         total = account.limit
         limit = accounts.Limit(
             unit=total.unit,
@@ -52,8 +52,8 @@
         )
         share = self._buckets.get(account.name)
         if share is None:
-            share = bucket.Bucket(limit, now, limit.burst)
+            share = token_bucket.Bucket(limit, now, limit.burst)
             self._buckets[account.name] = share
         elif share.limit != limit:
-            share.on_limit(now, limit)
+            share.set_limit(now, limit)
         return share
--- a/packages/core/foxtaildale/sse.py
+++ b/packages/core/foxtaildale/sse.py
@@ -45,11 +45,11 @@
         return events
 
     @property
-    def partial(self) -> bool:
+    def has_incomplete_event(self) -> bool:
         """Whether the start of an incomplete event is buffered."""
         return bool(self._incomplete)
 
-    def restart(self) -> None:
+    def discard_incomplete_event(self) -> None:
         """Discards an incomplete event before the stream is resumed."""
         self._incomplete = b''
 
--- a/packages/core/foxtaildale/kept.py
+++ b/packages/core/foxtaildale/stored_responses.py
@@ -16,7 +16,7 @@
 _MAX_RESPONSE_BYTES: Final = 512 * 1024
 
 
-class Answers:
+class StoredResponses:
     """Stored responses by service and key."""
 
     __slots__ = ('_bytes', '_limit', '_responses')
@@ -31,13 +31,13 @@
         self._bytes = 0
         self._limit = limit
 
-    def put(self, service: str, key: str, answer: bytes) -> None:
+    def put(self, service: str, key: str, response: bytes) -> None:
         """Stores a response unless it is too long."""
-        if len(answer) > min(_MAX_RESPONSE_BYTES, self._limit):
+        if len(response) > min(_MAX_RESPONSE_BYTES, self._limit):
             return
         old = self._responses.pop((service, key), b'')
-        self._responses[service, key] = answer
-        self._bytes += len(answer) - len(old)
+        self._responses[service, key] = response
+        self._bytes += len(response) - len(old)
         while self._bytes > self._limit:
             _, evicted = self._responses.popitem(last=False)
             self._bytes -= len(evicted)
--- a/packages/core/foxtaildale/streams.py
+++ b/packages/core/foxtaildale/streams.py
@@ -40,7 +40,7 @@
     # `Checker.position`, or the attempt failed.
     GAP = 'gap'
     # The response ended, and all its chunks were accepted.
-    WHOLE = 'whole'
+    COMPLETE = 'whole'
     # The response ended, but the accepted chunks differ from those sent.
     BROKEN = 'broken'
 
@@ -81,7 +81,7 @@
         # Position of the next expected chunk.
         self.position = position
 
-    def piece(self, chunk: backends.Piece) -> Verdict:
+    def check_chunk(self, chunk: backends.Chunk) -> Verdict:
         """Checks a chunk; advances the position if it is accepted."""
         if (
             chunk.request != self._request
@@ -97,7 +97,7 @@
         self._digest.update(chunk.text.encode())
         return Verdict.ACCEPTED
 
-    def last(self, last: backends.Last) -> Verdict:
+    def check_end(self, last: backends.StreamEnd) -> Verdict:
         """Checks the end of the response."""
         if (
             last.request != self._request
@@ -114,7 +114,7 @@
             and last.digest != self._digest.hexdigest()
         ):
             return Verdict.BROKEN
-        return Verdict.WHOLE
+        return Verdict.COMPLETE
 
 
 class EventId(msgspec.Struct, frozen=True):
@@ -130,7 +130,7 @@
         return f'{self.worker}/{self.stream}/{self.position}'
 
 
-def parse_id(text: str) -> EventId:
+def parse_event_id(text: str) -> EventId:
     """Parses an event id in the form of `EventId.text`.
 
     Raises:
@@ -187,7 +187,7 @@
         )
         self._next_head = self._head + b'"delta":{"content":'
 
-    def piece(self, position: int, text: str) -> bytes:
+    def frame_chunk(self, position: int, text: str) -> bytes:
         """Returns the event of one accepted chunk."""
         return b'%b%d%b%b},"finish_reason":null}]}\n\n' % (
             self._id_prefix,
@@ -196,7 +196,9 @@
             _encoder.encode(text),
         )
 
-    def last(self, last: backends.Last, finish_reason: str = 'stop') -> bytes:
+    def frame_end(
+        self, last: backends.StreamEnd, finish_reason: str = 'stop'
+    ) -> bytes:
         """Returns the events that end a complete response."""
         summary = {'count': last.count, 'digest': last.digest}
         return (
--- a/packages/core/foxtaildale/suspects.py
+++ b/packages/core/foxtaildale/suspects.py
@@ -18,16 +18,16 @@
 # reply can be lost with a broken connection or under short load; if the
 # coordinator were excluded at once, two coordinators would grant the same
 # memory.
-MISSES: Final = 2
+MAX_LOST_REPLIES: Final = 2
 # Delay until a suspect is probed, seconds. It doubles with each exclusion for
 # lost replies, up to the maximum, so that an overloaded coordinator is not used
 # again and again. It does not double after a refusal, because a VM that refuses
 # reports by itself when it is fit.
-PROBE_S: Final = 0.4
-PROBE_MOST_S: Final = 6.4
+PROBE_DELAY_S: Final = 0.4
+MAX_PROBE_DELAY_S: Final = 6.4
 # Time without an exclusion for lost replies after which the probe delay is
 # reset to `PROBE_S`, seconds.
-CALM_S: Final = 30.0
+PROBE_RESET_S: Final = 30.0
 
 
 class _Suspect:
@@ -37,7 +37,7 @@
         self.misses = 0
         # Whether the VM is excluded now.
         self.excluded = False
-        self.probe_delay_s = PROBE_S
+        self.probe_delay_s = PROBE_DELAY_S
         self.probe_at = 0.0
         # When the VM was last excluded for lost replies, seconds.
         self.lost_at = -math.inf
@@ -52,13 +52,13 @@
         # By name of the VM.
         self._suspects: dict[str, _Suspect] = {}
 
-    def passed(self) -> frozenset[str]:
+    def excluded(self) -> frozenset[str]:
         """Returns the VMs that must not be used as coordinators now."""
         return frozenset(
             name for name, suspect in self._suspects.items() if suspect.excluded
         )
 
-    def failed(self, now: float, name: str, *, lost: bool) -> bool:
+    def record_failure(self, now: float, name: str, *, lost: bool) -> bool:
         """Records a failed request; returns whether the VM becomes excluded.
 
         Args:
@@ -69,25 +69,27 @@
         """
         suspect = self._suspects.setdefault(name, _Suspect())
         suspect.misses += 1
-        if suspect.excluded or (lost and suspect.misses < MISSES):
+        if suspect.excluded or (lost and suspect.misses < MAX_LOST_REPLIES):
             return False
         suspect.excluded = True
-        if not lost or now - suspect.lost_at > CALM_S:
-            suspect.probe_delay_s = PROBE_S
+        if not lost or now - suspect.lost_at > PROBE_RESET_S:
+            suspect.probe_delay_s = PROBE_DELAY_S
         else:
-            suspect.probe_delay_s = min(2 * suspect.probe_delay_s, PROBE_MOST_S)
+            suspect.probe_delay_s = min(
+                2 * suspect.probe_delay_s, MAX_PROBE_DELAY_S
+            )
         if lost:
             suspect.lost_at = now
         suspect.probe_at = now + suspect.probe_delay_s
         return True
 
-    def answered(self, name: str) -> None:
+    def record_success(self, name: str) -> None:
         """Records a successful reply."""
         suspect = self._suspects.get(name)
         if suspect is not None:
             suspect.misses = 0
 
-    def due(self, now: float) -> list[str]:
+    def due_probes(self, now: float) -> list[str]:
         """Returns the VMs to probe now."""
         return [
             name
@@ -95,10 +97,10 @@
             if suspect.excluded and suspect.probe_at <= now
         ]
 
-    def probed(self, now: float, name: str, *, fit: bool) -> None:
+    def record_probe(self, now: float, name: str, *, fit: bool) -> None:
         """Records the result of a probe; `fit` is False if no reply arrived."""
         suspect = self._suspects[name]
-        suspect.probe_at = now + PROBE_S
+        suspect.probe_at = now + PROBE_DELAY_S
         if fit:
             suspect.excluded = False
             suspect.misses = 0
--- a/packages/core/foxtaildale/tickets.py
+++ b/packages/core/foxtaildale/tickets.py
@@ -30,8 +30,8 @@
 
 import msgspec
 
+from foxtaildale import bounded_records
 from foxtaildale import codes
-from foxtaildale import memory
 from foxtaildale import messages
 from foxtaildale import values
 
@@ -49,17 +49,17 @@
 _decoder: Final = msgspec.msgpack.Decoder(messages.Ticket)
 
 
-class SendNote(msgspec.Struct, frozen=True):
+class SendStart(msgspec.Struct, frozen=True):
     """Send the start message to the witness.
 
     The reply goes to `Executor.on_witness`.
     """
 
-    note: messages.Note
+    note: messages.StartRequest
     address: str
 
 
-class Known(msgspec.Struct, frozen=True):
+class AlreadyFinished(msgspec.Struct, frozen=True):
     """The identity already has an outcome."""
 
     outcome: values.Outcome
@@ -73,7 +73,7 @@
     code: codes.Code
 
 
-class Stranger(msgspec.Struct, frozen=True):
+class OtherIncarnation(msgspec.Struct, frozen=True):
     """The ticket names another incarnation.
 
     If that incarnation ran on this VM, it no longer exists.
@@ -86,7 +86,7 @@
     identity: str
 
 
-class GiveUp(msgspec.Struct, frozen=True):
+class Abandon(msgspec.Struct, frozen=True):
     """The request never runs. Make an outcome of the code and call `finish`.
 
     `finish` returns the message that reports the outcome to the witness.
@@ -105,10 +105,10 @@
     answer: bytes = b''
 
 
-Admission = SendNote | Known | Refuse | Stranger
+Admission = SendStart | AlreadyFinished | Refuse | OtherIncarnation
 
 
-def verdict(reply: messages.WitnessReply | None) -> Verdict:
+def verdict_on_void(reply: messages.WitnessReply | None) -> Verdict:
     """Returns the verdict for a witness's reply to a void; None is no reply.
 
     Only a void by the witness proves "not run". A request with a recorded start
@@ -122,7 +122,7 @@
     if reply.status == 'other-body':
         return Verdict(codes.OTHER_BODY)
     if reply.status == 'told' and reply.outcome is not None:
-        return Verdict(codes.DONE_BEFORE, reply.outcome, reply.answer)
+        return Verdict(codes.DONE_BEFORE, reply.outcome, reply.response)
     return Verdict(codes.UNKNOWN)
 
 
@@ -134,13 +134,15 @@
     return hashlib.blake2b(head + body, digest_size=16).hexdigest()
 
 
-def void(ticket: messages.Ticket, call: str, body: bytes) -> messages.Void:
+def void_request(
+    ticket: messages.Ticket, call: str, body: bytes
+) -> messages.VoidRequest:
     """Returns the message to a ticket's witness that voids the ticket."""
-    return messages.Void(
+    return messages.VoidRequest(
         identity=ticket.identity,
         witness=ticket.witness,
-        body=digest(call, body),
-        witness_at=ticket.witness_at,
+        body_digest=digest(call, body),
+        witness_clock=ticket.witness_clock,
     )
 
 
@@ -166,9 +168,9 @@
     """The state of one identity at this executor."""
 
     __slots__ = (
-        'answer',
         'body',
         'outcome',
+        'response',
         'stamp',
         'status',
         'witness',
@@ -180,11 +182,11 @@
         self.status = 'noting'
         self.body = body
         # Time of issue of the ticket, on this process's clock.
-        self.stamp = ticket.minted_at
+        self.stamp = ticket.issued_at
         self.witness = ticket.witness
-        self.witness_at = ticket.witness_at
+        self.witness_at = ticket.witness_clock
         self.outcome: values.Outcome | None = None
-        self.answer = b''
+        self.response = b''
 
 
 class Executor:
@@ -210,26 +212,28 @@
         incarnation: str,
         address: str,
         secret: bytes,
-        life_s: float,
+        lifetime_s: float,
         *,
         limit: int = _DEFAULT_LIMIT,
-        answer_bytes: int = _DEFAULT_RESPONSE_BYTES,
+        max_response_bytes: int = _DEFAULT_RESPONSE_BYTES,
     ) -> None:
         self._incarnation = incarnation
         self._address = address
         self._secret = secret
         # How long after its issue a ticket may be run.
-        self._lifetime_s = life_s
+        self._lifetime_s = lifetime_s
         # Number of tickets issued so far.
         self._issued = 0
         # Latest clock reading of each witness, and its time of arrival here.
         self._readings: dict[str, tuple[float, float]] = {}
-        self._entries: memory.Memory[str, _Entry] = memory.Memory(limit)
+        self._entries: bounded_records.BoundedRecords[str, _Entry] = (
+            bounded_records.BoundedRecords(limit)
+        )
         # Bytes of responses that may be stored, and how many are still free.
-        self._max_response_bytes = answer_bytes
-        self._unused_response_bytes = answer_bytes
+        self._max_response_bytes = max_response_bytes
+        self._unused_response_bytes = max_response_bytes
 
-    def on_reading(
+    def on_witness_clock(
         self, now: float, witness: str, reply: messages.WitnessReply
     ) -> None:
         """Records a witness's clock from any of its replies.
@@ -239,14 +243,14 @@
         if reply.status == 'stranger':
             self._readings.pop(witness, None)
             return
-        self._readings[witness] = (reply.at, now)
+        self._readings[witness] = (reply.clock, now)
         if len(self._readings) > _MAX_READINGS:
             oldest = min(
                 self._readings, key=lambda name: self._readings[name][1]
             )
             del self._readings[oldest]
 
-    def mint(
+    def issue(
         self, now: float, service: str, witness: str, witness_address: str
     ) -> messages.Ticket | None:
         """Returns a new ticket.
@@ -267,12 +271,14 @@
             executor_address=self._address,
             witness=witness,
             witness_address=witness_address,
-            minted_at=now,
-            witness_at=at,
+            issued_at=now,
+            witness_clock=at,
         )
         return msgspec.structs.replace(ticket, mac=self._sign(ticket))
 
-    def check(self, ticket: messages.Ticket, service: str) -> codes.Code | None:
+    def verify(
+        self, ticket: messages.Ticket, service: str
+    ) -> codes.Code | None:
         """Verifies a ticket, on any VM; returns the error code, or None."""
         signed = self._sign(ticket).encode()
         if not hmac.compare_digest(signed, ticket.mac.encode()):
@@ -286,29 +292,29 @@
     ) -> Admission:
         """Decides on a verified ticket that arrived with its request."""
         if ticket.executor != self._incarnation:
-            return Stranger()
+            return OtherIncarnation()
         self.expire(now)
         body_digest = digest(call, body)
         entry = self._entries.get(ticket.identity)
         if entry is not None:
             return self._admit_again(entry, body_digest)
-        if not self._entries.never_knew(ticket.identity, ticket.minted_at):
+        if not self._entries.was_never_added(ticket.identity, ticket.issued_at):
             return Refuse(codes.UNKNOWN)
-        if now - ticket.minted_at > self._lifetime_s:
+        if now - ticket.issued_at > self._lifetime_s:
             return Refuse(codes.TICKET_OLD)
         entry = _Entry(ticket, body_digest)
         self._reclaim(self._entries.put(ticket.identity, entry))
-        note = messages.Note(
+        note = messages.StartRequest(
             identity=ticket.identity,
             witness=ticket.witness,
-            body=body_digest,
-            witness_at=ticket.witness_at,
+            body_digest=body_digest,
+            witness_clock=ticket.witness_clock,
         )
-        return SendNote(note, ticket.witness_address)
+        return SendStart(note, ticket.witness_address)
 
-    def on_witness(
+    def on_start_reply(
         self, now: float, identity: str, reply: messages.WitnessReply | None
-    ) -> Run | GiveUp:
+    ) -> Run | Abandon:
         """Decides on the witness's reply to a start; None means no reply.
 
         The start message may be sent again before this call, but not after it.
@@ -318,17 +324,17 @@
         """
         entry = self._entries.get(identity)
         if entry is None or entry.status != 'noting':
-            return GiveUp(identity, codes.UNKNOWN)
+            return Abandon(identity, codes.UNKNOWN)
         if reply is not None:
-            self.on_reading(now, entry.witness, reply)
+            self.on_witness_clock(now, entry.witness, reply)
         if now - entry.stamp > self._lifetime_s:
             # This happens after a pause of the process; the caller has already
             # turned to another VM.
             entry.status = 'given-up'
-            return GiveUp(identity, codes.TICKET_OLD)
+            return Abandon(identity, codes.TICKET_OLD)
         if reply is None or reply.status != 'noted':
             entry.status = 'given-up'
-            return GiveUp(identity, codes.TICKET_VOID)
+            return Abandon(identity, codes.TICKET_VOID)
         entry.status = 'running'
         return Run(identity)
 
@@ -337,8 +343,8 @@
         now: float,
         identity: str,
         outcome: values.Outcome,
-        answer: bytes = b'',
-    ) -> messages.Tell | None:
+        response: bytes = b'',
+    ) -> messages.OutcomeReport | None:
         """Records the outcome of a run or of an abandoned request, once.
 
         Returns the message for the witness, which is best sent before the
@@ -351,16 +357,16 @@
             return None
         entry.status = 'done'
         entry.outcome = outcome
-        if len(answer) <= self._unused_response_bytes:
-            entry.answer = answer
-            self._unused_response_bytes -= len(answer)
-        return messages.Tell(
+        if len(response) <= self._unused_response_bytes:
+            entry.response = response
+            self._unused_response_bytes -= len(response)
+        return messages.OutcomeReport(
             identity=identity,
             witness=entry.witness,
-            body=entry.body,
-            witness_at=entry.witness_at,
+            body_digest=entry.body,
+            witness_clock=entry.witness_at,
             outcome=outcome,
-            answer=answer,
+            response=response,
         )
 
     def expire(self, now: float) -> None:
@@ -383,12 +389,14 @@
             'witnesses': sorted(self._readings),
         }
 
-    def _admit_again(self, entry: _Entry, body_digest: str) -> Known | Refuse:
+    def _admit_again(
+        self, entry: _Entry, body_digest: str
+    ) -> AlreadyFinished | Refuse:
         """Returns the decision for an identity that was admitted before."""
         if entry.body != body_digest:
             return Refuse(codes.OTHER_BODY)
         if entry.outcome is not None:
-            return Known(entry.outcome, entry.answer)
+            return AlreadyFinished(entry.outcome, entry.response)
         if entry.status == 'given-up':
             return Refuse(codes.TICKET_VOID)
         return Refuse(codes.IN_PROGRESS)
@@ -400,4 +408,4 @@
 
     def _reclaim(self, evicted: list[_Entry]) -> None:
         for entry in evicted:
-            self._unused_response_bytes += len(entry.answer)
+            self._unused_response_bytes += len(entry.response)
--- a/packages/core/foxtaildale/bucket.py
+++ b/packages/core/foxtaildale/token_bucket.py
@@ -25,15 +25,15 @@
 
 # Minimum capacity of a bucket, as seconds of its rate: a limit without a burst
 # must admit requests that arrive unevenly within a fraction of a second.
-LEAST_S: Final = 0.25
+MIN_CAPACITY_S: Final = 0.25
 # Time for which smaller requests leave units for a larger one that was refused,
 # seconds.
-ROOM_S: Final = 2.0
+HEADROOM_S: Final = 2.0
 # Fraction of the larger request's cost up to which a request may overtake it.
-SMALL_PART: Final = 0.125
+SMALL_FRACTION: Final = 0.125
 # Maximum time that requests which were refused earlier add to the wait of a
 # later one, seconds. Not all of them retry, and callers ignore longer waits.
-PROMISED_S: Final = 3.0
+MAX_DEFERRED_S: Final = 3.0
 
 
 class Bucket:
@@ -43,9 +43,9 @@
         '_at',
         '_deferred',
         '_deferred_at',
+        '_headroom',
         '_headroom_until',
         '_level',
-        '_room',
         'limit',
     )
 
@@ -53,10 +53,10 @@
         self.limit = limit
         self._at = now
         # The level as of `_at`, units.
-        self._level = min(level, self.most)
+        self._level = min(level, self.capacity)
         # Units that are left for a larger request that was refused, and until
         # when, seconds.
-        self._room = 0.0
+        self._headroom = 0.0
         self._headroom_until = now
         # Units of the refused requests that are expected to retry, and the time
         # up to which they are counted, seconds. They decrease at the rate.
@@ -64,31 +64,33 @@
         self._deferred_at = now
 
     @property
-    def most(self) -> float:
+    def capacity(self) -> float:
         """Returns the capacity, units."""
-        return max(self.limit.burst, LEAST_S * self.limit.rate)
+        return max(self.limit.burst, MIN_CAPACITY_S * self.limit.rate)
 
     def level(self, now: float) -> float:
         """Returns the units that are left."""
         gained = self.limit.rate * max(0.0, now - self._at)
-        return min(self.most, self._level + gained)
+        return min(self.capacity, self._level + gained)
 
-    def take(self, now: float, cost: float) -> float:
+    def try_spend(self, now: float, cost: float) -> float:
         """Spends the cost of a request, if there are enough units.
 
         Returns:
             0 if it was spent; else how long until there are enough, seconds.
         """
         if now >= self._headroom_until:
-            self._room = 0.0
-        bounded_cost = min(cost, self.most)
-        must_wait = bounded_cost > SMALL_PART * self._room
-        needed = max(bounded_cost, self._room) if must_wait else bounded_cost
+            self._headroom = 0.0
+        bounded_cost = min(cost, self.capacity)
+        must_wait = bounded_cost > SMALL_FRACTION * self._headroom
+        needed = (
+            max(bounded_cost, self._headroom) if must_wait else bounded_cost
+        )
         level = self.level(now)
         if level < needed:
-            if bounded_cost >= self._room:
-                self._room = bounded_cost
-                self._headroom_until = now + ROOM_S
+            if bounded_cost >= self._headroom:
+                self._headroom = bounded_cost
+                self._headroom_until = now + HEADROOM_S
             return (
                 needed - level + self._defer(now, bounded_cost)
             ) / self.limit.rate
@@ -99,15 +101,15 @@
         """Spends units admitted elsewhere; the level may go below 0."""
         self._set(now, self.level(now) - cost)
 
-    def give_back(self, now: float, cost: float) -> None:
+    def refund(self, now: float, cost: float) -> None:
         """Refunds the cost of a request that did not run."""
         self._set(now, self.level(now) + cost)
 
-    def on_limit(self, now: float, limit: accounts.Limit) -> None:
+    def set_limit(self, now: float, limit: accounts.Limit) -> None:
         """Applies a changed limit; added capacity is available at once."""
-        level, capacity = self.level(now), self.most
+        level, capacity = self.level(now), self.capacity
         self.limit = limit
-        self._set(now, level + max(0.0, self.most - capacity))
+        self._set(now, level + max(0.0, self.capacity - capacity))
 
     def _defer(self, now: float, cost: float) -> float:
         """Places a refused request behind those that were refused before it.
@@ -118,10 +120,10 @@
         rate = self.limit.rate
         replenished = rate * (now - self._deferred_at)
         before = max(0.0, self._deferred - replenished)
-        self._deferred = min(before + cost, PROMISED_S * rate)
+        self._deferred = min(before + cost, MAX_DEFERRED_S * rate)
         self._deferred_at = now
         return before
 
     def _set(self, now: float, level: float) -> None:
         self._at = max(now, self._at)
-        self._level = min(self.most, level)
+        self._level = min(self.capacity, level)
--- a/packages/core/foxtaildale/pace.py
+++ b/packages/core/foxtaildale/transfer_timeouts.py
@@ -21,7 +21,7 @@
 _MAX_TIMEOUT_S: Final = 10.0
 
 
-class Pace:
+class TransferTimeouts:
     """Average transfer time per token over the transfers of one entry."""
 
     __slots__ = ('_s_per_token',)
@@ -32,7 +32,7 @@
     def __init__(self) -> None:
         self._s_per_token = None
 
-    def learn(self, tokens: int, seconds: float) -> None:
+    def record(self, tokens: int, seconds: float) -> None:
         """Adds a completed transfer to the average."""
         new_s_per_token = seconds / max(1, tokens)
         if self._s_per_token is None:
@@ -40,16 +40,16 @@
         else:
             self._s_per_token += _WEIGHT * (new_s_per_token - self._s_per_token)
 
-    def bound_s(self, tokens: int, life_s: float) -> float:
+    def timeout_s(self, tokens: int, lifetime_s: float) -> float:
         """Returns the timeout of a transfer, seconds.
 
         Args:
             tokens: Length of the prompt in tokens.
-            life_s: Lifetime of a prefill result that is not fetched, seconds.
+            lifetime_s: Lifetime of a prefill result that is not fetched, seconds.
         """
         if self._s_per_token is None:
             return _INITIAL_TIMEOUT_S
         scaled_average_s = _AVERAGE_FACTOR * self._s_per_token * tokens
         return min(
-            _MAX_TIMEOUT_S, max(_LIFETIME_SHARE * life_s, scaled_average_s)
+            _MAX_TIMEOUT_S, max(_LIFETIME_SHARE * lifetime_s, scaled_average_s)
         )
--- a/packages/core/foxtaildale/values.py
+++ b/packages/core/foxtaildale/values.py
@@ -51,7 +51,7 @@
     service: str = ''
 
 
-def interned(outcome: Outcome) -> Outcome:
+def intern_strings(outcome: Outcome) -> Outcome:
     """Returns an equal outcome that shares its common strings.
 
     A decoder creates new strings for each message. With thousands of stored
--- a/packages/core/foxtaildale/witness.py
+++ b/packages/core/foxtaildale/witness.py
@@ -17,7 +17,7 @@
 
 from typing import Final
 
-from foxtaildale import memory
+from foxtaildale import bounded_records
 from foxtaildale import messages
 from foxtaildale import values
 
@@ -29,7 +29,7 @@
 class _Identity:
     """The state of one identity."""
 
-    __slots__ = ('answer', 'body', 'outcome', 'stamp', 'status')
+    __slots__ = ('body', 'outcome', 'response', 'stamp', 'status')
 
     def __init__(self, status: str, body: str, stamp: float) -> None:
         # noted, voided or told
@@ -39,7 +39,7 @@
         # The ticket's reading of this witness's clock.
         self.stamp = stamp
         self.outcome: values.Outcome | None = None
-        self.answer = b''
+        self.response = b''
 
 
 class Witness:
@@ -61,26 +61,30 @@
         incarnation: str,
         remember_s: float = _DEFAULT_REMEMBER_S,
         limit: int = _DEFAULT_LIMIT,
-        answer_bytes: int = _DEFAULT_RESPONSE_BYTES,
+        max_response_bytes: int = _DEFAULT_RESPONSE_BYTES,
     ) -> None:
         self._incarnation = incarnation
         # How long an identity is remembered after the clock reading of its
         # ticket.
         self._remember_s = remember_s
-        self._identities: memory.Memory[str, _Identity] = memory.Memory(limit)
+        self._identities: bounded_records.BoundedRecords[str, _Identity] = (
+            bounded_records.BoundedRecords(limit)
+        )
         # Bytes of responses that may be stored, and how many are still free.
-        self._max_response_bytes = answer_bytes
-        self._unused_response_bytes = answer_bytes
+        self._max_response_bytes = max_response_bytes
+        self._unused_response_bytes = max_response_bytes
 
-    def read(
-        self, now: float, msg: messages.AskReading
+    def read_clock(
+        self, now: float, msg: messages.ClockRequest
     ) -> messages.WitnessReply:
         """Returns this witness's clock, which an executor needs for tickets."""
         if msg.witness != self._incarnation:
             return self._reply(now, 'stranger')
         return self._reply(now, 'reading')
 
-    def note(self, now: float, msg: messages.Note) -> messages.WitnessReply:
+    def record_start(
+        self, now: float, msg: messages.StartRequest
+    ) -> messages.WitnessReply:
         """Records a start, unless the identity was voided.
 
         The same message may arrive twice. That is safe: only its sender may
@@ -88,11 +92,15 @@
         """
         return self._record(now, msg, 'noted')
 
-    def void(self, now: float, msg: messages.Void) -> messages.WitnessReply:
+    def void(
+        self, now: float, msg: messages.VoidRequest
+    ) -> messages.WitnessReply:
         """Voids an identity, unless its start was recorded."""
         return self._record(now, msg, 'voided')
 
-    def tell(self, now: float, msg: messages.Tell) -> messages.WitnessReply:
+    def record_outcome(
+        self, now: float, msg: messages.OutcomeReport
+    ) -> messages.WitnessReply:
         """Stores the outcome of an identity for later requests.
 
         An executor also reports that it abandoned a request; its start message
@@ -103,10 +111,10 @@
         if reply.status != 'noted' or entry is None:
             return reply
         entry.status = 'told'
-        entry.outcome = values.interned(msg.outcome)
-        if len(msg.answer) <= self._unused_response_bytes:
-            entry.answer = msg.answer
-            self._unused_response_bytes -= len(msg.answer)
+        entry.outcome = values.intern_strings(msg.outcome)
+        if len(msg.response) <= self._unused_response_bytes:
+            entry.response = msg.response
+            self._unused_response_bytes -= len(msg.response)
         return self._reply(now, 'told')
 
     def expire(self, now: float) -> None:
@@ -129,7 +137,9 @@
     def _record(
         self,
         now: float,
-        msg: messages.Note | messages.Void | messages.Tell,
+        msg: messages.StartRequest
+        | messages.VoidRequest
+        | messages.OutcomeReport,
         status: str,
     ) -> messages.WitnessReply:
         """Records `status` if none is recorded; returns the recorded one."""
@@ -138,29 +148,32 @@
         self.expire(now)
         entry = self._identities.get(msg.identity)
         if entry is None:
-            if not self._is_judgeable(now, msg.identity, msg.witness_at):
+            if not self._is_decidable(now, msg.identity, msg.witness_clock):
                 return self._reply(now, 'old')
-            entry = _Identity(status, msg.body, msg.witness_at)
+            entry = _Identity(status, msg.body_digest, msg.witness_clock)
             self._reclaim(self._identities.put(msg.identity, entry))
-        if entry.status != 'voided' and entry.body != msg.body:
+        if entry.status != 'voided' and entry.body != msg.body_digest:
             return self._reply(now, 'other-body')
         return self._reply(now, entry.status, entry)
 
-    def _is_judgeable(self, now: float, identity: str, stamp: float) -> bool:
+    def _is_decidable(self, now: float, identity: str, stamp: float) -> bool:
         # A reading later than now was not taken from this clock.
         if not now - self._remember_s <= stamp <= now:
             return False
-        return self._identities.never_knew(identity, stamp)
+        return self._identities.was_never_added(identity, stamp)
 
     def _reply(
         self, now: float, status: str, entry: _Identity | None = None
     ) -> messages.WitnessReply:
         if entry is None:
-            return messages.WitnessReply(status=status, at=now)
+            return messages.WitnessReply(status=status, clock=now)
         return messages.WitnessReply(
-            status=status, at=now, outcome=entry.outcome, answer=entry.answer
+            status=status,
+            clock=now,
+            outcome=entry.outcome,
+            response=entry.response,
         )
 
     def _reclaim(self, evicted: list[_Identity]) -> None:
         for entry in evicted:
-            self._unused_response_bytes += len(entry.answer)
+            self._unused_response_bytes += len(entry.response)
--- a/packages/core/foxtaildale/workers.py
+++ b/packages/core/foxtaildale/workers.py
@@ -19,17 +19,17 @@
         '_failures',
         '_suspended_until',
         '_suspension_s',
-        'free_at',
-        'link_at',
+        'link_free_at',
         'load',
+        'prefills_end_at',
         'server',
     )
 
     server: values.BackendServer
     # When its booked prefills end, and when its network link becomes free,
     # seconds.
-    free_at: float
-    link_at: float
+    prefills_end_at: float
+    link_free_at: float
     # The last load report; None before the first one.
     load: backends.Load | None
     # Number of consecutive failures; a success resets it.
@@ -39,27 +39,27 @@
 
     def __init__(self, server: values.BackendServer) -> None:
         self.server = server
-        self.free_at = 0.0
-        self.link_at = 0.0
+        self.prefills_end_at = 0.0
+        self.link_free_at = 0.0
         self.load = None
         self._failures = 0
         self._suspension_s = _FIRST_SUSPENSION_S
         self._suspended_until = 0.0
 
-    def live(self) -> bool:
+    def is_live(self) -> bool:
         """Whether new work may be sent there according to the list."""
         return self.server.state == 'live'
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Whether it is live and not suspended."""
-        return self.live() and self._suspended_until <= now
+        return self.is_live() and self._suspended_until <= now
 
-    def worked(self) -> None:
+    def record_success(self) -> None:
         """Records a success."""
         self._failures = 0
         self._suspension_s = _FIRST_SUSPENSION_S
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Records a failure.
 
         A dead worker has the fewest bookings, so it would attract all new work
--- a/packages/daemon/foxtaildaled/limits.py
+++ b/packages/daemon/foxtaildaled/account_limits.py
@@ -18,21 +18,21 @@
 from foxtaildale import messages
 from foxtaildale import ports
 from foxtaildale import shares
-from foxtaildaled import asking
+from foxtaildaled import coordinator_client
 
 # Timeout for a coordinator's reply, seconds. A round trip takes two
 # milliseconds; a coordinator whose CPU quota is enforced in periods of a tenth
 # of a second may need a full period.
-ANSWER_S: Final = 0.15
+REPLY_TIMEOUT_S: Final = 0.15
 # Interval and timeout of the reports of admitted units, seconds.
-TELL_S: Final = 0.25
+REPORT_INTERVAL_S: Final = 0.25
 # Number of VMs that receive these reports: the successors of the coordinator.
-HEIRS: Final = 2
+SUCCESSORS: Final = 2
 # Number of VMs that are assumed to share a limit while their list is not known.
-VMS: Final = 8
+ASSUMED_VMS: Final = 8
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class Decision(msgspec.Struct, frozen=True):
     """Whether a request of an account may run."""
 
     # 0 if it is admitted; otherwise the time until it would be, seconds.
@@ -46,16 +46,16 @@
 class Limiter(Protocol):
     """Enforces the limits of accounts; safe for concurrent use."""
 
-    def admit(self, account: accounts.Account, cost: float) -> Verdict:
+    def admit(self, account: accounts.Account, cost: float) -> Decision:
         """Admits a request, or returns the time until it would be admitted."""
 
-    def give_back(
-        self, account: accounts.Account, cost: float, verdict: Verdict
+    def refund(
+        self, account: accounts.Account, cost: float, decision: Decision
     ) -> None:
         """Refunds the cost of a request that did not run."""
 
 
-class Counting:
+class UsageCounter:
     """Counts the usage of accounts at their coordinator.
 
     Safe for concurrent use.
@@ -73,65 +73,69 @@
     def __init__(
         self,
         *,
-        known: Callable[[], accounts.Accounts | None],
-        book: allowances.Allowances,
-        homes: asking.Asking,
+        configured: Callable[[], accounts.Accounts | None],
+        usage: allowances.Allowances,
+        coordinators: coordinator_client.CoordinatorClient,
         peers: ports.PeerGroup,
         clock: ports.Clock,
     ) -> None:
         # Returns the accounts of the configuration in force.
-        self._accounts = known
-        self._allowances = book
-        self._coordinators = homes
+        self._accounts = configured
+        self._allowances = usage
+        self._coordinators = coordinators
         self._peers = peers
         self._clock = clock
         self._lock = threading.Lock()
 
-    def ask(self, msg: messages.AskCredit) -> messages.Credit | messages.Fail:
+    def admit(
+        self, msg: messages.CreditRequest
+    ) -> messages.CreditReply | messages.ErrorReply:
         """Handles a request for credit as the coordinator of an account."""
         account = self._account(msg.account)
         if account is None:
-            return messages.Fail(code='account-not-known')
+            return messages.ErrorReply(code='account-not-known')
         with self._lock:
-            decision = self._allowances.ask(self._clock(), account, msg.cost)
-        return messages.Credit(
+            decision = self._allowances.admit(self._clock(), account, msg.cost)
+        return messages.CreditReply(
             wait_ms=int(decision.wait_s * 1000) + (decision.wait_s > 0),
-            level=decision.level,
+            remaining=decision.level,
         )
 
-    def take_back(self, msg: messages.GiveBack) -> messages.Pong:
+    def refund(self, msg: messages.CreditRefund) -> messages.Pong:
         """Refunds the cost of a request that did not run."""
         account = self._account(msg.account)
         if account is not None:
             with self._lock:
-                self._allowances.give_back(self._clock(), account, msg.cost)
+                self._allowances.refund(self._clock(), account, msg.cost)
         return messages.Pong()
 
-    def told(self, msg: messages.LetIn) -> messages.Pong:
+    def count_remote(self, msg: messages.UsageReport) -> messages.Pong:
         """Counts the units that another coordinator admitted."""
-        for name, cost in msg.used.items():
+        for name, cost in msg.admitted.items():
             account = self._account(name)
             if account is not None:
                 with self._lock:
-                    self._allowances.told(self._clock(), account, cost)
+                    self._allowances.count_remote(self._clock(), account, cost)
         return messages.Pong()
 
-    def step(self) -> None:
+    def report_admitted(self) -> None:
         """Reports admitted units to the successors; called by a loop."""
         configured = self._accounts()
         with self._lock:
-            used = self._allowances.news()
+            used = self._allowances.drain_admitted()
             if configured is not None:
-                self._allowances.keep(configured.names())
+                self._allowances.retain(configured.names())
         if not used:
             return
         successors = {
             address
             for name in used
-            for address in self._coordinators.heirs(home_name(name), HEIRS)
+            for address in self._coordinators.successor_addresses(
+                coordinator_name(name), SUCCESSORS
+            )
         }
-        msg = messages.LetIn(used=used)
-        self._peers.ask_all(sorted(successors), msg, TELL_S)
+        msg = messages.UsageReport(admitted=used)
+        self._peers.request_all(sorted(successors), msg, REPORT_INTERVAL_S)
 
     def levels(self) -> dict[str, dict[str, float]]:
         """Returns the levels of the accounts counted here, for operators."""
@@ -140,10 +144,10 @@
 
     def _account(self, name: str) -> accounts.Account | None:
         configured = self._accounts()
-        return configured.named(name) if configured is not None else None
+        return configured.by_name(name) if configured is not None else None
 
 
-class Shares:
+class LocalShares:
     """Enforces this VM's own share of each limit; a `Limiter`."""
 
     __slots__ = ('_clock', '_lock', '_shares', '_vm_count')
@@ -157,57 +161,59 @@
         self._shares = shares.Shares()
         self._lock = threading.Lock()
 
-    def admit(self, account: accounts.Account, cost: float) -> Verdict:
+    def admit(self, account: accounts.Account, cost: float) -> Decision:
         """Admits a request, or returns the time until it would be admitted."""
-        count = self._vm_count() or VMS
+        count = self._vm_count() or ASSUMED_VMS
         with self._lock:
-            decision = self._shares.ask(self._clock(), account, cost, count)
-        return Verdict(decision.wait_s, decision.level, 'share')
+            decision = self._shares.admit(self._clock(), account, cost, count)
+        return Decision(decision.wait_s, decision.level, 'share')
 
-    def give_back(
-        self, account: accounts.Account, cost: float, verdict: Verdict
+    def refund(
+        self, account: accounts.Account, cost: float, decision: Decision
     ) -> None:
         """Refunds the cost of a request that did not run."""
         with self._lock:
-            self._shares.give_back(self._clock(), account.name, cost)
+            self._shares.refund(self._clock(), account.name, cost)
 
 
-class Homes:
+class CoordinatorLimiter:
     """Asks the coordinator of each account; a `Limiter`."""
 
     __slots__ = ('_coordinators', '_local_shares')
 
-    def __init__(self, homes: asking.Asking, alone: Shares) -> None:
+    def __init__(
+        self, homes: coordinator_client.CoordinatorClient, alone: LocalShares
+    ) -> None:
         self._coordinators = homes
         # Decides if no coordinator replies.
         self._local_shares = alone
 
-    def admit(self, account: accounts.Account, cost: float) -> Verdict:
+    def admit(self, account: accounts.Account, cost: float) -> Decision:
         """Admits a request, or returns the time until it would be admitted."""
-        reply = self._coordinators.ask(
-            home_name(account.name),
-            messages.AskCredit(account=account.name, cost=cost),
-            (messages.Credit,),
-            ANSWER_S,
+        reply = self._coordinators.request(
+            coordinator_name(account.name),
+            messages.CreditRequest(account=account.name, cost=cost),
+            (messages.CreditReply,),
+            REPLY_TIMEOUT_S,
         )
         if reply is None:
             return self._local_shares.admit(account, cost)
-        return Verdict(reply.wait_ms / 1000, reply.level, 'home')
+        return Decision(reply.wait_ms / 1000, reply.remaining, 'home')
 
-    def give_back(
-        self, account: accounts.Account, cost: float, verdict: Verdict
+    def refund(
+        self, account: accounts.Account, cost: float, decision: Decision
     ) -> None:
         """Refunds the cost of a request that did not run."""
-        if verdict.by == 'share':
-            self._local_shares.give_back(account, cost, verdict)
+        if decision.by == 'share':
+            self._local_shares.refund(account, cost, decision)
             return
-        self._coordinators.tell(
-            home_name(account.name),
-            messages.GiveBack(account=account.name, cost=cost),
+        self._coordinators.notify(
+            coordinator_name(account.name),
+            messages.CreditRefund(account=account.name, cost=cost),
         )
 
 
-def home_name(account: str) -> str:
+def coordinator_name(account: str) -> str:
     """Returns the name by which the coordinator of an account is chosen.
 
     The prefix distinguishes accounts from services of the same name.
--- a/packages/daemon/foxtaildaled/actors.py
+++ b/packages/daemon/foxtaildaled/actors.py
@@ -42,7 +42,7 @@
         return message(self._state, self._clock())
 
 
-class Owner(Generic[_State]):
+class StateOwner(Generic[_State]):
     """Runs turns on a state that an actor owns."""
 
     __slots__ = ('_ref',)
--- a/packages/daemon/foxtaildaled/stages.py
+++ b/packages/daemon/foxtaildaled/attempt_stages.py
@@ -14,11 +14,11 @@
 from foxtaildale import codes
 from foxtaildale import errors
 from foxtaildale import messages
-from foxtaildale import pace
 from foxtaildale import ports
+from foxtaildale import transfer_timeouts
 from foxtaildale_adapters import metrics
 from foxtaildaled import job as jobs
-from foxtaildaled import slots
+from foxtaildaled import slot_acquisition
 
 # Timeout of one prefill, seconds.
 _PREFILL_TIMEOUT_S: Final = 60.0
@@ -29,7 +29,7 @@
 _EVICTED: Final = 'gone'
 
 
-class Ready(msgspec.Struct, frozen=True):
+class FinishedPrefill(msgspec.Struct, frozen=True):
     """A finished prefill and the worker that holds its result."""
 
     worker: str
@@ -39,7 +39,7 @@
     until: float
 
 
-class Failure(msgspec.Struct, frozen=True):
+class AttemptFailure(msgspec.Struct, frozen=True):
     """An attempt that did not end in a complete response."""
 
     # One of prefill-failed, transfer-failed, decode-failed and evicted.
@@ -54,10 +54,10 @@
     # Error code of an engine that rejected the request without acting on it.
     rejected: str = ''
     # A finished prefill that the next attempt may transfer.
-    ready: 'Ready | None' = None
+    ready: 'FinishedPrefill | None' = None
 
 
-class Measured:
+class StageTimes:
     """Durations (milliseconds) and token counts of one attempt."""
 
     __slots__ = (
@@ -89,15 +89,15 @@
     __slots__ = ('_clock', '_engines', '_metrics', '_pace', '_slots')
 
     _engines: ports.Engines
-    _slots: slots.Slots
+    _slots: slot_acquisition.SlotClient
     _metrics: metrics.Metrics
     _clock: ports.Clock
-    _pace: pace.Pace
+    _pace: transfer_timeouts.TransferTimeouts
 
     def __init__(
         self,
         engines: ports.Engines,
-        acquirer: slots.Slots,
+        acquirer: slot_acquisition.SlotClient,
         request_metrics: metrics.Metrics,
         clock: ports.Clock,
     ) -> None:
@@ -105,20 +105,20 @@
         self._slots = acquirer
         self._metrics = request_metrics
         self._clock = clock
-        self._pace = pace.Pace()
+        self._pace = transfer_timeouts.TransferTimeouts()
 
     def prefill(
-        self, job: jobs.Job, grant: messages.Granted, measured: Measured
-    ) -> Ready | Failure | slots.Refusal:
+        self, job: jobs.Job, grant: messages.SlotGrant, measured: StageTimes
+    ) -> FinishedPrefill | AttemptFailure | slot_acquisition.FinalResult:
         """Runs the prefill of an attempt."""
-        if not job.hold(grant.prefill_address):
-            return slots.Refusal(codes.GONE)
+        if not job.try_add_reservation(grant.prefill_address):
+            return slot_acquisition.FinalResult(codes.GONE)
         began_at = self._clock()
         req = backends.PrefillReq(
             request=job.request,
             attempt=job.attempt,
             holder=job.holder,
-            model=job.name,
+            model=job.service_name,
             prompt=job.prompt,
             priority=job.service.priority,
         )
@@ -127,15 +127,19 @@
                 grant.prefill_address, req, _PREFILL_TIMEOUT_S
             )
         except errors.PortError as exc:
-            return self.failed(job, 'prefill-failed', exc, grant.prefill)
-        measured.prefill_ms = self.since(began_at)
-        self._metrics.prefill_tokens.add(reply.tokens - reply.cached, job.name)
+            return self.make_failure(
+                job, 'prefill-failed', exc, grant.prefill_worker
+            )
+        measured.prefill_ms = self.elapsed_ms(began_at)
+        self._metrics.prefill_tokens.add(
+            reply.tokens - reply.cached, job.service_name
+        )
         if (reply.request, reply.attempt) != (job.request, job.attempt):
-            return Failure('prefill-failed', 'reply to another request')
+            return AttemptFailure('prefill-failed', 'reply to another request')
         measured.cached_tokens = reply.cached
-        job.sent = True
-        return Ready(
-            grant.prefill,
+        job.may_have_run = True
+        return FinishedPrefill(
+            grant.prefill_worker,
             grant.prefill_address,
             reply,
             self._clock() + reply.lives_ms / 1000,
@@ -144,35 +148,35 @@
     def transfer(
         self,
         job: jobs.Job,
-        grant: messages.Granted,
-        ready: Ready,
-        measured: Measured,
-    ) -> messages.Granted | Failure | slots.Refusal:
+        grant: messages.SlotGrant,
+        ready: FinishedPrefill,
+        measured: StageTimes,
+    ) -> messages.SlotGrant | AttemptFailure | slot_acquisition.FinalResult:
         """Transfers the KV cache to a decode worker and returns its grant."""
         while True:
             failure = self._fetch(job, grant, ready, measured)
             if failure is None:
-                job.let_go(ready.address)
+                job.remove_reservation(ready.address)
                 return grant
             if failure.rejected != _FULL or self._clock() >= ready.until:
                 return failure
             # The granted slot is not free yet. The result of the prefill is
             # still available and may go to any worker that has a free slot.
-            job.gone.wait(_SLOT_RETRY_S)
-            reply = self._slots.get(job, ready.worker, '')
-            if isinstance(reply, slots.Refusal):
+            job.caller_disconnected.wait(_SLOT_RETRY_S)
+            reply = self._slots.acquire(job, ready.worker, '')
+            if isinstance(reply, slot_acquisition.FinalResult):
                 return reply
             grant = reply
 
     def _fetch(
         self,
         job: jobs.Job,
-        grant: messages.Granted,
-        ready: Ready,
-        measured: Measured,
-    ) -> Failure | None:
-        if not job.hold(grant.decode_address):
-            return Failure('transfer-failed', 'the caller disconnected')
+        grant: messages.SlotGrant,
+        ready: FinishedPrefill,
+        measured: StageTimes,
+    ) -> AttemptFailure | None:
+        if not job.try_add_reservation(grant.decode_address):
+            return AttemptFailure('transfer-failed', 'the caller disconnected')
         began_at = self._clock()
         req = backends.ImportReq(
             request=job.request,
@@ -181,28 +185,32 @@
             source=ready.address,
             kv=ready.reply.kv,
         )
-        timeout_s = self._pace.bound_s(
+        timeout_s = self._pace.timeout_s(
             ready.reply.tokens, ready.reply.lives_ms / 1000
         )
         try:
-            reply = self._engines.fetch(grant.decode_address, req, timeout_s)
+            reply = self._engines.import_kv(
+                grant.decode_address, req, timeout_s
+            )
         except errors.PortError as exc:
-            measured.transfer_ms = self.since(began_at)
+            measured.transfer_ms = self.elapsed_ms(began_at)
             return self._transfer_failure(job, grant, ready, exc)
-        measured.transfer_ms = self.since(began_at)
-        self._pace.learn(ready.reply.tokens, self._clock() - began_at)
+        measured.transfer_ms = self.elapsed_ms(began_at)
+        self._pace.record(ready.reply.tokens, self._clock() - began_at)
         if (reply.request, reply.attempt) != (job.request, job.attempt):
-            return Failure('transfer-failed', 'reply to another request')
+            return AttemptFailure('transfer-failed', 'reply to another request')
         return None
 
     def _transfer_failure(
         self,
         job: jobs.Job,
-        grant: messages.Granted,
-        ready: Ready,
+        grant: messages.SlotGrant,
+        ready: FinishedPrefill,
         exc: errors.PortError,
-    ) -> Failure:
-        failure = self.failed(job, 'transfer-failed', exc, grant.decode)
+    ) -> AttemptFailure:
+        failure = self.make_failure(
+            job, 'transfer-failed', exc, grant.decode_worker
+        )
         if failure.rejected == _EVICTED:
             # The prefill was evicted before its transfer began, which is not a
             # failure of the decode worker.
@@ -211,27 +219,29 @@
             return msgspec.structs.replace(failure, ready=ready)
         return failure
 
-    def since(self, began_at: float) -> int:
+    def elapsed_ms(self, began_at: float) -> int:
         """Returns the time since `began_at`, milliseconds."""
         return round((self._clock() - began_at) * 1000)
 
-    def still_ready(self, last: Failure | None) -> Ready | None:
+    def usable_prefill(
+        self, last: AttemptFailure | None
+    ) -> FinishedPrefill | None:
         """Returns the last attempt's prefill if it can still be transferred."""
         if last is None or last.ready is None:
             return None
         return last.ready if self._clock() < last.ready.until else None
 
-    def failed(
+    def make_failure(
         self, job: jobs.Job, stage: str, exc: errors.PortError, at: str
-    ) -> Failure:
+    ) -> AttemptFailure:
         """Returns the failure for an engine's error.
 
         Also records in `job` whether the request may have run.
         """
         rejected = exc.code if isinstance(exc, errors.RejectedError) else ''
         if not rejected and not isinstance(exc, errors.UnreachableError):
-            job.sent = True
-        return Failure(
+            job.may_have_run = True
+        return AttemptFailure(
             stage,
             str(exc),
             at if stage != 'prefill-failed' else '',
@@ -240,8 +250,10 @@
         )
 
 
-def kept(result: slots.Refusal | Failure | None) -> str:
+def reusable_prefill_address(
+    result: slot_acquisition.FinalResult | AttemptFailure | None,
+) -> str:
     """Returns the address of a prefill that the next attempt may transfer."""
-    if isinstance(result, Failure) and result.ready is not None:
+    if isinstance(result, AttemptFailure) and result.ready is not None:
         return result.ready.address
     return ''
--- a/packages/daemon/foxtaildaled/attempt.py
+++ b/packages/daemon/foxtaildaled/attempt_state.py
@@ -11,7 +11,7 @@
 from foxtaildale import sse
 
 
-class Refused(Exception):  # noqa: N818
+class RequestRefused(Exception):  # noqa: N818
     """Ends a request with an outcome; is caught before the HTTP handler."""
 
     def __init__(
@@ -31,7 +31,7 @@
         self.figures = figures
 
 
-def check_held(left_s: float) -> None:
+def check_quarantined(left_s: float) -> None:
     """Refuses a quarantined request, which must not be sent to any server.
 
     Args:
@@ -42,22 +42,22 @@
         Refused: The request is quarantined.
     """
     if left_s:
-        raise Refused(
+        raise RequestRefused(
             codes.QUARANTINED, retry_after_s=left_s, left_s=math.ceil(left_s)
         )
 
 
-class Answer:
+class ResponseState:
     """The state of the response to the caller, over all attempts."""
 
     __slots__ = (
         'may_have_run',
+        'prefill_count',
         'prefilled',
         'prefilled_at',
-        'prefills',
         'splitter',
         'started',
-        'unopened',
+        'unopened_connections',
         'unsent',
     )
 
@@ -71,13 +71,13 @@
         self.prefilled: forwarding.Prefilled | None = None
         self.prefilled_at = 0.0
         # Number of prefills of the prompt.
-        self.prefills = 0
+        self.prefill_count = 0
         # Whether the last attempt ended before anything was sent to a decode
         # worker, and the number of connections that could not be opened.
         self.unsent = False
-        self.unopened = 0
+        self.unopened_connections = 0
 
-    def unfinished(
+    def unfinished_code(
         self, reason: str = 'no further attempt is allowed'
     ) -> tuple[codes.Code, str]:
         """Returns the code and reason of a request that is not retried."""
@@ -86,36 +86,36 @@
         return codes.BACKEND_REFUSED, reason
 
 
-class Spot:
+class AttemptPlacement:
     """The placement of one attempt and its measurements."""
 
     __slots__ = (
+        'complete',
         'decode_s',
-        'events',
+        'event_count',
+        'local_prefill',
+        'plan_request',
+        'prefill_refused',
         'prefill_s',
-        'prefiller',
-        'reads_itself',
-        'refused',
-        'request',
+        'prefill_worker',
         'reserved',
-        'whole',
     )
 
     def __init__(
         self,
         reserved: forwarding.Reserved,
-        request: str = '',
-        prefiller: forwarding.Backend | None = None,
+        plan_request: str = '',
+        prefill_worker: forwarding.Backend | None = None,
     ) -> None:
         self.reserved = reserved
         # Name of the request in the coordinator's plan; empty without a plan.
-        self.request = request
-        self.prefiller = prefiller
+        self.plan_request = plan_request
+        self.prefill_worker = prefill_worker
         # Whether the decode worker prefills the prompt itself.
-        self.reads_itself = False
+        self.local_prefill = False
         self.prefill_s = 0.0
         self.decode_s = 0.0
-        self.events = 0
-        self.whole = False
+        self.event_count = 0
+        self.complete = False
         # Whether the decode worker did not accept the prefilled prompt.
-        self.refused = False
+        self.prefill_refused = False
--- a/packages/daemon/foxtaildaled/cancels.py
+++ b/packages/daemon/foxtaildaled/cancels.py
@@ -33,43 +33,43 @@
     due_at: float
 
 
-class Cancels:
+class CancelQueue:
     """Queue of cancels; a loop of the entry server runs `step`."""
 
-    __slots__ = ('_clock', '_engines', '_lock', '_queue', 'wake')
+    __slots__ = ('_clock', '_engines', '_lock', '_queue', 'on_added')
 
     _engines: ports.Engines
     _clock: ports.Clock
     _queue: collections.deque[Cancel]
     _lock: threading.Lock
     # Called after a cancel has been added.
-    wake: Callable[[], None]
+    on_added: Callable[[], None]
 
     def __init__(self, engines: ports.Engines, clock: ports.Clock) -> None:
         self._engines = engines
         self._clock = clock
         self._queue = collections.deque(maxlen=_MAX_QUEUED)
         self._lock = threading.Lock()
-        self.wake = lambda: None
+        self.on_added = lambda: None
 
     def add(
-        self, address: str, req: backends.CancelReq, after_s: float = 0.0
+        self, address: str, req: backends.CancelReq, delay_s: float = 0.0
     ) -> None:
         """Queues a cancel to be sent after a delay in seconds.
 
         Does not wait until it is sent.
         """
         with self._lock:
-            due_at = self._clock() + after_s
+            due_at = self._clock() + delay_s
             self._queue.append(Cancel(address, req, due_at))
-        self.wake()
+        self.on_added()
 
-    def drop(self, request: str) -> None:
+    def remove_request(self, request: str) -> None:
         """Removes the cancels of a request whose caller has retried."""
         with self._lock:
             self._retain(lambda cancel: cancel.req.request != request)
 
-    def step(self) -> None:
+    def send_due(self) -> None:
         """Sends each cancel that is due once.
 
         After an engine has failed one cancel, its other cancels are postponed
@@ -91,7 +91,7 @@
             with self._lock:
                 self._queue.append(retry)
 
-    def forget(self, listed: frozenset[str]) -> None:
+    def remove_unlisted(self, listed: frozenset[str]) -> None:
         """Removes cancels for engines that are no longer listed."""
         with self._lock:
             self._retain(lambda cancel: cancel.address in listed)
