--- a/packages/daemon/foxtaildaled/chats.py
+++ b/packages/daemon/foxtaildaled/chat_requests.py
@@ -13,14 +13,14 @@
 from foxtaildale import ports
 from foxtaildale import streams
 from foxtaildale import values
-from foxtaildaled import answers
 from foxtaildaled import cancels
-from foxtaildaled import claiming
-from foxtaildaled import gate
+from foxtaildaled import claim_client
+from foxtaildaled import completions
 from foxtaildaled import job as jobs
+from foxtaildaled import request_checks
+from foxtaildaled import request_context as contexts
 from foxtaildaled import sinks
-from foxtaildaled import slots
-from foxtaildaled import visit as contexts
+from foxtaildaled import slot_acquisition
 
 FIRST_ANSWER_HEADER: Final = 'foxtaildale-first-answer-ms'
 RESUME_HEADER: Final = 'foxtaildale-resume-within-s'
@@ -29,7 +29,7 @@
 _MAX_HEADER_NUMBER: Final = 1e9
 
 
-class Chats:
+class ChatRequests:
     """Serves requests to model services."""
 
     __slots__ = (
@@ -45,11 +45,11 @@
 
     _cfg: options.Options
     _incarnation: str
-    _gate: gate.Gate
+    _gate: request_checks.RequestChecks
     _replies: contexts.Replies
-    _completions: answers.Answers
-    _claiming: claiming.Claiming
-    _cancels: cancels.Cancels
+    _completions: completions.Completions
+    _claiming: claim_client.ClaimClient
+    _cancels: cancels.CancelQueue
     _clock: ports.Clock
 
     def __init__(
@@ -57,26 +57,26 @@
         *,
         cfg: options.Options,
         incarnation: str,
-        admission: gate.Gate,
+        checks: request_checks.RequestChecks,
         replies: contexts.Replies,
-        model: answers.Answers,
-        claim_desk: claiming.Claiming,
-        cancel_queue: cancels.Cancels,
+        completion_runner: completions.Completions,
+        claim_desk: claim_client.ClaimClient,
+        cancel_queue: cancels.CancelQueue,
         clock: ports.Clock,
     ) -> None:
         self._cfg = cfg
         self._incarnation = incarnation
-        self._gate = admission
+        self._gate = checks
         self._replies = replies
-        self._completions = model
+        self._completions = completion_runner
         self._claiming = claim_desk
         self._cancels = cancel_queue
         self._clock = clock
 
-    def complete(self, context: contexts.Visit) -> None:
+    def complete(self, context: contexts.RequestContext) -> None:
         """Serves a request for a new completion."""
         try:
-            req = chat.decode(context.ex.body)
+            req = chat.decode(context.exchange.body)
         except errors.DecodeError as exc:
             self._replies.reject(context, '', str(exc))
             return
@@ -84,22 +84,22 @@
         if service is None:
             return
         job = self._make_job(context, service, req)
-        sink = sinks.make(
-            context.ex,
+        sink = sinks.make_sink(
+            context.exchange,
             context.request,
             req.model,
             stream=req.stream,
-            keep=service.once == 'claim',
+            keep_response=service.once == 'claim',
         )
-        context.ex.watch(job.on_gone)
+        context.exchange.watch(job.on_disconnected)
         if service.once == 'claim':
             result = self._run_claimed(context, job, sink)
         else:
             result = self._completions.run(job, sink)
-        sink.end(
-            self._replies.outcome(
+        sink.finish(
+            self._replies.make_recorded_outcome(
                 context,
-                job.name,
+                job.service_name,
                 result.code,
                 figures=result.figures,
                 retry_after_s=result.retry_after_s,
@@ -107,10 +107,12 @@
             result.answer,
         )
 
-    def read_on(self, context: contexts.Visit) -> None:
+    def resume_stream(self, context: contexts.RequestContext) -> None:
         """Resumes a stream that began on another connection or VM."""
         try:
-            event = streams.parse_id(context.ex.headers.get(EVENT_HEADER, ''))
+            event = streams.parse_event_id(
+                context.exchange.headers.get(EVENT_HEADER, '')
+            )
         except errors.DecodeError as exc:
             self._replies.reject(context, '', str(exc))
             return
@@ -118,21 +120,25 @@
         if server is None:
             self._replies.refuse(context, '', codes.NO_STREAM)
             return
-        self._cancels.drop(_request_identity(event))
-        sink = sinks.EventSink(context.ex, context.request, server.service)
+        self._cancels.remove_request(_request_identity(event))
+        sink = sinks.EventSink(
+            context.exchange, context.request, server.service
+        )
         disconnected = self._cancel_on_disconnect(context, server, event)
-        code = self._completions.read_on(
+        code = self._completions.resume_stream(
             server.address, event, self._incarnation, sink, disconnected
         )
-        sink.end(self._replies.outcome(context, server.service, code))
+        sink.finish(
+            self._replies.make_recorded_outcome(context, server.service, code)
+        )
 
     def _make_job(
         self,
-        context: contexts.Visit,
+        context: contexts.RequestContext,
         service: values.Service,
         req: chat.ChatReq,
     ) -> jobs.Job:
-        headers = context.ex.headers
+        headers = context.exchange.headers
         target_ms = _parse_number(headers.get(FIRST_ANSWER_HEADER, ''))
         resume_s = _parse_number(headers.get(RESUME_HEADER, ''))
         return jobs.Job(
@@ -144,32 +150,34 @@
             cancel_queue=self._cancels,
             arrived_at=self._clock(),
             first_answer_ms=round(target_ms) or service.first_answer_ms,
-            resume_s=min(resume_s, self._cfg.grace_s),
+            resume_window_s=min(resume_s, self._cfg.grace_s),
         )
 
     def _run_claimed(
-        self, context: contexts.Visit, job: jobs.Job, sink: sinks.Sink
-    ) -> slots.Refusal:
-        refusal = self._claiming.claim(context, job.name, 'chat')
+        self, context: contexts.RequestContext, job: jobs.Job, sink: sinks.Sink
+    ) -> slot_acquisition.FinalResult:
+        refusal = self._claiming.claim(context, job.service_name, 'chat')
         if refusal is not None:
             return refusal
         result = self._completions.run(job, sink)
-        outcome = self._replies.stamp(
+        outcome = self._replies.make_outcome(
             result.code,
             job.request,
-            job.name,
+            job.service_name,
             job.snapshot,
             figures=result.figures,
         )
-        document = sink.whole() if result.code is codes.OK else b''
-        self._claiming.end(job.name, context.key, outcome, document)
+        document = sink.complete_response() if result.code is codes.OK else b''
+        self._claiming.report_outcome(
+            job.service_name, context.key, outcome, document
+        )
         return msgspec.structs.replace(
-            result, code=context.covering(result.code)
+            result, code=context.refusal_code(result.code)
         )
 
     def _cancel_on_disconnect(
         self,
-        context: contexts.Visit,
+        context: contexts.RequestContext,
         server: values.BackendServer,
         event: streams.EventId,
     ) -> threading.Event:
@@ -183,7 +191,7 @@
             disconnected.set()
             self._cancels.add(server.address, req)
 
-        context.ex.watch(on_disconnected)
+        context.exchange.watch(on_disconnected)
         return disconnected
 
 
--- a/packages/daemon/foxtaildaled/answers.py
+++ b/packages/daemon/foxtaildaled/completions.py
@@ -27,12 +27,12 @@
 from foxtaildale import values
 from foxtaildale_adapters import metrics
 from foxtaildale_adapters import pump
+from foxtaildaled import attempt_stages
+from foxtaildaled import entry_retry_budgets
 from foxtaildaled import job as jobs
-from foxtaildaled import reading
-from foxtaildaled import retries
+from foxtaildaled import response_reading
 from foxtaildaled import sinks
-from foxtaildaled import slots
-from foxtaildaled import stages
+from foxtaildaled import slot_acquisition
 from foxtaildaled import view
 
 # Maximum number of times that a broken stream is resumed.
@@ -43,7 +43,7 @@
 _LEAVING: Final = 'leaving'
 
 
-class Answers:
+class Completions:
     """Runs requests to model services."""
 
     __slots__ = (
@@ -60,53 +60,57 @@
 
     _cfg: options.Options
     _engines: ports.Engines
-    _slots: slots.Slots
-    _retries: retries.Retries
+    _slots: slot_acquisition.SlotClient
+    _retries: entry_retry_budgets.RetryBudgets
     _metrics: metrics.Metrics
     _clock: ports.Clock
     _view: view.View
     _pump: pump.Pump
-    _stages: stages.Stages
+    _stages: attempt_stages.Stages
 
     def __init__(
         self,
         *,
         cfg: options.Options,
         engines: ports.Engines,
-        seen: view.View,
-        carrier: pump.Pump,
-        getter: slots.Slots,
-        budget: retries.Retries,
-        counts: metrics.Metrics,
+        current_view: view.View,
+        stream_pump: pump.Pump,
+        slot_client: slot_acquisition.SlotClient,
+        budgets: entry_retry_budgets.RetryBudgets,
+        request_metrics: metrics.Metrics,
         clock: ports.Clock,
     ) -> None:
         self._cfg = cfg
         self._engines = engines
-        self._slots = getter
-        self._retries = budget
-        self._metrics = counts
+        self._slots = slot_client
+        self._retries = budgets
+        self._metrics = request_metrics
         self._clock = clock
-        self._view = seen
-        self._pump = carrier
-        self._stages = stages.Stages(engines, getter, counts, clock)
+        self._view = current_view
+        self._pump = stream_pump
+        self._stages = attempt_stages.Stages(
+            engines, slot_client, request_metrics, clock
+        )
 
-    def run(self, job: jobs.Job, sink: sinks.Sink) -> slots.Refusal:
+    def run(
+        self, job: jobs.Job, sink: sinks.Sink
+    ) -> slot_acquisition.FinalResult:
         """Runs a request to its end and returns its final result."""
-        self._retries.first(job.name, job.snapshot)
-        last: stages.Failure | None = None
+        self._retries.record_first_attempt(job.service_name, job.snapshot)
+        last: attempt_stages.AttemptFailure | None = None
         while True:
             job.attempt += 1
             result = self._attempt(job, sink, last)
-            if isinstance(result, slots.Refusal):
+            if isinstance(result, slot_acquisition.FinalResult):
                 return _final_refusal(job, result)
-            if job.gone.is_set():
-                return slots.Refusal(codes.CANCELLED)
+            if job.caller_disconnected.is_set():
+                return slot_acquisition.FinalResult(codes.CANCELLED)
             self._report_leaving(job, result)
             if not self._may_retry(job, sink, result):
                 return _failure_result(job, result, sink)
             last = result
 
-    def read_on(
+    def resume_stream(
         self,
         address: str,
         event: streams.EventId,
@@ -117,18 +121,18 @@
         """Resumes a stream after an event, for a caller that reconnected."""
         request, _dot, attempt = event.stream.rpartition('.')
         attempt_number = int(attempt) if attempt.isdecimal() else 0
-        sink.begin(event.worker, event.stream)
+        sink.begin_attempt(event.worker, event.stream)
         checker = streams.Checker(
             request, attempt_number, event.stream, event.position + 1
         )
-        reader = reading.Reader(
-            gone=disconnected,
+        reader = response_reading.ResponseReader(
+            caller_disconnected=disconnected,
             sink=sink,
             checker=checker,
             clock=self._clock,
-            times=[],
-            carrier=self._pump,
-            silence_s=self._cfg.silence_s,
+            sent_times=[],
+            stream_pump=self._pump,
+            max_silence_s=self._cfg.silence_s,
         )
         try:
             chunks = self._engines.resume(
@@ -147,7 +151,9 @@
             return codes.CANCELLED
         return codes.BROKEN if reason else codes.OK
 
-    def _report_leaving(self, job: jobs.Job, failure: stages.Failure) -> None:
+    def _report_leaving(
+        self, job: jobs.Job, failure: attempt_stages.AttemptFailure
+    ) -> None:
         """Notifies the keepers of a backend server that is shutting down."""
         if failure.rejected == _LEAVING:
             server = job.snapshot.server(failure.at)
@@ -155,7 +161,10 @@
                 self._view.report_leaving(server)
 
     def _may_retry(
-        self, job: jobs.Job, sink: sinks.Sink, failure: stages.Failure
+        self,
+        job: jobs.Job,
+        sink: sinks.Sink,
+        failure: attempt_stages.AttemptFailure,
     ) -> bool:
         if sink.started:
             return False
@@ -168,95 +177,107 @@
         deadline = None
         if job.first_answer_ms:
             deadline = job.arrived_at + job.first_answer_ms / 1000
-        if not self._retries.take(job.name, job.snapshot, deadline):
+        if not self._retries.acquire(job.service_name, job.snapshot, deadline):
             return False
-        self._metrics.retries.add(1, job.name)
+        self._metrics.retries.add(1, job.service_name)
         return True
 
     def _attempt(
-        self, job: jobs.Job, sink: sinks.Sink, last: stages.Failure | None
-    ) -> slots.Refusal | stages.Failure:
-        ready = self._stages.still_ready(last)
-        grant = self._slots.get(
+        self,
+        job: jobs.Job,
+        sink: sinks.Sink,
+        last: attempt_stages.AttemptFailure | None,
+    ) -> slot_acquisition.FinalResult | attempt_stages.AttemptFailure:
+        ready = self._stages.usable_prefill(last)
+        grant = self._slots.acquire(
             job, ready.worker if ready else '', last.decode if last else ''
         )
-        if isinstance(grant, slots.Refusal):
+        if isinstance(grant, slot_acquisition.FinalResult):
             return grant
-        measured = stages.Measured()
-        result: slots.Refusal | stages.Failure | None = None
+        measured = attempt_stages.StageTimes()
+        result: (
+            slot_acquisition.FinalResult | attempt_stages.AttemptFailure | None
+        ) = None
         try:
-            job.gone.wait(grant.start_in_ms / 1000)
+            job.caller_disconnected.wait(grant.start_in_ms / 1000)
             result = self._run_stages(job, sink, grant, measured, ready)
         finally:
-            if not isinstance(result, slots.Refusal) or job.gone.is_set():
-                job.abandon(stages.kept(result))
-            self._slots.end(job, _release_message(job, grant, measured, result))
+            if (
+                not isinstance(result, slot_acquisition.FinalResult)
+                or job.caller_disconnected.is_set()
+            ):
+                job.cancel_attempt(
+                    attempt_stages.reusable_prefill_address(result)
+                )
+            self._slots.release(
+                job, _release_message(job, grant, measured, result)
+            )
         return result
 
     def _run_stages(
         self,
         job: jobs.Job,
         sink: sinks.Sink,
-        grant: messages.Granted,
-        measured: stages.Measured,
-        ready: stages.Ready | None,
-    ) -> slots.Refusal | stages.Failure:
+        grant: messages.SlotGrant,
+        measured: attempt_stages.StageTimes,
+        ready: attempt_stages.FinishedPrefill | None,
+    ) -> slot_acquisition.FinalResult | attempt_stages.AttemptFailure:
         """Runs the prefill, transfer and decode stages of one attempt."""
         if ready is None:
             prefilled = self._stages.prefill(job, grant, measured)
-            if not isinstance(prefilled, stages.Ready):
+            if not isinstance(prefilled, attempt_stages.FinishedPrefill):
                 return prefilled
             ready = prefilled
         transferred = self._stages.transfer(job, grant, ready, measured)
-        if not isinstance(transferred, messages.Granted):
-            if not stages.kept(transferred):
+        if not isinstance(transferred, messages.SlotGrant):
+            if not attempt_stages.reusable_prefill_address(transferred):
                 self._metrics.wasted_prefill_tokens.add(
-                    ready.reply.tokens - ready.reply.cached, job.name
+                    ready.reply.tokens - ready.reply.cached, job.service_name
                 )
             return transferred
         began_at = self._clock()
         result = self._decode(job, sink, transferred)
-        measured.decode_ms = self._stages.since(began_at)
-        measured.output_tokens = len(job.times)
+        measured.decode_ms = self._stages.elapsed_ms(began_at)
+        measured.output_tokens = len(job.chunk_times)
         return result
 
     def _decode(
-        self, job: jobs.Job, sink: sinks.Sink, grant: messages.Granted
-    ) -> slots.Refusal | stages.Failure:
+        self, job: jobs.Job, sink: sinks.Sink, grant: messages.SlotGrant
+    ) -> slot_acquisition.FinalResult | attempt_stages.AttemptFailure:
         """Reads the stream to its end, and resumes it if a connection fails."""
         req = backends.DecodeReq(
             request=job.request,
             attempt=job.attempt,
             holder=job.holder,
-            stream=job.stream,
-            max_tokens=job.max_tokens,
+            stream=job.stream_name,
+            max_tokens=job.max_output_tokens,
             priority=job.service.priority,
         )
-        checker = streams.Checker(job.request, job.attempt, job.stream)
-        sink.begin(grant.decode, job.stream)
-        job.times.clear()
-        reader = reading.Reader(
-            gone=job.gone,
+        checker = streams.Checker(job.request, job.attempt, job.stream_name)
+        sink.begin_attempt(grant.decode_worker, job.stream_name)
+        job.chunk_times.clear()
+        reader = response_reading.ResponseReader(
+            caller_disconnected=job.caller_disconnected,
             sink=sink,
             checker=checker,
             clock=self._clock,
-            times=job.times,
-            carrier=self._pump,
-            silence_s=self._cfg.silence_s,
+            sent_times=job.chunk_times,
+            stream_pump=self._pump,
+            max_silence_s=self._cfg.silence_s,
         )
         reason = ''
         for connection_index in range(_MAX_RESUMES + 1):
-            if job.gone.is_set():
+            if job.caller_disconnected.is_set():
                 break
             try:
                 chunks = self._open_stream(
                     job, grant, req, checker, connection_index
                 )
-                with job.reading(chunks):
+                with job.closing_stream(chunks):
                     reason = reader.read(chunks)
             except errors.RejectedError as exc:
-                failure = self._stages.failed(
-                    job, 'decode-failed', exc, grant.decode
+                failure = self._stages.make_failure(
+                    job, 'decode-failed', exc, grant.decode_worker
                 )
                 return msgspec.structs.replace(
                     failure, begun=connection_index > 0
@@ -264,69 +285,75 @@
             except errors.UnreachableError as exc:
                 reason = str(exc)
                 if connection_index == 0:
-                    return self._stages.failed(
-                        job, 'decode-failed', exc, grant.decode
+                    return self._stages.make_failure(
+                        job, 'decode-failed', exc, grant.decode_worker
                     )
             except errors.PortError as exc:
                 reason = str(exc)
             if not reason:
-                job.let_go(grant.decode_address)
+                job.remove_reservation(grant.decode_address)
                 self._observe_times(job)
-                return slots.Refusal(codes.OK)
-        job.sent = True
-        return stages.Failure('decode-failed', reason, grant.decode, begun=True)
+                return slot_acquisition.FinalResult(codes.OK)
+        job.may_have_run = True
+        return attempt_stages.AttemptFailure(
+            'decode-failed', reason, grant.decode_worker, begun=True
+        )
 
     def _observe_times(self, job: jobs.Job) -> None:
-        times = job.times
+        times = job.chunk_times
         if not times:
             return
         self._metrics.first_answer_seconds.observe(
-            [times[0] - job.arrived_at], job.name
+            [times[0] - job.arrived_at], job.service_name
         )
         self._metrics.between_tokens_seconds.observe(
             [later - earlier for earlier, later in itertools.pairwise(times)],
-            job.name,
+            job.service_name,
         )
 
     def _open_stream(
         self,
         job: jobs.Job,
-        grant: messages.Granted,
+        grant: messages.SlotGrant,
         req: backends.DecodeReq,
         checker: streams.Checker,
         connection_index: int,
-    ) -> ports.Pieces:
+    ) -> ports.EventStream:
         silence_s = self._cfg.silence_s
         if connection_index == 0:
             return self._engines.decode(grant.decode_address, req, silence_s)
         return self._engines.resume(
             grant.decode_address,
-            job.stream,
+            job.stream_name,
             checker.position,
             job.holder,
             silence_s,
         )
 
 
-def _final_refusal(job: jobs.Job, refusal: slots.Refusal) -> slots.Refusal:
+def _final_refusal(
+    job: jobs.Job, refusal: slot_acquisition.FinalResult
+) -> slot_acquisition.FinalResult:
     """Returns a refusal with the code that is true after earlier attempts."""
-    if not job.sent or refusal.code.ran != 'no':
+    if not job.may_have_run or refusal.code.ran != 'no':
         return refusal
     # An earlier attempt was sent to a backend server, so "not run" would be
     # wrong.
     code = codes.CANCELLED if refusal.code is codes.GONE else codes.FAILED
-    return slots.Refusal(code, refusal.figures, refusal.retry_after_s)
+    return slot_acquisition.FinalResult(
+        code, refusal.figures, refusal.retry_after_s
+    )
 
 
 def _failure_result(
-    job: jobs.Job, failure: stages.Failure, sink: sinks.Sink
-) -> slots.Refusal:
+    job: jobs.Job, failure: attempt_stages.AttemptFailure, sink: sinks.Sink
+) -> slot_acquisition.FinalResult:
     code = codes.FAILED
     if sink.started:
         code = codes.BROKEN
-    elif not job.sent:
+    elif not job.may_have_run:
         code = codes.BACKEND_REFUSED
-    return slots.Refusal(
+    return slot_acquisition.FinalResult(
         code,
         (
             values.Figure('stage', failure.stage),
@@ -338,18 +365,18 @@
 
 def _release_message(
     job: jobs.Job,
-    grant: messages.Granted,
-    measured: stages.Measured,
-    result: slots.Refusal | stages.Failure | None,
-) -> messages.EndSlot:
-    if job.gone.is_set():
+    grant: messages.SlotGrant,
+    measured: attempt_stages.StageTimes,
+    result: slot_acquisition.FinalResult | attempt_stages.AttemptFailure | None,
+) -> messages.SlotRelease:
+    if job.caller_disconnected.is_set():
         outcome = 'cancelled'
-    elif isinstance(result, stages.Failure):
+    elif isinstance(result, attempt_stages.AttemptFailure):
         outcome = result.stage
     else:
         outcome = 'done'
-    return messages.EndSlot(
-        service=job.name,
+    return messages.SlotRelease(
+        service=job.service_name,
         grant=grant.grant,
         result=outcome,
         prefill_ms=measured.prefill_ms,
--- a/packages/daemon/foxtaildaled/asking.py
+++ b/packages/daemon/foxtaildaled/coordinator_client.py
@@ -15,39 +15,39 @@
 from typing import Final
 from typing import TypeVar
 
+from foxtaildale import coordinator_choice
 from foxtaildale import errors
 from foxtaildale import forwarding
-from foxtaildale import homes
 from foxtaildale import messages
 from foxtaildale import ports
 from foxtaildale import suspects
 from foxtaildale_adapters import logs
 from foxtaildaled import actors
-from foxtaildaled import beliefs
+from foxtaildaled import router_state
 
 # Limits of one request: it fails after `LOST` lost replies, which is one less
 # than two replies of each of two coordinators, or after `REFUSED` refusals.
 # More refusals are allowed since they arrive within milliseconds.
-LOST: Final = 3
-REFUSED: Final = 8
+MAX_LOST_REPLIES: Final = 3
+MAX_REFUSALS: Final = 8
 # Timeout for the reply to a probe, seconds. A round trip takes two
 # milliseconds.
-PROBE_ANSWER_S: Final = 0.25
+PROBE_TIMEOUT_S: Final = 0.25
 # Timeout for the reply to a notification, seconds.
-TELL_S: Final = 0.25
+NOTIFY_TIMEOUT_S: Final = 0.25
 # Maximum number of queued notifications; more are dropped. The next inventory
 # makes up for a lost release of a placement and the next failure for a lost
 # report. Units that were not refunded become available again at the rate of the
 # account.
-QUEUE_LIMIT: Final = 500
+MAX_NOTIFICATIONS: Final = 500
 
 # Name and peer address of an entry VM.
-Home = tuple[str, str]
+Coordinator = tuple[str, str]
 _Answer = TypeVar('_Answer')
-Handle = Callable[[messages.Any], messages.Any]
+Handler = Callable[[messages.Message], messages.Message]
 
 
-class Asking:
+class CoordinatorClient:
     """Client of all coordinators; safe for concurrent use."""
 
     __slots__ = (
@@ -68,8 +68,8 @@
         self,
         *,
         entry_vm: str,
-        handle: Handle,
-        owner: actors.Owner[beliefs.Beliefs],
+        handle: Handler,
+        owner: actors.StateOwner[router_state.RouterState],
         peers: ports.PeerGroup,
         clock: ports.Clock,
     ) -> None:
@@ -81,14 +81,14 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._suspects = suspects.Suspects()
-        self._eligible_vms = homes.Strong(lambda vm: vm.cores)
-        self._cache = homes.Homes()
+        self._eligible_vms = coordinator_choice.EligibleVms(lambda vm: vm.cores)
+        self._cache = coordinator_choice.CoordinatorCache()
         # Entry VMs that replied at least once. This distinguishes VMs that are
         # busy from VMs that were removed but are still listed.
         self._replied: set[str] = set()
         # Queued notifications by name, in the order in which they are sent.
-        self._notifications: queue.Queue[tuple[str, messages.Any]] = (
-            queue.Queue(QUEUE_LIMIT)
+        self._notifications: queue.Queue[tuple[str, messages.Message]] = (
+            queue.Queue(MAX_NOTIFICATIONS)
         )
 
     def start(self) -> None:
@@ -97,44 +97,44 @@
             target=self._send_notifications, name='asking', daemon=True
         ).start()
 
-    def ask(
+    def request(
         self,
         name: str,
-        msg: messages.Any,
-        answers: tuple[type[_Answer], ...],
-        answer_s: float,
+        msg: messages.Message,
+        reply_types: tuple[type[_Answer], ...],
+        timeout_s: float,
     ) -> _Answer | None:
         """Sends a request to a coordinator; None if no coordinator replies.
 
         Args:
             name: The name whose coordinator is asked.
             msg: The request.
-            answers: The message types that are valid replies.
-            answer_s: Timeout for the reply of one coordinator, seconds.
+            reply_types: The message types that are valid replies.
+            timeout_s: Timeout for the reply of one coordinator, seconds.
         """
         lost = refused = 0
-        while lost < LOST and refused < REFUSED:
+        while lost < MAX_LOST_REPLIES and refused < MAX_REFUSALS:
             coordinator = self._coordinator(name)
             if coordinator is None:
                 return None
             try:
-                reply = self._send(coordinator, msg, answer_s)
+                reply = self._send(coordinator, msg, timeout_s)
             except errors.PortError as exc:
-                if isinstance(exc, errors.AnswerLostError):
+                if isinstance(exc, errors.NoReplyError):
                     lost += 1
                 else:
                     refused += 1
                 self._suspect(coordinator, exc)
                 continue
             with self._lock:
-                self._suspects.answered(coordinator[0])
+                self._suspects.record_success(coordinator[0])
                 self._replied.add(coordinator[0])
-            if isinstance(reply, answers):
+            if isinstance(reply, reply_types):
                 return reply
             refused += 1
         return None
 
-    def tell(self, name: str, msg: messages.Any) -> None:
+    def notify(self, name: str, msg: messages.Message) -> None:
         """Notifies a coordinator asynchronously; does not retry."""
         try:
             self._notifications.put_nowait((name, msg))
@@ -143,12 +143,12 @@
                 logging.WARNING, 'home not told', what=type(msg).__name__
             )
 
-    def is_home(self, name: str) -> bool:
+    def is_coordinator(self, name: str) -> bool:
         """Whether this entry VM is the coordinator of a name."""
         coordinator = self._coordinator(name)
         return coordinator is not None and coordinator[0] == self._entry_vm
 
-    def heirs(self, name: str, count: int) -> list[str]:
+    def successor_addresses(self, name: str, count: int) -> list[str]:
         """Returns the addresses of the first coordinators by rank.
 
         These are the current coordinator and its successors, in the order in
@@ -156,19 +156,21 @@
         """
         entry_vms = self._entry_vms()
         with self._lock:
-            eligible = self._eligible_vms.among(
-                entry_vms, self._suspects.passed()
+            eligible = self._eligible_vms.eligible(
+                entry_vms, self._suspects.excluded()
             )
         ranked = sorted(
-            eligible, key=lambda vm: (homes.score(name, vm), vm), reverse=True
+            eligible,
+            key=lambda vm: (coordinator_choice.score(name, vm), vm),
+            reverse=True,
         )
         others = [vm for vm in ranked if vm != self._entry_vm]
         return [entry_vms[vm].peer_address for vm in others[:count]]
 
-    def probe(self) -> None:
+    def probe_suspects(self) -> None:
         """Probes the suspects that are due."""
         with self._lock:
-            due = self._suspects.due(self._clock())
+            due = self._suspects.due_probes(self._clock())
         if not due:
             return
         entry_vms = self._entry_vms()
@@ -177,18 +179,22 @@
             for name in due
             if name in entry_vms
         }
-        replies = self._peers.ask_all(
-            list(addresses.values()), messages.AskHome(), PROBE_ANSWER_S
+        replies = self._peers.request_all(
+            list(addresses.values()),
+            messages.EligibilityRequest(),
+            PROBE_TIMEOUT_S,
         )
         for name, address in addresses.items():
             reply = replies.get(address)
-            fit = isinstance(reply, messages.HomeReply) and reply.fit
+            fit = (
+                isinstance(reply, messages.EligibilityReply) and reply.eligible
+            )
             with self._lock:
-                self._suspects.probed(self._clock(), name, fit=fit)
+                self._suspects.record_probe(self._clock(), name, fit=fit)
             if fit:
                 logs.event(logging.INFO, 'home regained', entry_vm_asked=name)
 
-    def greet(self, name: str) -> None:
+    def probe_coordinator(self, name: str) -> None:
         """Probes a coordinator before a request needs it.
 
         The list of VMs also contains VMs that were removed. If the first
@@ -203,15 +209,15 @@
         ):
             return
         try:
-            reply = self._peers.ask(
-                coordinator[1], messages.AskHome(), PROBE_ANSWER_S
+            reply = self._peers.request(
+                coordinator[1], messages.EligibilityRequest(), PROBE_TIMEOUT_S
             )
         except errors.PortError as exc:
             self._suspect(coordinator, exc)
             return
         with self._lock:
             self._replied.add(coordinator[0])
-        if isinstance(reply, messages.HomeReply) and not reply.fit:
+        if isinstance(reply, messages.EligibilityReply) and not reply.eligible:
             self._suspect(coordinator, errors.RejectedError('unfit', 'not fit'))
 
     def _send_notifications(self) -> None:
@@ -221,39 +227,41 @@
             if coordinator is None:
                 continue
             try:
-                self._send(coordinator, msg, TELL_S)
+                self._send(coordinator, msg, NOTIFY_TIMEOUT_S)
             except errors.PortError as exc:
                 self._suspect(coordinator, exc)
 
     def _entry_vms(self) -> dict[str, forwarding.EntryVm]:
         return self._owner.run(lambda state, _: state.entry_vms)
 
-    def _coordinator(self, name: str) -> Home | None:
+    def _coordinator(self, name: str) -> Coordinator | None:
         """Returns the coordinator of a name; None if no VM is eligible."""
         entry_vms = self._entry_vms()
         with self._lock:
-            eligible = self._eligible_vms.among(
-                entry_vms, self._suspects.passed()
+            eligible = self._eligible_vms.eligible(
+                entry_vms, self._suspects.excluded()
             )
-            chosen = self._cache.home(name, eligible)
+            chosen = self._cache.coordinator_of(name, eligible)
         return (chosen, entry_vms[chosen].peer_address) if chosen else None
 
     def _send(
-        self, coordinator: Home, msg: messages.Any, answer_s: float
-    ) -> messages.Any:
+        self, coordinator: Coordinator, msg: messages.Message, answer_s: float
+    ) -> messages.Message:
         name, address = coordinator
         if name != self._entry_vm:
-            return self._peers.ask(address, msg, answer_s)
+            return self._peers.request(address, msg, answer_s)
         reply = self._handle(msg)
-        if isinstance(reply, messages.Fail):
+        if isinstance(reply, messages.ErrorReply):
             raise errors.RejectedError(reply.code, reply.message)
         return reply
 
-    def _suspect(self, coordinator: Home, exc: errors.PortError) -> None:
+    def _suspect(self, coordinator: Coordinator, exc: errors.PortError) -> None:
         name, address = coordinator
-        lost = isinstance(exc, errors.AnswerLostError)
+        lost = isinstance(exc, errors.NoReplyError)
         with self._lock:
-            passed = self._suspects.failed(self._clock(), name, lost=lost)
+            passed = self._suspects.record_failure(
+                self._clock(), name, lost=lost
+            )
         if not passed:
             return
         logs.event(
--- a/packages/daemon/foxtaildaled/breaks.py
+++ b/packages/daemon/foxtaildaled/crash_detection.py
@@ -10,10 +10,10 @@
 from foxtaildale import fingerprint
 from foxtaildale import forwarding
 from foxtaildale import ports
-from foxtaildaled import passage
+from foxtaildaled import routed_request
 
 
-class OnEnd(Protocol):
+class OnCrash(Protocol):
     """Callback for a request that ran on a server when it crashed."""
 
     def __call__(
@@ -26,26 +26,26 @@
         """Reports a request by fingerprint; see `Quarantining.crashed`."""
 
 
-class Breaks:
+class CrashDetector:
     """Probes servers whose connection broke during a request."""
 
     __slots__ = ('_clock', '_on_crash', '_probe')
 
     def __init__(
-        self, probe: ports.Probe, clock: ports.Clock, on_crash: OnEnd
+        self, probe: ports.Probe, clock: ports.Clock, on_crash: OnCrash
     ) -> None:
         self._probe = probe
         self._clock = clock
         self._on_crash = on_crash
 
-    def note(
+    def handle_send_error(
         self,
-        req: passage.Passage,
+        req: routed_request.RoutedRequest,
         server: forwarding.Backend,
         exc: errors.PortError,
         *,
         began_at: float,
-        began: bool = True,
+        may_have_begun: bool = True,
     ) -> None:
         """Handles the error of a send and probes the server if it was a break.
 
@@ -55,21 +55,24 @@
             exc: The error of the send.
             began_at: When the server began to run the request, seconds; when
                 it was sent, if that is not known.
-            began: Whether the server may have begun to run the request.
+            may_have_begun: Whether the server may have begun to run the request.
         """
-        if not isinstance(exc, errors.BrokenOffError) or req.gone.is_set():
+        if (
+            not isinstance(exc, errors.ConnectionBrokenError)
+            or req.caller_disconnected.is_set()
+        ):
             return
         ran_s = self._clock() - began_at
-        reach = self._probe.reach(server.address)
-        req.counts.broken.add(1, req.service.name, reach)
+        reach = self._probe.check(server.address)
+        req.request_metrics.broken.add(1, req.service.name, reach)
         req.log(
             'server probed',
             server=server.id,
             reach=reach,
-            fingerprint=fingerprint.text(req.fingerprint),
-            began=began,
+            fingerprint=fingerprint.to_text(req.fingerprint),
+            began=may_have_begun,
             ran_ms=int(ran_s * 1000),
         )
         if reach == 'refused':
-            req.ended_stages.add(server.stage)
+            req.crashed_stages.add(server.stage)
             self._on_crash(server, req.fingerprint, ran_s=ran_s)
--- a/packages/daemon/foxtaildaled/tidy.py
+++ b/packages/daemon/foxtaildaled/engine_cleanup.py
@@ -16,12 +16,12 @@
 
 # Maximum number of queued releases. Further resources are left to expire at
 # the engine, which takes two seconds at most.
-QUEUE_LIMIT: Final = 200
+MAX_QUEUED: Final = 200
 
 _Resource = forwarding.Reserved | forwarding.Prefilled
 
 
-class Tidy:
+class EngineCleanup:
     """Releases reservations and prefilled prompts in the background.
 
     Implements `ports.Tidy`.
@@ -29,19 +29,19 @@
 
     __slots__ = ('_queue', '_workers')
 
-    def __init__(self, workers: ports.Workers) -> None:
+    def __init__(self, workers: ports.ServerClient) -> None:
         self._workers = workers
-        self._queue: queue.Queue[_Resource] = queue.Queue(QUEUE_LIMIT)
+        self._queue: queue.Queue[_Resource] = queue.Queue(MAX_QUEUED)
 
     def start(self) -> None:
         """Starts the background thread."""
         threading.Thread(target=self._run, name='tidy', daemon=True).start()
 
-    def release(self, reserved: forwarding.Reserved) -> None:
+    def release_reservation(self, reserved: forwarding.Reserved) -> None:
         """Queues the release of a reservation."""
         self._put(reserved)
 
-    def free(self, prefilled: forwarding.Prefilled) -> None:
+    def release_prefill(self, prefilled: forwarding.Prefilled) -> None:
         """Queues the release of a prefilled prompt."""
         self._put(prefilled)
 
@@ -58,9 +58,9 @@
             resource = self._queue.get()
             try:
                 if isinstance(resource, forwarding.Reserved):
-                    self._workers.release(resource)
+                    self._workers.release_reservation(resource)
                 else:
-                    self._workers.free(resource)
+                    self._workers.release_prefill(resource)
             except errors.PortError as exc:
                 logs.event(
                     logging.INFO,
--- a/packages/daemon/foxtaildaled/entry.py
+++ b/packages/daemon/foxtaildaled/entry.py
@@ -22,12 +22,12 @@
 from foxtaildale import outcomes
 from foxtaildale import values
 from foxtaildale_adapters import callers
-from foxtaildaled import calls
-from foxtaildaled import chats
-from foxtaildaled import gate
-from foxtaildaled import records
+from foxtaildaled import chat_requests
+from foxtaildaled import outcome_records
+from foxtaildaled import plain_requests
+from foxtaildaled import request_checks
+from foxtaildaled import request_context as contexts
 from foxtaildaled import view
-from foxtaildaled import visit as contexts
 
 _OUTCOMES_PATH: Final = '/v1/outcomes/'
 
@@ -53,70 +53,75 @@
 
     _entry_vm: str
     _view: view.View
-    _gate: gate.Gate
-    _chats: chats.Chats
-    _calls: calls.Calls
+    _gate: request_checks.RequestChecks
+    _chats: chat_requests.ChatRequests
+    _calls: plain_requests.PlainRequests
     _replies: contexts.Replies
-    _records: records.Records
+    _records: outcome_records.OutcomeRecords
 
     def __init__(
         self,
         *,
         entry_vm: str,
-        seen: view.View,
-        admission: gate.Gate,
-        model: chats.Chats,
-        services: calls.Calls,
+        current_view: view.View,
+        checks: request_checks.RequestChecks,
+        chat_handler: chat_requests.ChatRequests,
+        plain_handler: plain_requests.PlainRequests,
         replies: contexts.Replies,
-        kept: records.Records,
+        outcome_records: outcome_records.OutcomeRecords,
     ) -> None:
         self._entry_vm = entry_vm
-        self._view = seen
-        self._gate = admission
-        self._chats = model
-        self._calls = services
+        self._view = current_view
+        self._gate = checks
+        self._chats = chat_handler
+        self._calls = plain_handler
         self._replies = replies
-        self._records = kept
+        self._records = outcome_records
 
     def handle(self, exchange: callers.Exchange) -> None:
         """Handles one request of a caller."""
         request = f'{self._entry_vm}-{uuid.uuid4().hex[:16]}'
-        context = contexts.Visit(exchange, request, self._view.now)
+        context = contexts.RequestContext(
+            exchange, request, self._view.snapshot
+        )
         route = self._route(exchange.method, exchange.path)
         if route is None:
             self._replies.reject(context, '', 'no such path')
-        elif self._gate.knows(context):
+        elif self._gate.check_account(context):
             route(context)
 
     def _route(
         self, method: str, path: str
-    ) -> Callable[[contexts.Visit], None] | None:
+    ) -> Callable[[contexts.RequestContext], None] | None:
         exact = {
             ('POST', '/v1/chat/completions'): self._chats.complete,
-            ('GET', '/v1/streams'): self._chats.read_on,
-            ('POST', '/v1/tickets'): self._calls.mint,
+            ('GET', '/v1/streams'): self._chats.resume_stream,
+            ('POST', '/v1/tickets'): self._calls.issue_tickets,
             ('GET', '/v1/keys'): self._send_key_prefix,
         }
         if (method, path) in exact:
             return exact[(method, path)]
-        if method == 'POST' and path.startswith(calls.PREFIX):
-            return self._calls.call
+        if method == 'POST' and path.startswith(plain_requests.PREFIX):
+            return self._calls.serve_call
         if method == 'GET' and path.startswith(_OUTCOMES_PATH):
             return self._send_outcome
         return None
 
-    def _send_key_prefix(self, context: contexts.Visit) -> None:
+    def _send_key_prefix(self, context: contexts.RequestContext) -> None:
         prefix = context.snapshot.key_prefix
         if prefix:
-            self._replies.tell(context, KeysReply(prefix))
+            self._replies.respond_document(context, KeysReply(prefix))
             return
         self._replies.refuse(
-            context, '', codes.LOG_DOWN, retry_after_s=contexts.AGAIN_S
+            context,
+            '',
+            codes.LOG_DOWN,
+            retry_after_s=contexts.DEFAULT_RETRY_AFTER_S,
         )
 
-    def _send_outcome(self, context: contexts.Visit) -> None:
+    def _send_outcome(self, context: contexts.RequestContext) -> None:
         outcome = self._records.find(
-            context.ex.path.removeprefix(_OUTCOMES_PATH)
+            context.exchange.path.removeprefix(_OUTCOMES_PATH)
         )
         if outcome is None:
             reason = values.Figure('reason', 'not decided here lately')
@@ -124,6 +129,6 @@
                 context, '', codes.NO_OUTCOME, figures=(reason,)
             )
             return
-        context.ex.respond(
+        context.exchange.respond(
             200, {'Content-Type': outcomes.JSON}, outcomes.body(outcome)
         )
--- a/packages/daemon/foxtaildaled/generate.py
+++ b/packages/daemon/foxtaildaled/generation.py
@@ -12,36 +12,36 @@
 from typing import Final
 
 from foxtaildale import codes
-from foxtaildale import comeback
 from foxtaildale import errors
 from foxtaildale import fingerprint
 from foxtaildale import forwarding
 from foxtaildale import ports
+from foxtaildale import retry_delays
 from foxtaildaled import actors
-from foxtaildaled import attempt
-from foxtaildaled import beliefs
-from foxtaildaled import breaks
-from foxtaildaled import passage
-from foxtaildaled import prompts
-from foxtaildaled import sends
-from foxtaildaled import spots
+from foxtaildaled import attempt_state
+from foxtaildaled import crash_detection
+from foxtaildaled import placement_finder
+from foxtaildaled import prefill_clients
+from foxtaildaled import routed_request
+from foxtaildaled import router_retry_budgets
+from foxtaildaled import router_state
 
 # Maximum silence of a stream that may be resumed at another worker, as a
 # multiple of the longest pause between events that still meets the target.
-SILENCE_GAPS: Final = 5.0
+STALL_GAP_FACTOR: Final = 5.0
 # Minimum of that silence, seconds.
-SILENCE_S: Final = 1.2
+MIN_STALL_S: Final = 1.2
 # Maximum number of connections to decode workers that may fail to open before a
 # request is refused. Nothing was sent over them, so they don't spend the retry
 # budget. All VMs know of a crashed engine a few milliseconds after two VMs have
 # failed to connect to it.
-CONNECTS: Final = 4
+MAX_UNOPENED_CONNECTIONS: Final = 4
 # Assumed time for which a full service stays full, seconds: some responses end
 # in that time.
-FULL_WAIT_S: Final = 0.8
+FULL_SERVICE_S: Final = 0.8
 
 
-class Generate:
+class Generation:
     """Serves requests for model engines; resumes them where allowed."""
 
     __slots__ = (
@@ -60,13 +60,13 @@
     def __init__(
         self,
         *,
-        owner: actors.Owner[beliefs.Beliefs],
-        workers: ports.Workers,
-        budgets: sends.Sends,
-        placements: spots.Spots,
-        prefill_client: prompts.Prompts,
-        cleanup: ports.Tidy,
-        crash_probe: breaks.Breaks,
+        owner: actors.StateOwner[router_state.RouterState],
+        workers: ports.ServerClient,
+        budgets: router_retry_budgets.RouterRetryBudgets,
+        placements: placement_finder.PlacementFinder,
+        prefill_client: prefill_clients.PrefillClient,
+        cleanup: ports.ResourceReleaser,
+        crash_probe: crash_detection.CrashDetector,
         on_completed: Callable[[int], None],
         clock: ports.Clock,
         rng: random.Random,
@@ -83,25 +83,27 @@
         self._clock = clock
         self._rng = rng
 
-    def serve(self, req: passage.Passage) -> None:
+    def serve(self, req: routed_request.RoutedRequest) -> None:
         """Serves one request; returns after its final response is sent."""
-        self._retry_budgets.first(req.service.name)
-        response = attempt.Answer(req.call.after_event)
+        self._retry_budgets.record_first_attempt(req.service.name)
+        response = attempt_state.ResponseState(req.caller_request.after_event)
         sent_ids: list[str] = []
         try:
             while not self._run_attempt(req, response, sent_ids):
                 self._check_retry(req, response)
-        except attempt.Refused as exc:
+        except attempt_state.RequestRefused as exc:
             self._send_failure(req, response, exc)
         finally:
             if response.prefilled is not None:
-                self._cleanup.free(response.prefilled)
-                req.counts.wasted_prefill_tokens.add(
-                    req.call.prompt_tokens, req.service.name
+                self._cleanup.release_prefill(response.prefilled)
+                req.request_metrics.wasted_prefill_tokens.add(
+                    req.caller_request.prompt_tokens, req.service.name
                 )
 
     def _check_retry(
-        self, req: passage.Passage, response: attempt.Answer
+        self,
+        req: routed_request.RoutedRequest,
+        response: attempt_state.ResponseState,
     ) -> None:
         """Checks that another attempt is allowed; spends the retry budget.
 
@@ -110,19 +112,21 @@
         """
         if response.unsent:
             response.unsent = False
-            if response.unopened < CONNECTS:
+            if response.unopened_connections < MAX_UNOPENED_CONNECTIONS:
                 return
-            raise attempt.Refused(*response.unfinished('no connection opened'))
-        allowed = self._retry_budgets.take(req.service.name, req.deadline)
+            raise attempt_state.RequestRefused(
+                *response.unfinished_code('no connection opened')
+            )
+        allowed = self._retry_budgets.acquire(req.service.name, req.deadline)
         req.log('retry', allowed=allowed)
         if not allowed:
-            raise attempt.Refused(*response.unfinished())
-        req.counts.retries.add(1, req.service.name)
+            raise attempt_state.RequestRefused(*response.unfinished_code())
+        req.request_metrics.retries.add(1, req.service.name)
 
     def _run_attempt(
         self,
-        req: passage.Passage,
-        response: attempt.Answer,
+        req: routed_request.RoutedRequest,
+        response: attempt_state.ResponseState,
         sent_ids: list[str],
     ) -> bool:
         """Makes one attempt; returns False if another one should follow.
@@ -130,30 +134,32 @@
         Raises:
             attempt.Refused: The request ends without another attempt.
         """
-        req.call.after_event = response.splitter.position
+        req.caller_request.after_event = response.splitter.position
         began_at = self._clock()
-        placement = self._placements.find(
-            req, sent_ids, started=response.started
+        placement = self._placements.wait_for_placement(
+            req, sent_ids, response_started=response.started
         )
         waited_s = self._clock() - began_at
-        req.counts.wait_seconds.observe((waited_s,), req.service.name)
+        req.request_metrics.wait_seconds.observe((waited_s,), req.service.name)
         reservation = placement.reserved
         tokens = reservation.tokens
         reservation_used = False
         self._owner.run(
-            lambda state, _: state.fleet.sent(reservation.worker.id, tokens)
+            lambda state, _: state.fleet.record_sent(
+                reservation.worker.id, tokens
+            )
         )
         try:
-            self._prefill_client.read(req, placement, response)
-            attempt.check_held(req.held_s())
-            if req.caller_gone():
-                raise attempt.Refused(
+            self._prefill_client.ensure_prefilled(req, placement, response)
+            attempt_state.check_quarantined(req.quarantine_left_s())
+            if req.check_disconnected():
+                raise attempt_state.RequestRefused(
                     codes.CANCELLED if sent_ids else codes.GONE
                 )
-            if not self._placements.takes(reservation.worker):
+            if not self._placements.is_accepting(reservation.worker):
                 req.log('place given up', server=reservation.worker.id)
                 response.unsent = True
-                response.unopened += 1
+                response.unopened_connections += 1
                 return False
             reservation_used = True
             if reservation.worker.id not in sent_ids:
@@ -161,27 +167,27 @@
             return self._decode(req, response, placement, sent_ids)
         finally:
             if not reservation_used and reservation.hold:
-                self._cleanup.release(reservation)
+                self._cleanup.release_reservation(reservation)
             self._owner.run(
-                lambda state, _: state.fleet.ended(
+                lambda state, _: state.fleet.record_finished(
                     reservation.worker.id, tokens
                 )
             )
-            self._placements.give_back(req, placement)
+            self._placements.release(req, placement)
 
     def _decode(
         self,
-        req: passage.Passage,
-        response: attempt.Answer,
-        placement: attempt.Spot,
+        req: routed_request.RoutedRequest,
+        response: attempt_state.ResponseState,
+        placement: attempt_state.AttemptPlacement,
         sent_ids: list[str],
     ) -> bool:
         reservation = placement.reserved
         prefilled = response.prefilled
         server = reservation.worker
-        left_s = req.left_s()
+        left_s = req.time_left_s()
         flight = self._workers.decode(
-            req.call,
+            req.caller_request,
             reservation,
             prefilled,
             left_s,
@@ -191,61 +197,65 @@
             'sent',
             server=server.id,
             attempt=len(sent_ids),
-            fingerprint=fingerprint.text(req.fingerprint),
+            fingerprint=fingerprint.to_text(req.fingerprint),
         )
         first_position = response.splitter.position or 0
         began_at = self._clock()
         head_at: float | None = None
         try:
-            req.attach(flight)
+            req.set_flight(flight)
             flight.send(left_s)
-            head = flight.head(self._max_silence_s(req, sent_ids))
+            head = flight.read_head(self._max_silence_s(req, sent_ids))
             head_at = self._clock()
             if head.ran == 'no':
-                placement.refused = not head.misdirected
+                placement.prefill_refused = not head.misdirected
                 req.log('not run', server=server.id, status=head.status)
                 if head.replaces(server.id):
-                    self._placements.replaced(req, server)
+                    self._placements.report_replaced(req, server)
                     # The request never reached the intended server.
                     sent_ids.remove(server.id)
                     return False
                 if response.started or len(sent_ids) < req.route.max_attempts:
                     return False
-                raise attempt.Refused(codes.BACKEND_REFUSED, reason='full')
+                raise attempt_state.RequestRefused(
+                    codes.BACKEND_REFUSED, reason='full'
+                )
             response.prefilled = None
             if not head.matches:
-                raise errors.AnswerLostError('response to another request')
+                raise errors.NoReplyError('response to another request')
             if not head.ok:
                 return self._relay_error(req, response, flight, head, sent_ids)
             self._relay(req, response, flight, head, sent_ids)
-            placement.whole = True
-            if not req.ended_stages - {server.stage}:
+            placement.complete = True
+            if not req.crashed_stages - {server.stage}:
                 self._on_completed(req.fingerprint)
         except errors.PortError as exc:
-            self._crash_probe.note(
+            self._crash_probe.handle_send_error(
                 req,
                 server,
                 exc,
                 began_at=began_at if head_at is None else head_at,
-                began=head_at is not None,
+                may_have_begun=head_at is not None,
             )
             return self._on_broken(req, response, server, exc, sent_ids)
         finally:
-            req.attach(None)
+            req.set_flight(None)
             flight.close()
             placement.decode_s = self._clock() - began_at
-            placement.events = (
+            placement.event_count = (
                 response.splitter.position or 0
             ) - first_position
-        self._owner.run(lambda state, now: state.fleet.answered(server.id, now))
+        self._owner.run(
+            lambda state, now: state.fleet.record_success(server.id, now)
+        )
         return True
 
     def _relay(
         self,
-        req: passage.Passage,
-        response: attempt.Answer,
-        flight: ports.Flight,
-        head: forwarding.Head,
+        req: routed_request.RoutedRequest,
+        response: attempt_state.ResponseState,
+        flight: ports.ServerExchange,
+        head: forwarding.ResponseHead,
         sent_ids: list[str],
     ) -> None:
         """Relays complete events to the caller until the end of the stream.
@@ -255,51 +265,51 @@
                 disconnected.
         """
         splitter = response.splitter
-        splitter.restart()
+        splitter.discard_incomplete_event()
         event_count = 0
-        while chunk := flight.read(self._max_silence_s(req, sent_ids)):
+        while chunk := flight.read_chunk(self._max_silence_s(req, sent_ids)):
             complete_events = splitter.feed(chunk)
             if not complete_events:
                 continue
             if not response.started:
                 self._start_response(req, response, head)
             event_count += 1
-            if not req.ex.send(complete_events):
-                req.gone.set()
-                raise errors.AnswerLostError('the caller has disconnected')
-        if splitter.partial:
-            raise errors.AnswerLostError('the stream ended within an event')
+            if not req.exchange.send(complete_events):
+                req.caller_disconnected.set()
+                raise errors.NoReplyError('the caller has disconnected')
+        if splitter.has_incomplete_event:
+            raise errors.NoReplyError('the stream ended within an event')
         if not response.started:
             self._start_response(req, response, head)
-        complete = req.ex.finish()
-        req.answered(
+        complete = req.exchange.finish()
+        req.record_response(
             head.status,
-            whole=complete,
+            complete=complete,
             blocks=event_count,
             position=splitter.position,
         )
 
     def _start_response(
         self,
-        req: passage.Passage,
-        response: attempt.Answer,
-        head: forwarding.Head,
+        req: routed_request.RoutedRequest,
+        response: attempt_state.ResponseState,
+        head: forwarding.ResponseHead,
     ) -> None:
         response.started = True
         req.log('first event')
-        req.counts.first_answer_seconds.observe(
+        req.request_metrics.first_answer_seconds.observe(
             (req.age_s(),), req.service.name
         )
-        if not req.ex.start(head.status, dict(head.headers)):
-            req.gone.set()
-            raise errors.AnswerLostError('the caller has disconnected')
+        if not req.exchange.start(head.status, dict(head.headers)):
+            req.caller_disconnected.set()
+            raise errors.NoReplyError('the caller has disconnected')
 
     def _relay_error(
         self,
-        req: passage.Passage,
-        response: attempt.Answer,
-        flight: ports.Flight,
-        head: forwarding.Head,
+        req: routed_request.RoutedRequest,
+        response: attempt_state.ResponseState,
+        flight: ports.ServerExchange,
+        head: forwarding.ResponseHead,
         sent_ids: list[str],
     ) -> bool:
         """Handles an error response of the worker.
@@ -311,19 +321,19 @@
             errors.AnswerLostError: The request should be resumed at another
                 worker instead, or a part of the response was sent before.
         """
-        body = prompts.read_small(flight, req.left_s())
+        body = prefill_clients.read_body(flight, req.time_left_s())
         if response.started or (
             head.status >= 500 and self._may_resume(req, sent_ids)
         ):
-            raise errors.AnswerLostError(f'status {head.status}')
-        complete = req.ex.respond(head.status, dict(head.headers), body)
-        req.answered(head.status, whole=complete)
+            raise errors.NoReplyError(f'status {head.status}')
+        complete = req.exchange.respond(head.status, dict(head.headers), body)
+        req.record_response(head.status, complete=complete)
         return True
 
     def _on_broken(
         self,
-        req: passage.Passage,
-        response: attempt.Answer,
+        req: routed_request.RoutedRequest,
+        response: attempt_state.ResponseState,
         server: forwarding.Backend,
         exc: errors.PortError,
         sent_ids: list[str],
@@ -333,62 +343,68 @@
             # The worker may have fetched the prompt and started.
             response.prefilled = None
             response.may_have_run = True
-        if req.gone.is_set():
-            raise attempt.Refused(codes.CANCELLED) from exc
-        self._placements.failed(req, server)
+        if req.caller_disconnected.is_set():
+            raise attempt_state.RequestRefused(codes.CANCELLED) from exc
+        self._placements.record_failure(req, server)
         if isinstance(exc, errors.UnreachableError):
             # Nothing was sent, so this does not count as an attempt.
             sent_ids.remove(server.id)
             response.unsent = True
-            response.unopened += 1
+            response.unopened_connections += 1
             return False
         if not self._may_resume(req, sent_ids):
-            if req.left_s() < passage.MIN_LEFT_S:
+            if req.time_left_s() < routed_request.MIN_SEND_TIME_S:
                 limit_ms = int((req.deadline - req.started_at) * 1000)
-                raise attempt.Refused(
+                raise attempt_state.RequestRefused(
                     codes.TIMED_OUT, limit_ms=limit_ms
                 ) from exc
-            raise attempt.Refused(codes.BROKEN) from exc
+            raise attempt_state.RequestRefused(codes.BROKEN) from exc
         return False
 
-    def _may_resume(self, req: passage.Passage, sent_ids: list[str]) -> bool:
+    def _may_resume(
+        self, req: routed_request.RoutedRequest, sent_ids: list[str]
+    ) -> bool:
         return (
             req.route.resumable
             and len(sent_ids) < req.route.max_attempts
-            and req.left_s() > passage.MIN_LEFT_S
+            and req.time_left_s() > routed_request.MIN_SEND_TIME_S
         )
 
     def _max_silence_s(
-        self, req: passage.Passage, sent_ids: list[str]
+        self, req: routed_request.RoutedRequest, sent_ids: list[str]
     ) -> float:
         """Returns the maximum silence of a worker, seconds."""
-        left_s = req.left_s()
+        left_s = req.time_left_s()
         if not self._may_resume(req, sent_ids):
             return left_s
-        return min(left_s, max(SILENCE_S, SILENCE_GAPS * req.route.gap_s))
+        return min(left_s, max(MIN_STALL_S, STALL_GAP_FACTOR * req.route.gap_s))
 
     def _send_failure(
         self,
-        req: passage.Passage,
-        response: attempt.Answer,
-        exc: attempt.Refused,
+        req: routed_request.RoutedRequest,
+        response: attempt_state.ResponseState,
+        exc: attempt_state.RequestRefused,
     ) -> None:
         if response.started:
             # The connection is cut, so that the caller does not take a partial
             # response for a complete one.
             req.log('failed', code=exc.code.name, status=exc.code.status)
-            req.counts.requests.add(1, req.service.name, exc.code.name)
-            req.ex.cut()
+            req.request_metrics.requests.add(1, req.service.name, exc.code.name)
+            req.exchange.cut()
             return
         if response.may_have_run and exc.code.ran == 'no':
             # The last attempt did not run, but the code is reported for the
             # whole request, and an earlier attempt of it may have run.
-            exc = attempt.Refused(codes.BROKEN)
+            exc = attempt_state.RequestRefused(codes.BROKEN)
         retry_s = 0.0
         if exc.retry_after_s:
-            retry_s = comeback.not_before_s(exc.retry_after_s, self._rng)
+            retry_s = retry_delays.retry_after_end_s(
+                exc.retry_after_s, self._rng
+            )
         elif exc.code.ran == 'no':
             wait_ms = exc.figures.get('wait_ms', 0)
-            wait_s = max(FULL_WAIT_S, float(wait_ms) / 1000)
-            retry_s = comeback.retry_after_s(wait_s, req.left_s(), self._rng)
+            wait_s = max(FULL_SERVICE_S, float(wait_ms) / 1000)
+            retry_s = retry_delays.retry_after_s(
+                wait_s, req.time_left_s(), self._rng
+            )
         req.refuse(exc.code, exc.figures, retry_s)
--- a/packages/daemon/foxtaildaled/introductions.py
+++ b/packages/daemon/foxtaildaled/initial_state.py
@@ -11,20 +11,20 @@
 from foxtaildale import ports
 from foxtaildale_adapters import logs
 from foxtaildaled import actors
-from foxtaildaled import beliefs
+from foxtaildaled import router_state
 
 # How long a starting process asks other VMs before it reads the store itself,
 # seconds. `FIRST_START_S` applies when all entry VMs start for the first time,
 # long before there are callers. Otherwise `ANSWERED_S` applies, which is as
 # long as the reply of a running VM takes. `SEED_ANSWER_S` is the timeout for
 # one reply, `SEED_PAUSE_S` the pause after all seeds were asked.
-FIRST_START_S: Final = 2.0
-ANSWERED_S: Final = 0.1
-SEED_ANSWER_S: Final = 0.12
+FIRST_START_TIMEOUT_S: Final = 2.0
+RESTART_TIMEOUT_S: Final = 0.1
+SEED_TIMEOUT_S: Final = 0.12
 SEED_PAUSE_S: Final = 0.03
 
 
-class Introduction:
+class InitialState:
     """Copies the state from a running entry VM instead of the store.
 
     Otherwise each start would read all records, and would wait while the store
@@ -48,11 +48,11 @@
     def __init__(
         self,
         *,
-        owner: actors.Owner[beliefs.Beliefs],
+        owner: actors.StateOwner[router_state.RouterState],
         peers: ports.Peers,
-        own: str,
+        own_address: str,
         seeds: tuple[str, ...],
-        limit_s: float,
+        max_age_s: float,
         first_start: bool,
         clock: ports.Clock,
         rng: random.Random,
@@ -62,9 +62,9 @@
         Args:
             owner: Owner of the router state.
             peers: The other entry VMs.
-            own: Peer address of this entry VM.
+            own_address: Peer address of this entry VM.
             seeds: Peer addresses that the settings name.
-            limit_s: Maximum age of the state that is copied, seconds.
+            max_age_s: Maximum age of the state that is copied, seconds.
             first_start: Whether all entry VMs start for the first time.
             clock: Returns the current time, seconds.
             rng: Chooses the order of the seeds.
@@ -72,9 +72,13 @@
         self._owner = owner
         self._peers = peers
         # A seed must read the store itself, since all other VMs ask it.
-        self._seeds = [] if own in seeds else rng.sample(seeds, len(seeds))
-        self._max_age_s = limit_s
-        self._timeout_s = FIRST_START_S if first_start else ANSWERED_S
+        self._seeds = (
+            [] if own_address in seeds else rng.sample(seeds, len(seeds))
+        )
+        self._max_age_s = max_age_s
+        self._timeout_s = (
+            FIRST_START_TIMEOUT_S if first_start else RESTART_TIMEOUT_S
+        )
         self._clock = clock
         self._done = threading.Event()
 
@@ -90,7 +94,7 @@
         attempts = 0
         while self._seeds and (left_s := deadline - self._clock()) > 0:
             seed = self._seeds[attempts % len(self._seeds)]
-            if self._ask_seed(seed, min(left_s, SEED_ANSWER_S)):
+            if self._ask_seed(seed, min(left_s, SEED_TIMEOUT_S)):
                 break
             attempts += 1
             if attempts % len(self._seeds) == 0:
@@ -99,19 +103,19 @@
 
     def _ask_seed(self, seed: str, timeout_s: float) -> bool:
         """Asks a seed; returns whether the state is sufficient to start."""
-        request = self._owner.run(lambda state, now: state.ask(now))
+        request = self._owner.run(lambda state, now: state.build_request(now))
         try:
-            reply = self._peers.ask(seed, request, timeout_s)
+            reply = self._peers.request(seed, request, timeout_s)
         except errors.PortError as exc:
             logs.event(logging.INFO, 'peer lost', address=seed, error=str(exc))
             return False
         if not isinstance(reply, messages.RecordsReply):
             return False
-        if reply.age_s > self._max_age_s:
+        if reply.store_age_s > self._max_age_s:
             return False
 
-        def apply_reply(state: beliefs.Beliefs, now: float) -> bool:
-            state.take_reply(reply, now)
+        def apply_reply(state: router_state.RouterState, now: float) -> bool:
+            state.apply_peer_reply(reply, now)
             return state.matcher is not None and bool(state.entry_vms)
 
         return self._owner.run(apply_reply)
--- a/packages/daemon/foxtaildaled/surveys.py
+++ b/packages/daemon/foxtaildaled/inventories.py
@@ -17,17 +17,17 @@
 from foxtaildale import ports
 from foxtaildale_adapters import logs
 from foxtaildaled import actors
-from foxtaildaled import beliefs
+from foxtaildaled import router_state
 
 # Interval between checks for due inventories, seconds. A first request for a
 # placement wakes the loop.
-LOOK_S: Final = 1.0
+POLL_S: Final = 1.0
 # Timeout for the replies, seconds. Queued requests poll every 40 ms; a VM that
 # just crashed must not delay all of them for longer than a prefill.
-ANSWER_S: Final = 0.15
+REPLY_TIMEOUT_S: Final = 0.15
 
 
-class Surveys:
+class Inventories:
     """Takes the inventories; `step` is called by a loop."""
 
     __slots__ = ('_clock', '_own_placements', '_owner', '_peers')
@@ -35,37 +35,41 @@
     def __init__(
         self,
         *,
-        owner: actors.Owner[beliefs.Beliefs],
+        owner: actors.StateOwner[router_state.RouterState],
         peers: ports.PeerGroup,
-        held: Callable[[str], messages.KeepPlaces],
+        own_placements: Callable[[str], messages.PlacementRenewal],
         clock: ports.Clock,
     ) -> None:
         self._owner = owner
         self._peers = peers
         # Returns the placements of this entry VM itself for a service.
-        self._own_placements = held
+        self._own_placements = own_placements
         self._clock = clock
 
-    def step(self) -> None:
+    def take_due(self) -> None:
         """Takes the inventories of the services that are due."""
-        due = self._owner.run(lambda state, now: state.plans.surveys_due(now))
+        due = self._owner.run(
+            lambda state, now: state.plans.due_inventories(now)
+        )
         for service in due:
             self._take_inventory(service)
 
     def _take_inventory(self, service: str) -> None:
         started_at = self._clock()
         addresses = self._owner.run(
-            lambda state, now: state.plans.survey_peers(service, now)
+            lambda state, now: state.plans.inventory_peers(service, now)
         )
-        request = messages.AskHeld(service=service)
-        replies = self._peers.ask_all(addresses, request, ANSWER_S)
+        request = messages.InventoryRequest(service=service)
+        replies = self._peers.request_all(addresses, request, REPLY_TIMEOUT_S)
         reports = [
             reply
             for reply in (*replies.values(), self._own_placements(service))
-            if isinstance(reply, messages.KeepPlaces)
+            if isinstance(reply, messages.PlacementRenewal)
         ]
         is_first = self._owner.run(
-            lambda state, now: state.plans.surveyed(service, reports, now)
+            lambda state, now: state.plans.apply_inventory(
+                service, reports, now
+            )
         )
         if not is_first:
             return
--- a/packages/daemon/foxtaildaled/job.py
+++ b/packages/daemon/foxtaildaled/job.py
@@ -23,25 +23,25 @@
         '_resume_window_s',
         'arrived_at',
         'attempt',
+        'caller_disconnected',
+        'chunk_times',
         'first_answer_ms',
-        'gone',
         'holder',
-        'max_tokens',
-        'name',
+        'max_output_tokens',
+        'may_have_run',
         'prefixes',
         'prompt',
         'prompt_tokens',
         'request',
-        'sent',
         'service',
+        'service_name',
         'snapshot',
-        'times',
     )
 
     # Identifies the request for callers and operators.
     request: str
     # Name of the service, and its settings in the preset.
-    name: str
+    service_name: str
     service: values.Service
     # Configuration and servers at the arrival of the request. The request uses
     # this snapshot until its end.
@@ -51,7 +51,7 @@
     prompt: str
     prompt_tokens: int
     prefixes: tuple[str, ...]
-    max_tokens: int
+    max_output_tokens: int
     # Target time to the first token, milliseconds; 0 means none.
     first_answer_ms: int
     # Arrival of the request; seconds, monotonic.
@@ -59,16 +59,16 @@
     # Number of the current attempt, from 1; 0 before the first one.
     attempt: int
     # Whether a backend server may have run the request.
-    sent: bool
+    may_have_run: bool
     # When each chunk was sent to the caller; seconds, monotonic.
-    times: list[float]
+    chunk_times: list[float]
     # Set when the caller has disconnected.
-    gone: threading.Event
+    caller_disconnected: threading.Event
     # Addresses of engines that may hold resources for this request.
     _engine_addresses: set[str]
     # The open stream, if any.
-    _open_stream: ports.Pieces | None
-    _cancels: cancels.Cancels
+    _open_stream: ports.EventStream | None
+    _cancels: cancels.CancelQueue
     # How long a caller may resume its stream after a disconnect, seconds.
     _resume_window_s: float
     _lock: threading.Lock
@@ -81,38 +81,38 @@
         service: values.Service,
         snapshot: view.Snapshot,
         holder: str,
-        cancel_queue: cancels.Cancels,
+        cancel_queue: cancels.CancelQueue,
         arrived_at: float,
         first_answer_ms: int,
-        resume_s: float,
+        resume_window_s: float,
     ) -> None:
         self.request = request
-        self.name = req.model
+        self.service_name = req.model
         self.service = service
         self.snapshot = snapshot
         self.holder = holder
         self.prompt = req.prompt
-        self.prompt_tokens = chat.count_tokens(self.prompt)
+        self.prompt_tokens = chat.estimate_tokens(self.prompt)
         self.prefixes = chat.prefixes(self.prompt)
-        self.max_tokens = req.max_tokens or service.expected_tokens
+        self.max_output_tokens = req.max_tokens or service.expected_tokens
         self.first_answer_ms = first_answer_ms
         self.arrived_at = arrived_at
         self.attempt = 0
-        self.sent = False
-        self.times = []
-        self.gone = threading.Event()
+        self.may_have_run = False
+        self.chunk_times = []
+        self.caller_disconnected = threading.Event()
         self._engine_addresses = set()
         self._open_stream = None
         self._cancels = cancel_queue
-        self._resume_window_s = resume_s
+        self._resume_window_s = resume_window_s
         self._lock = threading.Lock()
 
     @property
-    def stream(self) -> str:
+    def stream_name(self) -> str:
         """The name of the stream of this attempt at the engine."""
         return f'{self.request}.{self.attempt}'
 
-    def hold(self, address: str) -> bool:
+    def try_add_reservation(self, address: str) -> bool:
         """Records that an engine is about to hold resources for the request.
 
         Returns False if the caller has disconnected; then nothing may be sent.
@@ -120,20 +120,20 @@
         them, the work at the engine would never be cancelled.
         """
         with self._lock:
-            if self.gone.is_set():
+            if self.caller_disconnected.is_set():
                 return False
             self._engine_addresses.add(address)
             return True
 
-    def let_go(self, address: str) -> None:
+    def remove_reservation(self, address: str) -> None:
         """Records that an engine no longer holds resources."""
         with self._lock:
             self._engine_addresses.discard(address)
 
-    def on_gone(self) -> None:
+    def on_disconnected(self) -> None:
         """Cancels all work for the caller, which has disconnected."""
         with self._lock:
-            self.gone.set()
+            self.caller_disconnected.set()
             addresses = list(self._engine_addresses)
             stream = self._open_stream
         if stream is not None:
@@ -142,7 +142,7 @@
             self._cancel(address, 0, self._resume_window_s)
 
     @contextlib.contextmanager
-    def reading(self, stream: ports.Pieces) -> Iterator[None]:
+    def closing_stream(self, stream: ports.EventStream) -> Iterator[None]:
         """Closes a stream at its end, or when the caller disconnects.
 
         Otherwise a thread that waits for the next chunk would notice the
@@ -150,7 +150,7 @@
         """
         with self._lock:
             self._open_stream = stream
-            disconnected = self.gone.is_set()
+            disconnected = self.caller_disconnected.is_set()
         if disconnected:
             stream.close()
         try:
@@ -160,15 +160,17 @@
                 self._open_stream = None
             stream.close()
 
-    def abandon(self, kept: str = '') -> None:
+    def cancel_attempt(self, excluded_address: str = '') -> None:
         """Cancels this attempt at all engines that hold resources for it.
 
         Args:
-            kept: Address of an engine whose result is still needed; or ''.
+            excluded_address: Address of an engine whose result is still needed; or ''.
         """
         with self._lock:
             addresses = [
-                address for address in self._engine_addresses if address != kept
+                address
+                for address in self._engine_addresses
+                if address != excluded_address
             ]
             self._engine_addresses.difference_update(addresses)
         for address in addresses:
--- a/packages/daemon/foxtaildaled/loops.py
+++ b/packages/daemon/foxtaildaled/loops.py
@@ -15,28 +15,28 @@
 from foxtaildale import ports
 from foxtaildale_adapters import metrics
 from foxtaildaled import actors
-from foxtaildaled import balancing
-from foxtaildaled import beliefs
-from foxtaildaled import fitness
-from foxtaildaled import introductions
-from foxtaildaled import places
+from foxtaildaled import initial_state
+from foxtaildaled import inventories
+from foxtaildaled import placement_client
 from foxtaildaled import process
-from foxtaildaled import storereaders
-from foxtaildaled import surveys
-from foxtaildaled import syncing
+from foxtaildaled import reader_choice
+from foxtaildaled import router_state
+from foxtaildaled import stage_orders
+from foxtaildaled import store_sync
+from foxtaildaled import vm_eligibility
 
 
-def make(
+def make_loops(
     cfg: options.RouterOptions,
     *,
     codec: ports.RecordCodec,
-    store: Callable[[], ports.Topics],
-    workers: ports.Workers,
-    owner: actors.Owner[beliefs.Beliefs],
+    store: Callable[[], ports.KeyedTopics],
+    workers: ports.ServerClient,
+    owner: actors.StateOwner[router_state.RouterState],
     peers: ports.PeerGroup,
-    plan: places.Places,
-    fit: fitness.Fitness,
-    counts: metrics.Metrics,
+    client: placement_client.PlacementClient,
+    eligibility: vm_eligibility.Eligibility,
+    router_metrics: metrics.Metrics,
     stopping: threading.Event,
     on_read: Callable[[], None],
     clock: ports.Clock,
@@ -51,27 +51,29 @@
         workers: The backend servers.
         owner: Owns the state of the router.
         peers: The other entry VMs.
-        plan: The client that sends placement requests to coordinators.
-        fit: Checks whether this entry VM may be a coordinator.
-        counts: Metrics of the router.
+        client: The client that sends placement requests to coordinators.
+        eligibility: Checks whether this entry VM may be a coordinator.
+        router_metrics: Metrics of the router.
         stopping: Set when the router is asked to stop.
         on_read: Called after each read of the configuration or the servers.
         clock: Returns the time, seconds.
         rng: Chooses among peers.
     """
 
-    def make_topic(name: str, wait_s: float) -> syncing.Topic:
-        return syncing.Topic(name, owner, store(), counts, wait_s)
+    def make_topic(name: str, wait_s: float) -> store_sync.TopicReader:
+        return store_sync.TopicReader(
+            name, owner, store(), router_metrics, wait_s
+        )
 
-    read_interval_s = cfg.leaving_s / syncing.READS_PER_BOUND
-    max_age_s = cfg.leaving_s * syncing.STALE_PART
-    readers = storereaders.Readers(cfg.entry_vm, cfg.data_centre, clock)
-    introduction = introductions.Introduction(
+    read_interval_s = cfg.leaving_s / store_sync.READS_PER_LEAVING_BOUND
+    max_age_s = cfg.leaving_s * store_sync.MAX_AGE_FRACTION
+    readers = reader_choice.ReaderChoice(cfg.entry_vm, cfg.data_centre, clock)
+    introduction = initial_state.InitialState(
         owner=owner,
         peers=peers,
-        own=cfg.peer_address,
+        own_address=cfg.peer_address,
         seeds=cfg.seeds,
-        limit_s=max_age_s,
+        max_age_s=max_age_s,
         first_start=cfg.first_start,
         clock=clock,
         rng=rng,
@@ -84,23 +86,24 @@
         for wake in wake_events:
             wake.set()
 
-    readers.on_passed = wake_all
+    readers.on_reader_excluded = wake_all
 
     def make_reader(name: str, wait_s: float) -> Callable[[], None]:
-        reader = syncing.Lazy(
+        reader = store_sync.FallbackReader(
             topic=make_topic(name, wait_s),
             owner=owner,
             readers=readers,
             entry_vm=cfg.entry_vm,
-            limit_s=max_age_s,
+            max_age_s=max_age_s,
             rng=rng,
         )
         wake_events.append(threading.Event())
         return _after_introduction(
-            introduction, _with_pause(reader.step, on_read, wake_events[-1])
+            introduction,
+            _with_pause(reader.read_if_stale, on_read, wake_events[-1]),
         )
 
-    members = syncing.Members(
+    members = store_sync.MemberListing(
         name=cfg.entry_vm,
         member=forwarding.EntryVm(cfg.peer_address, cfg.data_centre, cfg.cores),
         codec=codec,
@@ -110,41 +113,48 @@
         readers=readers,
         clock=clock,
     )
-    peer_sync = syncing.PeerSync(
+    peer_sync = store_sync.PeerSync(
         owner=owner,
         peers=peers,
         readers=readers,
         entry_vm=cfg.entry_vm,
-        limit_s=max_age_s,
+        max_age_s=max_age_s,
         rng=rng,
     )
 
     def sync_with_peers() -> None:
         introduction.run()
-        peer_sync.step()
+        peer_sync.sync_once()
 
-    stage_balancer = balancing.Balancing(
+    stage_balancer = stage_orders.StageOrders(
         entry_vm=cfg.entry_vm,
         holder=incarnations.make('router', cfg.entry_vm),
         lease_s=cfg.lease_s,
         owner=owner,
-        plan=plan,
+        client=client,
         codec=codec,
         store=store(),
         workers=workers,
         clock=clock,
     )
-    inventory = surveys.Surveys(
-        owner=owner, peers=peers, held=plan.held, clock=clock
+    inventory = inventories.Inventories(
+        owner=owner,
+        peers=peers,
+        own_placements=client.current_placements,
+        clock=clock,
+    )
+    inventory_loop = process.Loop(
+        'surveys', inventories.POLL_S, inventory.take_due
     )
-    inventory_loop = process.Loop('surveys', surveys.LOOK_S, inventory.step)
     owner.run(
         lambda state, _: setattr(
             state.plans, 'on_unsurveyed', inventory_loop.wake
         )
     )
-    read_config = make_reader(codec.config_topic, syncing.CONFIG_WAIT_S)
-    balance_stages = _unless_stopping(stopping, stage_balancer.step)
+    read_config = make_reader(codec.config_topic, store_sync.CONFIG_WAIT_S)
+    balance_stages = _unless_stopping(
+        stopping, stage_balancer.order_due_changes
+    )
     return [
         process.Loop('config', 0.0, read_config),
         process.Loop(
@@ -152,19 +162,25 @@
         ),
         process.Loop(
             'members',
-            syncing.MEMBERS_S,
-            _after_introduction(introduction, _until_done(members.step)),
+            store_sync.MEMBERS_INTERVAL_S,
+            _after_introduction(introduction, _until_done(members.list_once)),
+        ),
+        process.Loop(
+            'places',
+            placement_client.PROBE_INTERVAL_S,
+            client.probe_coordinators,
+        ),
+        process.Loop(
+            'fitness', vm_eligibility.POLL_S, eligibility.check_older_vms
         ),
-        process.Loop('places', places.PROBE_S, plan.step),
-        process.Loop('fitness', fitness.LOOK_S, fit.step),
         inventory_loop,
-        process.Loop('peers', syncing.PEER_S, sync_with_peers),
-        process.Loop('balancing', balancing.LOOK_S, balance_stages),
+        process.Loop('peers', store_sync.PEER_INTERVAL_S, sync_with_peers),
+        process.Loop('balancing', stage_orders.POLL_S, balance_stages),
     ]
 
 
 def _after_introduction(
-    introduction: introductions.Introduction, step: Callable[[], None]
+    introduction: initial_state.InitialState, step: Callable[[], None]
 ) -> Callable[[], None]:
     """Returns a step that runs after the initial state was requested.
 
@@ -201,10 +217,10 @@
     """
 
     def run() -> None:
-        wait_s = syncing.PEER_S
+        wait_s = store_sync.PEER_INTERVAL_S
         while not step():
             time.sleep(wait_s)
-            wait_s = min(2 * wait_s, syncing.RETRY_MOST_S)
+            wait_s = min(2 * wait_s, store_sync.MAX_RETRY_S)
 
     return run
 
--- a/packages/daemon/foxtaildaled/main.py
+++ b/packages/daemon/foxtaildaled/main.py
@@ -34,7 +34,7 @@
         return start.run(metrics_port, check=check)
     try:
         text = settings_file.read_text(encoding='utf-8')
-        cfg = settings.options(text, str(settings_file))
+        cfg = settings.parse_options(text, str(settings_file))
     except (OSError, errors.SettingsError) as exc:
         print(exc, file=sys.stderr)
         return start.CONFIG_STATUS
@@ -42,7 +42,7 @@
         return 0
     process.stop_on_broken_invariants()
     logs.setup(cfg.role, cfg.entry_vm, cfg.log_level)
-    daemon = wiring.make(cfg)
+    daemon = wiring.make_daemon(cfg)
     daemon.start()
     process.wait_for_stop()
     daemon.stop()
--- a/packages/daemon/foxtaildaled/records.py
+++ b/packages/daemon/foxtaildaled/outcome_records.py
@@ -28,7 +28,7 @@
 _MAX_BATCH: Final = 500
 
 
-class Records:
+class OutcomeRecords:
     """Caches outcomes and writes them to the log."""
 
     __slots__ = (
@@ -37,7 +37,7 @@
         '_log',
         '_metrics',
         '_waiting',
-        'dropped',
+        'dropped_count',
     )
 
     _log: ports.Log
@@ -46,7 +46,7 @@
     _cached: collections.OrderedDict[str, values.Outcome]
     _lock: threading.Lock
     # Number of outcomes that were dropped before they reached the log.
-    dropped: int
+    dropped_count: int
 
     def __init__(self, log: ports.Log, counts: metrics.Metrics) -> None:
         self._log = log
@@ -54,7 +54,7 @@
         self._waiting = collections.deque()
         self._cached = collections.OrderedDict()
         self._lock = threading.Lock()
-        self.dropped = 0
+        self.dropped_count = 0
 
     def add(self, outcome: values.Outcome) -> None:
         """Records the final outcome of a request."""
@@ -75,7 +75,7 @@
             self._waiting.append(outcome)
             if len(self._waiting) > _MAX_WAITING:
                 self._waiting.popleft()
-                self.dropped += 1
+                self.dropped_count += 1
 
     def find(self, request: str) -> values.Outcome | None:
         """Returns a cached outcome of this entry; None if there is none."""
@@ -95,7 +95,7 @@
             if not self._write(batch):
                 return False
 
-    def step(self) -> None:
+    def flush_once(self) -> None:
         """Flushes once, as a loop of the entry."""
         self.flush()
 
@@ -116,5 +116,5 @@
             return {
                 'kept': len(self._cached),
                 'waiting': len(self._waiting),
-                'dropped': self.dropped,
+                'dropped': self.dropped_count,
             }
--- a/packages/daemon/foxtaildaled/gossip.py
+++ b/packages/daemon/foxtaildaled/peer_loops.py
@@ -12,21 +12,21 @@
 import functools
 from typing import Final
 
+from foxtaildale import abandoned_holdings
 from foxtaildale import backends
 from foxtaildale import errors
 from foxtaildale import messages
 from foxtaildale import ports
-from foxtaildale import reaper
 from foxtaildale import values
 from foxtaildaled import actors
-from foxtaildaled import follow
 from foxtaildaled import keeper
+from foxtaildaled import platform_loops
 
 # Maximum number of concurrent calls to peers or workers.
 _MAX_CALLS: Final = 16
 
 
-class Fan:
+class CallPool:
     """Makes concurrent calls, at most one for each address.
 
     A peer that hangs would otherwise delay the heartbeats to all others, and a
@@ -45,7 +45,7 @@
         )
         self._last_calls = {}
 
-    def call(self, address: str, call: Callable[[], None]) -> None:
+    def start(self, address: str, call: Callable[[], None]) -> None:
         """Starts a call unless one to the address is in progress."""
         running = self._last_calls.get(address)
         if running is not None and not running.done():
@@ -57,105 +57,121 @@
         self._pool.shutdown(wait=True)
 
 
-class Gossip:
+class GossipLoop:
     """Sends heartbeats to the other keepers."""
 
     __slots__ = ('_calls', '_owner', '_peers', '_timeout_s')
 
-    _owner: actors.Owner[keeper.Keeper]
+    _owner: actors.StateOwner[keeper.Keeper]
     _peers: ports.Peers
     _timeout_s: float
-    _calls: Fan
+    _calls: CallPool
 
     def __init__(
         self,
-        owner: actors.Owner[keeper.Keeper],
+        owner: actors.StateOwner[keeper.Keeper],
         peers: ports.Peers,
         silence_s: float,
     ) -> None:
         self._owner = owner
         self._peers = peers
         self._timeout_s = silence_s
-        self._calls = Fan('gossip')
+        self._calls = CallPool('gossip')
 
-    def step(self) -> None:
+    def send_heartbeats(self) -> None:
         """Sends a heartbeat to each target and expires old state."""
-        self._owner.run(lambda state, now: state.tick(now))
-        heartbeat = self._owner.run(lambda state, _now: state.beat())
-        for address in self._owner.run(lambda state, now: state.targets(now)):
-            self._calls.call(
+        self._owner.run(lambda state, now: state.expire(now))
+        heartbeat = self._owner.run(lambda state, _now: state.make_heartbeat())
+        for address in self._owner.run(
+            lambda state, now: state.heartbeat_targets(now)
+        ):
+            self._calls.start(
                 address,
                 functools.partial(self._send_heartbeat, address, heartbeat),
             )
-        for address in self._owner.run(lambda state, _now: state.take_ahead()):
-            self._calls.call(
+        for address in self._owner.run(
+            lambda state, _now: state.drain_peers_ahead()
+        ):
+            self._calls.start(
                 address, functools.partial(self._request_state, address)
             )
 
-    def goodbye(self) -> None:
+    def announce_stop(self) -> None:
         """Notifies the peers that this keeper stops as planned."""
         own_entry = self._owner.run(lambda state, _now: state.me)
-        notice = messages.Bye(incarnation=own_entry.incarnation)
-        for address in self._owner.run(lambda state, now: state.targets(now)):
-            self._calls.call(
+        notice = messages.StopNotice(incarnation=own_entry.incarnation)
+        for address in self._owner.run(
+            lambda state, now: state.heartbeat_targets(now)
+        ):
+            self._calls.start(
                 address,
                 functools.partial(self._send_stop_notice, address, notice),
             )
         self._calls.close()
 
-    def _send_heartbeat(self, address: str, heartbeat: messages.Beat) -> None:
+    def _send_heartbeat(
+        self, address: str, heartbeat: messages.KeeperHeartbeat
+    ) -> None:
         reply = self._request(address, heartbeat)
-        if not isinstance(reply, messages.Beat):
+        if not isinstance(reply, messages.KeeperHeartbeat):
             return
         is_behind = self._owner.run(
-            lambda state, now: state.on_beat(now, reply)
+            lambda state, now: state.on_heartbeat(now, reply)
         )
         if is_behind:
             self._request_state(address)
 
     def _request_state(self, address: str) -> None:
         offset = self._owner.run(lambda state, _now: state.follower.offset)
-        reply = self._request(address, messages.Pull(offset=offset))
-        if isinstance(reply, messages.PullReply):
-            self._owner.run(lambda state, now: state.on_pull(now, reply))
+        reply = self._request(address, messages.StateRequest(offset=offset))
+        if isinstance(reply, messages.StateReply):
+            self._owner.run(lambda state, now: state.on_pull_reply(now, reply))
 
-    def _send_stop_notice(self, address: str, notice: messages.Bye) -> None:
+    def _send_stop_notice(
+        self, address: str, notice: messages.StopNotice
+    ) -> None:
         self._request(address, notice)
 
-    def _request(self, address: str, msg: messages.Any) -> messages.Any | None:
-        return follow.quietly(
-            lambda: self._peers.ask(address, msg, self._timeout_s)
+    def _request(
+        self, address: str, msg: messages.Message
+    ) -> messages.Message | None:
+        return platform_loops.call_or_none(
+            lambda: self._peers.request(address, msg, self._timeout_s)
         )
 
 
-class Watch:
+class LoadLoop:
     """Reads the load of the workers that this keeper coordinates."""
 
     __slots__ = ('_calls', '_engines', '_last_event', '_owner')
 
-    _owner: actors.Owner[keeper.Keeper]
+    _owner: actors.StateOwner[keeper.Keeper]
     _engines: ports.Engines
-    _calls: Fan
+    _calls: CallPool
     # Number of the last cache event that was read, by address.
     _last_event: dict[str, int]
 
     def __init__(
-        self, owner: actors.Owner[keeper.Keeper], engines: ports.Engines
+        self, owner: actors.StateOwner[keeper.Keeper], engines: ports.Engines
     ) -> None:
         self._owner = owner
         self._engines = engines
-        self._calls = Fan('watch')
+        self._calls = CallPool('watch')
         self._last_event = {}
 
-    def step(self) -> None:
+    def read_loads(self) -> None:
         """Reads the load of each worker once."""
-        for server in self._owner.run(lambda state, now: state.homed(now)):
-            self._calls.call(
+        for server in self._owner.run(
+            lambda state, now: state.coordinated_workers(now)
+        ):
+            self._calls.start(
                 server.address, functools.partial(self._read, server)
             )
 
     def _read(self, server: values.BackendServer) -> None:
-        load = follow.quietly(lambda: self._engines.load(server.address))
+        load = platform_loops.call_or_none(
+            lambda: self._engines.load(server.address)
+        )
         if load is not None:
             self._owner.run(
                 lambda state, now: state.pools.on_load(now, server.name, load)
@@ -165,8 +181,8 @@
 
     def _read_cache(self, server: values.BackendServer) -> None:
         after = self._last_event.get(server.address, 0)
-        events = follow.quietly(
-            lambda: self._engines.cache(server.address, after)
+        events = platform_loops.call_or_none(
+            lambda: self._engines.cache_events(server.address, after)
         )
         if events is None or not events.events:
             return
@@ -178,43 +194,49 @@
         )
 
 
-class Reap:
+class ReapLoop:
     """Cancels what dead holders left in the workers' memory."""
 
     __slots__ = ('_calls', '_engines', '_owner', '_reaper')
 
-    _owner: actors.Owner[keeper.Keeper]
+    _owner: actors.StateOwner[keeper.Keeper]
     _engines: ports.Engines
-    _reaper: reaper.Reaper
-    _calls: Fan
+    _reaper: abandoned_holdings.AbandonedHoldings
+    _calls: CallPool
 
     def __init__(
         self,
-        owner: actors.Owner[keeper.Keeper],
+        owner: actors.StateOwner[keeper.Keeper],
         engines: ports.Engines,
-        orphan_reaper: reaper.Reaper,
+        orphan_reaper: abandoned_holdings.AbandonedHoldings,
     ) -> None:
         self._owner = owner
         self._engines = engines
         self._reaper = orphan_reaper
-        self._calls = Fan('reap')
+        self._calls = CallPool('reap')
 
-    def step(self) -> None:
+    def reap_workers(self) -> None:
         """Checks once each worker that this keeper is responsible for."""
-        self._owner.run(lambda _state, now: self._reaper.forget(now))
-        for server in self._owner.run(lambda state, now: state.reaped(now)):
-            self._calls.call(
+        self._owner.run(lambda _state, now: self._reaper.prune(now))
+        for server in self._owner.run(
+            lambda state, now: state.assigned_workers(now)
+        ):
+            self._calls.start(
                 server.address,
                 functools.partial(self._cancel_abandoned, server),
             )
 
     def _cancel_abandoned(self, server: values.BackendServer) -> None:
-        reply = follow.quietly(lambda: self._engines.holdings(server.address))
+        reply = platform_loops.call_or_none(
+            lambda: self._engines.holdings(server.address)
+        )
         if reply is None:
             return
-        census = self._owner.run(lambda state, now: state.census(now))
+        census = self._owner.run(
+            lambda state, now: state.liveness_snapshot(now)
+        )
         for holding in reply.holdings:
-            if self._reaper.abandoned(holding, census):
+            if self._reaper.is_abandoned(holding, census):
                 self._cancel(server, holding)
 
     def _cancel(
@@ -232,26 +254,28 @@
             return
 
 
-class Steer:
+class OrderLoop:
     """Sends engines the orders that the preset in force requires."""
 
     __slots__ = ('_calls', '_engines', '_owner')
 
-    _owner: actors.Owner[keeper.Keeper]
+    _owner: actors.StateOwner[keeper.Keeper]
     _engines: ports.Orders
-    _calls: Fan
+    _calls: CallPool
 
     def __init__(
-        self, owner: actors.Owner[keeper.Keeper], engines: ports.Orders
+        self, owner: actors.StateOwner[keeper.Keeper], engines: ports.Orders
     ) -> None:
         self._owner = owner
         self._engines = engines
-        self._calls = Fan('steer')
+        self._calls = CallPool('steer')
 
-    def step(self) -> None:
+    def send_orders(self) -> None:
         """Reads the settings of each due worker and orders the changes."""
-        for server in self._owner.run(lambda state, now: state.orders_due(now)):
-            self._calls.call(
+        for server in self._owner.run(
+            lambda state, now: state.due_workers(now)
+        ):
+            self._calls.start(
                 server.address,
                 functools.partial(self._send_worker_orders, server),
             )
@@ -261,16 +285,18 @@
         try:
             observed = self._engines.observe(server.address)
         except errors.PortError:
-            self._owner.run(lambda state, now: state.orders.unseen(name, now))
+            self._owner.run(
+                lambda state, now: state.orders.on_poll_failed(name, now)
+            )
             return
         worker_orders = self._owner.run(
-            lambda state, now: state.orders.seen(
+            lambda state, now: state.orders.on_observed(
                 name, observed, state.follower.offset, now
             )
         )
         for order in worker_orders:
             # The reply does not prove that the order took effect; the next
             # observation of the worker does.
-            follow.quietly(
+            platform_loops.call_or_none(
                 functools.partial(self._engines.order, server.address, order)
             )
--- a/packages/daemon/foxtaildaled/places.py
+++ b/packages/daemon/foxtaildaled/placement_client.py
@@ -13,25 +13,25 @@
 from foxtaildale import messages
 from foxtaildale import ports
 from foxtaildaled import actors
-from foxtaildaled import asking
-from foxtaildaled import beliefs
+from foxtaildaled import coordinator_client
+from foxtaildaled import router_state
 
 # Timeout for the coordinator's reply, seconds. The coordinator decides without
 # waiting and a round trip takes two milliseconds; after a timeout, much of a
 # target of 0.9 s is left.
-ANSWER_S: Final = 0.25
+REPLY_TIMEOUT_S: Final = 0.25
 # Interval between checks for suspects to probe, seconds.
-PROBE_S: Final = 0.2
+PROBE_INTERVAL_S: Final = 0.2
 
-Answer = messages.Place | messages.Queued | messages.TooLate
-_REPLY_TYPES: Final[tuple[type[Answer], ...]] = (
-    messages.Place,
+Reply = messages.PlacementGrant | messages.Queued | messages.DeadlineUnreachable
+_REPLY_TYPES: Final[tuple[type[Reply], ...]] = (
+    messages.PlacementGrant,
     messages.Queued,
-    messages.TooLate,
+    messages.DeadlineUnreachable,
 )
 
 
-class Places:
+class PlacementClient:
     """Client of the coordinators for placements; safe for concurrent use."""
 
     __slots__ = (
@@ -47,38 +47,40 @@
         self,
         *,
         entry_vm: str,
-        owner: actors.Owner[beliefs.Beliefs],
-        homes: asking.Asking,
+        owner: actors.StateOwner[router_state.RouterState],
+        coordinators: coordinator_client.CoordinatorClient,
         clock: ports.Clock,
     ) -> None:
         self._entry_vm = entry_vm
         self._owner = owner
-        self._coordinators = homes
+        self._coordinators = coordinators
         self._clock = clock
         self._lock = threading.Lock()
         # Placements that this entry VM uses and since when, by service and
         # request.
         self._placements: dict[
-            str, dict[str, tuple[messages.KeptPlace, float]]
+            str, dict[str, tuple[messages.ActivePlacement, float]]
         ] = {}
 
-    def ask(self, msg: messages.AskPlace) -> Answer | None:
+    def request(self, msg: messages.PlacementRequest) -> Reply | None:
         """Requests a placement; None if no coordinator replies."""
-        return self._coordinators.ask(msg.service, msg, _REPLY_TYPES, ANSWER_S)
+        return self._coordinators.request(
+            msg.service, msg, _REPLY_TYPES, REPLY_TIMEOUT_S
+        )
 
-    def hold(self, service: str, place: messages.KeptPlace) -> None:
+    def record(self, service: str, placement: messages.ActivePlacement) -> None:
         """Records a placement that is in use from now on."""
         with self._lock:
             placements = self._placements.setdefault(service, {})
-            placements[place.request] = (place, self._clock())
+            placements[placement.request] = (placement, self._clock())
 
-    def end(self, msg: messages.EndPlace) -> None:
+    def release(self, msg: messages.PlacementRelease) -> None:
         """Releases a placement; the coordinator is notified asynchronously."""
         with self._lock:
             self._placements.get(msg.service, {}).pop(msg.request, None)
-        self._coordinators.tell(msg.service, msg)
+        self._coordinators.notify(msg.service, msg)
 
-    def report(
+    def report_failure(
         self, service: str, server: str, *, replaced: bool = False
     ) -> None:
         """Reports a failed server to the coordinator asynchronously.
@@ -88,9 +90,9 @@
             server: Its id.
             replaced: Whether another server responded at its address.
         """
-        self._coordinators.tell(
+        self._coordinators.notify(
             service,
-            messages.ServerFailed(
+            messages.ServerFailureReport(
                 service=service,
                 server=server,
                 holder=self._entry_vm,
@@ -98,12 +100,12 @@
             ),
         )
 
-    def held(self, service: str) -> messages.KeepPlaces:
+    def current_placements(self, service: str) -> messages.PlacementRenewal:
         """Returns the placements of a service that this entry VM uses."""
         now = self._clock()
         with self._lock:
             placements = list(self._placements.get(service, {}).values())
-        return messages.KeepPlaces(
+        return messages.PlacementRenewal(
             service=service,
             holder=self._entry_vm,
             places=tuple(
@@ -114,15 +116,15 @@
             ),
         )
 
-    def step(self) -> None:
+    def probe_coordinators(self) -> None:
         """Probes new coordinators and suspects; called by a loop."""
         services = self._owner.run(
             lambda state, _: state.plans.planned_services()
         )
         for service in services:
-            self._coordinators.greet(service)
-        self._coordinators.probe()
+            self._coordinators.probe_coordinator(service)
+        self._coordinators.probe_suspects()
 
-    def is_home(self, service: str) -> bool:
+    def is_coordinator(self, service: str) -> bool:
         """Whether this entry VM is the coordinator of a service."""
-        return self._coordinators.is_home(service)
+        return self._coordinators.is_coordinator(service)
--- a/packages/daemon/foxtaildaled/spots.py
+++ b/packages/daemon/foxtaildaled/placement_finder.py
@@ -14,21 +14,21 @@
 from foxtaildale import forwarding
 from foxtaildale import messages
 from foxtaildale import ports
-from foxtaildale import room
 from foxtaildale import routes
+from foxtaildale import wait_limits
 from foxtaildaled import actors
-from foxtaildaled import attempt
-from foxtaildaled import beliefs
-from foxtaildaled import line
-from foxtaildaled import passage
-from foxtaildaled import places
+from foxtaildaled import attempt_state
+from foxtaildaled import local_queue
+from foxtaildaled import placement_client
+from foxtaildaled import routed_request
+from foxtaildaled import router_state
 from foxtaildaled import sendlimits
 
 # Maximum number of decode workers that one attempt asks for a reservation.
-ASKS: Final = 3
+MAX_RESERVATION_REQUESTS: Final = 3
 
 
-class Spots:
+class PlacementFinder:
     """Requests placements from the coordinator, otherwise from the workers."""
 
     __slots__ = (
@@ -45,74 +45,86 @@
     def __init__(
         self,
         *,
-        owner: actors.Owner[beliefs.Beliefs],
-        workers: ports.Workers,
-        plan: places.Places,
+        owner: actors.StateOwner[router_state.RouterState],
+        workers: ports.ServerClient,
+        client: placement_client.PlacementClient,
         send_limits: sendlimits.SendLimits,
         entry_vm: str,
         clock: ports.Clock,
     ) -> None:
         self._owner = owner
         self._workers = workers
-        self._client = plan
+        self._client = client
         self._send_limits = send_limits
         self._entry_vm = entry_vm
         self._clock = clock
-        self._local_queue = line.Line()
+        self._local_queue = local_queue.LocalQueue()
         # Numbers the placement requests. The release of a placement may reach
         # the coordinator after the next placement request for the same caller
         # request, and must not release what that one was granted.
         self._request_numbers = itertools.count()
 
-    def find(
-        self, req: passage.Passage, sent: list[str], *, started: bool = False
-    ) -> attempt.Spot:
+    def wait_for_placement(
+        self,
+        req: routed_request.RoutedRequest,
+        sent: list[str],
+        *,
+        response_started: bool = False,
+    ) -> attempt_state.AttemptPlacement:
         """Waits for a placement.
 
         Args:
             req: The request.
             sent: Ids of the servers that it was sent to.
-            started: Whether its caller has received part of the response.
+            response_started: Whether its caller has received part of the response.
 
         Raises:
             attempt.Refused: No placement became available in time.
         """
         if len(sent) < req.route.max_attempts and req.service.kv_tokens:
-            spot = self._coordinated_spot(req, sent, started=started)
+            spot = self._coordinated_spot(req, sent, started=response_started)
             if spot is not None:
                 return spot
-        return attempt.Spot(self._reserve(req, sent))
+        return attempt_state.AttemptPlacement(self._reserve(req, sent))
 
-    def give_back(self, req: passage.Passage, spot: attempt.Spot) -> None:
+    def release(
+        self,
+        req: routed_request.RoutedRequest,
+        spot: attempt_state.AttemptPlacement,
+    ) -> None:
         """Releases a placement and reports what was measured there."""
-        self._local_queue.place_freed()
-        if not spot.request:
+        self._local_queue.notify_released()
+        if not spot.plan_request:
             return
-        self._client.end(
-            messages.EndPlace(
+        self._client.release(
+            messages.PlacementRelease(
                 service=req.service.name,
-                request=spot.request,
+                request=spot.plan_request,
                 prefill_ms=int(spot.prefill_s * 1000),
                 decode_ms=int(spot.decode_s * 1000),
-                tokens=spot.events * req.service.event_tokens,
-                whole=spot.whole,
-                refused=spot.refused,
+                output_tokens=spot.event_count * req.service.event_tokens,
+                complete=spot.complete,
+                prefill_rejected=spot.prefill_refused,
             )
         )
 
-    def takes(self, server: forwarding.Backend) -> bool:
+    def is_accepting(self, server: forwarding.Backend) -> bool:
         """Whether a chosen server still accepts requests."""
         return self._owner.run(
             lambda state, now: state.fleet.usable(server.id, now) is not None
         )
 
-    def failed(self, req: passage.Passage, server: forwarding.Backend) -> None:
+    def record_failure(
+        self, req: routed_request.RoutedRequest, server: forwarding.Backend
+    ) -> None:
         """Records the failure of a server and reports it to the coordinator."""
-        self._owner.run(lambda state, now: state.fleet.failed(server.id, now))
-        self._client.report(req.service.name, server.id)
+        self._owner.run(
+            lambda state, now: state.fleet.record_failure(server.id, now)
+        )
+        self._client.report_failure(req.service.name, server.id)
 
-    def replaced(
-        self, req: passage.Passage, server: forwarding.Backend
+    def report_replaced(
+        self, req: routed_request.RoutedRequest, server: forwarding.Backend
     ) -> None:
         """Reports that another server responded at a server's address.
 
@@ -120,21 +132,27 @@
         report, the coordinator would assign requests of all entry VMs to it
         until the list is updated.
         """
-        self._client.report(req.service.name, server.id, replaced=True)
+        self._client.report_failure(req.service.name, server.id, replaced=True)
 
-    def check(self, req: passage.Passage, sent: list[str]) -> None:
+    def check_servable(
+        self, req: routed_request.RoutedRequest, sent: list[str]
+    ) -> None:
         """Refuses a request that can no longer be served.
 
         Raises:
             attempt.Refused: The caller disconnected, the time is used up, or
                 all servers are in backoff.
         """
-        if req.caller_gone():
-            raise attempt.Refused(codes.CANCELLED if sent else codes.GONE)
-        attempt.check_held(req.held_s())
-        if req.left_s() < passage.MIN_LEFT_S:
+        if req.check_disconnected():
+            raise attempt_state.RequestRefused(
+                codes.CANCELLED if sent else codes.GONE
+            )
+        attempt_state.check_quarantined(req.quarantine_left_s())
+        if req.time_left_s() < routed_request.MIN_SEND_TIME_S:
             limit_ms = int((req.deadline - req.started_at) * 1000)
-            raise attempt.Refused(codes.TIMED_OUT, limit_ms=limit_ms)
+            raise attempt_state.RequestRefused(
+                codes.TIMED_OUT, limit_ms=limit_ms
+            )
         stage = _stage(req.service)
         backoff_s = self._owner.run(
             lambda state, now: state.fleet.backoff_s(
@@ -142,35 +160,43 @@
             )
         )
         if backoff_s:
-            raise attempt.Refused(
+            raise attempt_state.RequestRefused(
                 codes.BACKEND_REFUSED, 'backoff', retry_after_s=backoff_s
             )
 
     def _coordinated_spot(
-        self, req: passage.Passage, sent: list[str], *, started: bool
-    ) -> attempt.Spot | None:
+        self,
+        req: routed_request.RoutedRequest,
+        sent: list[str],
+        *,
+        started: bool,
+    ) -> attempt_state.AttemptPlacement | None:
         """Waits for a placement by the coordinator; None if none replies."""
-        name = f'{req.call.id}/{next(self._request_numbers)}'
+        name = f'{req.caller_request.id}/{next(self._request_numbers)}'
         started_at = self._clock()
         avoid = list(sent)
         queued = False
         try:
             while True:
-                self.check(req, sent)
+                self.check_servable(req, sent)
                 faulty = self._owner.run(
                     lambda state, now: (
                         *state.fleet.faulty(req.service.name, now),
                         *state.fleet.in_backoff(req.service.name, now),
                     )
                 )
-                avoided = (*avoid, *faulty, *self._send_limits.spent())
+                avoided = (
+                    *avoid,
+                    *faulty,
+                    *self._send_limits.exhausted_servers(),
+                )
                 msg = self._placement_request(
                     req, name, avoided, started=started
                 )
-                reply = self._client.ask(msg)
+                reply = self._client.request(msg)
                 if reply is None:
                     return None
-                if isinstance(reply, messages.Place):
+                if isinstance(reply, messages.PlacementGrant):
                     waited_s = self._clock() - started_at
                     spot = self._accept_placement(req, msg, reply, waited_s)
                     if spot is not None:
@@ -178,23 +204,28 @@
                         return spot
                     # This entry VM has newer information: the worker is
                     # leaving, was removed, or has no send tokens left.
-                    if reply.worker not in self._send_limits.spent():
-                        avoid.append(reply.worker)
-                    self._client.end(
-                        messages.EndPlace(
+                    if (
+                        reply.decode_worker
+                        not in self._send_limits.exhausted_servers()
+                    ):
+                        avoid.append(reply.decode_worker)
+                    self._client.release(
+                        messages.PlacementRelease(
                             service=req.service.name, request=name
                         )
                     )
-                    name = f'{req.call.id}/{next(self._request_numbers)}'
+                    name = (
+                        f'{req.caller_request.id}/{next(self._request_numbers)}'
+                    )
                     continue
-                if isinstance(reply, messages.TooLate):
-                    raise attempt.Refused(
+                if isinstance(reply, messages.DeadlineUnreachable):
+                    raise attempt_state.RequestRefused(
                         codes.NO_TIME,
-                        needs_ms=reply.needs_ms,
-                        left_ms=msg.left_ms,
+                        needs_ms=reply.required_ms,
+                        left_ms=msg.remaining_ms,
                     )
-                patience_s = room.patience_s(
-                    req.route, came_back=reply.came_back
+                patience_s = wait_limits.patience_s(
+                    req.route, is_retry=reply.is_retry
                 )
                 if not queued:
                     queued = True
@@ -203,15 +234,17 @@
                         position=reply.position,
                         wait_ms=reply.wait_ms,
                         patience_ms=int(patience_s * 1000),
-                        came_back=reply.came_back,
-                        short_of=reply.short_of,
+                        came_back=reply.is_retry,
+                        short_of=reply.missing_resource,
                     )
                 self._check_wait(reply, patience_s, self._clock() - started_at)
-                req.gone.wait(reply.again_in_ms / 1000)
+                req.caller_disconnected.wait(reply.retry_in_ms / 1000)
         finally:
             if name:
-                self._client.end(
-                    messages.EndPlace(service=req.service.name, request=name)
+                self._client.release(
+                    messages.PlacementRelease(
+                        service=req.service.name, request=name
+                    )
                 )
 
     def _check_wait(
@@ -226,14 +259,16 @@
         patience_ms = int(patience_s * 1000)
         wait_s = reply.wait_ms / 1000
         if waited_s > patience_s:
-            raise attempt.Refused(
+            raise attempt_state.RequestRefused(
                 codes.PATIENCE_OVER,
                 patience_ms=patience_ms,
                 wait_ms=reply.wait_ms,
                 position=reply.position,
             )
-        if waited_s > 0 and room.hopeless(wait_s, patience_s - waited_s):
-            raise attempt.Refused(
+        if waited_s > 0 and wait_limits.exceeds_patience(
+            wait_s, patience_s - waited_s
+        ):
+            raise attempt_state.RequestRefused(
                 codes.LONG_WAIT,
                 estimate_ms=reply.wait_ms,
                 wait_ms=reply.wait_ms,
@@ -243,152 +278,152 @@
 
     def _placement_request(
         self,
-        req: passage.Passage,
+        req: routed_request.RoutedRequest,
         name: str,
         avoid: tuple[str, ...],
         *,
         started: bool,
-    ) -> messages.AskPlace:
-        call = req.call
+    ) -> messages.PlacementRequest:
+        call = req.caller_request
         # The tokens that a resumed stream has already generated are prefilled
         # with its prompt and are not part of the remaining output. If it were
         # planned as a new request, it would exceed its planned memory and the
         # engine would evict another request, which is then prefilled again.
         generated = (call.after_event or 0) * req.service.event_tokens
-        return messages.AskPlace(
+        return messages.PlacementRequest(
             service=req.service.name,
             request=name,
             holder=self._entry_vm,
-            prompt=call.prompt_tokens + generated,
-            hinted=_remaining_tokens(
+            prompt_tokens=call.prompt_tokens + generated,
+            hinted_tokens=_remaining_tokens(
                 call.hinted_tokens, generated, req.service
             ),
-            longest=_remaining_tokens(
+            max_output_tokens=_remaining_tokens(
                 call.output_tokens, generated, req.service
             ),
             waited_ms=int(req.age_s() * 1000),
             target_ms=int(req.route.target_s * 1000),
             priority=req.priority,
-            avoid=avoid,
-            digest=call.digest,
-            started=started,
-            gap_ms=int(req.route.gap_s * 1000),
-            left_ms=max(1, int(req.left_s() * 1000)),
+            excluded_servers=avoid,
+            request_digest=call.digest,
+            response_started=started,
+            max_gap_ms=int(req.route.gap_s * 1000),
+            remaining_ms=max(1, int(req.time_left_s() * 1000)),
         )
 
     def _accept_placement(
         self,
-        req: passage.Passage,
-        msg: messages.AskPlace,
-        placement: messages.Place,
+        req: routed_request.RoutedRequest,
+        msg: messages.PlacementRequest,
+        placement: messages.PlacementGrant,
         waited_s: float,
-    ) -> attempt.Spot | None:
+    ) -> attempt_state.AttemptPlacement | None:
         """Returns the spot of a placement; None if its worker is not usable."""
 
         def read_state(
-            state: beliefs.Beliefs, now: float
+            state: router_state.RouterState, now: float
         ) -> tuple[forwarding.Backend | None, forwarding.Backend | None]:
             return (
-                state.fleet.usable(placement.worker, now),
-                state.fleet.usable(placement.prefiller, now),
+                state.fleet.usable(placement.decode_worker, now),
+                state.fleet.usable(placement.prefill_worker, now),
             )
 
         worker, prefiller = self._owner.run(read_state)
-        if worker is None or not self._send_limits.take(worker.id):
+        if worker is None or not self._send_limits.acquire(worker.id):
             return None
-        self._client.hold(
+        self._client.record(
             req.service.name,
-            messages.KeptPlace(
+            messages.ActivePlacement(
                 request=msg.request,
-                worker=placement.worker,
-                prompt=msg.prompt,
-                hinted=msg.hinted,
-                longest=msg.longest,
-                born=worker.born,
+                decode_worker=placement.decode_worker,
+                prompt_tokens=msg.prompt_tokens,
+                hinted_tokens=msg.hinted_tokens,
+                max_output_tokens=msg.max_output_tokens,
+                started_at=worker.born,
             ),
         )
         req.log(
             'placed',
             server=worker.id,
-            prefill=placement.prefiller,
-            reads_itself=placement.reads_itself,
+            prefill=placement.prefill_worker,
+            reads_itself=placement.local_prefill,
             waited_ms=int(waited_s * 1000),
-            prompt=msg.prompt,
-            hinted=msg.hinted,
-            longest=msg.longest,
+            prompt=msg.prompt_tokens,
+            hinted=msg.hinted_tokens,
+            longest=msg.max_output_tokens,
         )
         reserved = forwarding.Reserved(worker, '', 0)
-        spot = attempt.Spot(reserved, msg.request, prefiller)
-        spot.reads_itself = placement.reads_itself
+        spot = attempt_state.AttemptPlacement(reserved, msg.request, prefiller)
+        spot.local_prefill = placement.local_prefill
         return spot
 
     def _reserve(
-        self, req: passage.Passage, sent: list[str]
+        self, req: routed_request.RoutedRequest, sent: list[str]
     ) -> forwarding.Reserved:
         """Waits for a reservation at a worker, without the coordinator."""
-        tokens = room.tokens(req.call)
-        patience_s = room.patience_s(req.route)
+        tokens = wait_limits.reserved_tokens(req.caller_request)
+        patience_s = wait_limits.patience_s(req.route)
         started_at = self._clock()
         self._local_queue.join(req)
         try:
             while True:
-                self.check(req, sent)
+                self.check_servable(req, sent)
                 if self._local_queue.is_first(req):
                     reserved = self._try_reserve(req, tokens, sent)
                     if reserved is not None:
                         return reserved
                 if self._clock() - started_at > patience_s:
-                    raise attempt.Refused(
+                    raise attempt_state.RequestRefused(
                         codes.PATIENCE_OVER,
                         patience_ms=int(patience_s * 1000),
                     )
-                self._local_queue.pause()
+                self._local_queue.wait_for_change()
         finally:
             self._local_queue.leave(req)
 
     def _try_reserve(
-        self, req: passage.Passage, tokens: int, sent: list[str]
+        self, req: routed_request.RoutedRequest, tokens: int, sent: list[str]
     ) -> forwarding.Reserved | None:
         """Requests a reservation from some workers; None if all are full."""
         candidates = self._decoders(req, sent)
         if not candidates:
-            raise attempt.Refused(codes.NO_BACKEND)
+            raise attempt_state.RequestRefused(codes.NO_BACKEND)
         if not req.service.hold_s:
             for server in candidates:
-                if self._send_limits.take(server.id):
+                if self._send_limits.acquire(server.id):
                     return forwarding.Reserved(server, '', tokens)
             return None
-        ttl_s = min(req.service.hold_s, room.HOLD_S)
-        for server in candidates[:ASKS]:
-            if not self._send_limits.take(server.id):
+        ttl_s = min(req.service.hold_s, wait_limits.MAX_RESERVATION_S)
+        for server in candidates[:MAX_RESERVATION_REQUESTS]:
+            if not self._send_limits.acquire(server.id):
                 continue
             try:
                 reply = self._workers.reserve(server, tokens, ttl_s)
             except errors.PortError as exc:
                 req.log('reservation failed', server=server.id, error=str(exc))
-                self.failed(req, server)
+                self.record_failure(req, server)
                 continue
             if reply.status == forwarding.UNAVAILABLE:
                 continue
             if not reply.ok:
                 error = f'status {reply.status}'
                 req.log('reservation failed', server=server.id, error=error)
-                self.failed(req, server)
+                self.record_failure(req, server)
                 continue
             if reply.text:
                 req.log(
                     'reserved',
                     server=server.id,
                     tokens=tokens,
-                    prompt=req.call.prompt_tokens,
-                    longest=req.call.output_tokens,
-                    hinted=req.call.hinted_tokens,
+                    prompt=req.caller_request.prompt_tokens,
+                    longest=req.caller_request.output_tokens,
+                    hinted=req.caller_request.hinted_tokens,
                 )
                 return forwarding.Reserved(server, reply.text, tokens)
         return None
 
     def _decoders(
-        self, req: passage.Passage, sent: list[str]
+        self, req: routed_request.RoutedRequest, sent: list[str]
     ) -> list[forwarding.Backend]:
         service = req.service
         stage = _stage(service)
@@ -397,7 +432,7 @@
         attempts_used_up = len(sent) >= req.route.max_attempts
 
         def read_state(
-            state: beliefs.Beliefs, now: float
+            state: router_state.RouterState, now: float
         ) -> list[forwarding.Backend]:
             server_states = state.fleet.candidates(
                 service.name, now, stage, () if attempts_used_up else sent
--- a/packages/daemon/foxtaildaled/forward.py
+++ b/packages/daemon/foxtaildaled/plain_forwarder.py
@@ -12,35 +12,35 @@
 from typing import Final
 
 from foxtaildale import codes
-from foxtaildale import comeback
 from foxtaildale import errors
 from foxtaildale import fingerprint
 from foxtaildale import forwarding
 from foxtaildale import ports
+from foxtaildale import retry_delays
 from foxtaildaled import actors
-from foxtaildaled import beliefs
-from foxtaildaled import breaks
-from foxtaildaled import passage
+from foxtaildaled import crash_detection
+from foxtaildaled import routed_request
+from foxtaildaled import router_retry_budgets
+from foxtaildaled import router_state
 from foxtaildaled import sendlimits
-from foxtaildaled import sends
 
 # Maximum number of servers that may be missing before a request is refused. A
 # server is missing if the connection to it does not open, or if another server
 # replies that it has the address now. The intended server received nothing, so
 # this does not count as an attempt.
-CONNECTS: Final = 3
+MAX_MISSED_SERVERS: Final = 3
 # An idempotent request without a response is sent to another server after this
 # multiple of its target time. A server that hangs would otherwise delay it
 # until its deadline.
-STALLED_TARGETS: Final = 2.0
+STALL_TARGET_FACTOR: Final = 2.0
 # Minimum of that time, seconds.
-STALLED_S: Final = 0.5
+MIN_STALL_S: Final = 0.5
 # Maximum size of a response, which is held in memory, bytes.
-MAX_BODY: Final = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES: Final = 16 * 1024 * 1024
 # Assumed time for which a full service stays full, seconds. A slot becomes free
 # sooner, but a request that is refused in a burst of some seconds can no longer
 # meet its target, and a caller that retries at once meets the same burst.
-FULL_WAIT_S: Final = 0.8
+FULL_SERVICE_S: Final = 0.8
 
 
 class _CompleteResponse:
@@ -48,7 +48,7 @@
 
     __slots__ = ('body', 'head')
 
-    def __init__(self, head: forwarding.Head, body: bytes) -> None:
+    def __init__(self, head: forwarding.ResponseHead, body: bytes) -> None:
         self.head = head
         self.body = body
 
@@ -85,7 +85,7 @@
         self.may_have_run = False
 
 
-class Forward:
+class PlainForwarder:
     """Serves requests of plain services, with retries where allowed."""
 
     __slots__ = (
@@ -102,11 +102,11 @@
     def __init__(
         self,
         *,
-        owner: actors.Owner[beliefs.Beliefs],
-        workers: ports.Workers,
-        budgets: sends.Sends,
+        owner: actors.StateOwner[router_state.RouterState],
+        workers: ports.ServerClient,
+        budgets: router_retry_budgets.RouterRetryBudgets,
         send_limits: sendlimits.SendLimits,
-        crash_probe: breaks.Breaks,
+        crash_probe: crash_detection.CrashDetector,
         on_completed: Callable[[int], None],
         clock: ports.Clock,
         rng: random.Random,
@@ -121,19 +121,25 @@
         self._clock = clock
         self._rng = rng
 
-    def serve(self, req: passage.Passage) -> None:
+    def serve(self, req: routed_request.RoutedRequest) -> None:
         """Serves one request; returns after its final response is sent."""
-        self._retry_budgets.first(req.service.name)
+        self._retry_budgets.record_first_attempt(req.service.name)
         history = _SendHistory()
         while self._try_server(req, history):
             pass
 
-    def _try_server(self, req: passage.Passage, history: _SendHistory) -> bool:
+    def _try_server(
+        self, req: routed_request.RoutedRequest, history: _SendHistory
+    ) -> bool:
         """Sends the request to one server; returns whether to try another."""
-        if req.caller_gone():
+        if req.check_disconnected():
             req.refuse(codes.CANCELLED if history.attempts else codes.GONE)
             return False
-        server = None if req.held_s() else self._choose_server(req, history)
+        server = (
+            None
+            if req.quarantine_left_s()
+            else self._choose_server(req, history)
+        )
         if server is None or not self._may_send(req, history, server):
             self._end_without_server(req, history)
             return False
@@ -142,7 +148,7 @@
             'sent',
             server=server.id,
             attempt=history.attempts + 1,
-            fingerprint=fingerprint.text(req.fingerprint),
+            fingerprint=fingerprint.to_text(req.fingerprint),
         )
         outcome = self._send(req, server, history.attempts)
         if isinstance(outcome, _CompleteResponse):
@@ -151,7 +157,7 @@
 
     def _on_response(
         self,
-        req: passage.Passage,
+        req: routed_request.RoutedRequest,
         history: _SendHistory,
         response: _CompleteResponse,
     ) -> bool:
@@ -173,7 +179,10 @@
         return False
 
     def _on_error(
-        self, req: passage.Passage, history: _SendHistory, exc: errors.PortError
+        self,
+        req: routed_request.RoutedRequest,
+        history: _SendHistory,
+        exc: errors.PortError,
     ) -> bool:
         if isinstance(exc, errors.UnreachableError):
             history.missed += 1
@@ -182,7 +191,7 @@
         history.attempts += 1
         history.last_response = None
         history.may_have_run = True
-        if req.gone.is_set():
+        if req.caller_disconnected.is_set():
             req.refuse(codes.CANCELLED)
             return False
         if not req.route.repeatable:
@@ -191,14 +200,14 @@
         return True
 
     def _choose_server(
-        self, req: passage.Passage, history: _SendHistory
+        self, req: routed_request.RoutedRequest, history: _SendHistory
     ) -> forwarding.Backend | None:
         """Returns the best untried server within its send limit, or None."""
         service = req.service.name
         repeatable = req.route.repeatable
 
         def rank(
-            state: beliefs.Beliefs, now: float
+            state: router_state.RouterState, now: float
         ) -> list[forwarding.Backend]:
             candidates = state.fleet.candidates(
                 service, now, avoid=history.tried_ids, repeatable=repeatable
@@ -207,31 +216,37 @@
 
         servers = self._owner.run(rank)
         for server in servers:
-            if self._send_limits.take(server.id):
+            if self._send_limits.acquire(server.id):
                 return server
         history.rate_limited = bool(servers)
         return None
 
     def _may_send(
         self,
-        req: passage.Passage,
+        req: routed_request.RoutedRequest,
         history: _SendHistory,
         server: forwarding.Backend,
     ) -> bool:
-        if history.missed >= CONNECTS or req.left_s() < passage.MIN_LEFT_S:
+        if (
+            history.missed >= MAX_MISSED_SERVERS
+            or req.time_left_s() < routed_request.MIN_SEND_TIME_S
+        ):
             return False
         if not history.requests_sent:
             return True
         if history.attempts >= req.route.max_attempts:
             return False
-        allowed = self._retry_budgets.take(req.service.name, req.deadline)
+        allowed = self._retry_budgets.acquire(req.service.name, req.deadline)
         req.log('retry', server=server.id, allowed=allowed)
         if allowed:
-            req.counts.retries.add(1, req.service.name)
+            req.request_metrics.retries.add(1, req.service.name)
         return allowed
 
     def _send(
-        self, req: passage.Passage, server: forwarding.Backend, attempts: int
+        self,
+        req: routed_request.RoutedRequest,
+        server: forwarding.Backend,
+        attempts: int,
     ) -> _CompleteResponse | errors.PortError:
         """Sends the request once.
 
@@ -239,41 +254,47 @@
             The complete response, or an error whose class tells whether
             anything was sent.
         """
-        left_s = req.left_s()
-        flight = self._workers.plain(
-            req.call, server, left_s, repeatable=req.route.repeatable
+        left_s = req.time_left_s()
+        flight = self._workers.forward(
+            req.caller_request, server, left_s, repeatable=req.route.repeatable
         )
-        self._owner.run(lambda state, _: state.fleet.sent(server.id))
+        self._owner.run(lambda state, _: state.fleet.record_sent(server.id))
         began_at = self._clock()
-        head: forwarding.Head | None = None
+        head: forwarding.ResponseHead | None = None
         try:
-            req.attach(flight)
+            req.set_flight(flight)
             flight.send(left_s)
-            head = flight.head(self._response_timeout_s(req, attempts))
+            head = flight.read_head(self._response_timeout_s(req, attempts))
             if not head.matches:
-                raise errors.AnswerLostError('response to another request')
+                raise errors.NoReplyError('response to another request')
             return _CompleteResponse(head, _read_body(flight, req))
         except errors.PortError as exc:
             req.log('send failed', server=server.id, error=str(exc))
-            self._crash_probe.note(req, server, exc, began_at=began_at)
+            self._crash_probe.handle_send_error(
+                req, server, exc, began_at=began_at
+            )
             head = None
             return exc
         finally:
-            req.attach(None)
+            req.set_flight(None)
             flight.close()
             self._record_outcome(req, server, head, self._clock() - began_at)
 
-    def _response_timeout_s(self, req: passage.Passage, attempts: int) -> float:
-        left_s = req.left_s()
+    def _response_timeout_s(
+        self, req: routed_request.RoutedRequest, attempts: int
+    ) -> float:
+        left_s = req.time_left_s()
         if not req.route.repeatable or attempts + 1 >= req.route.max_attempts:
             return left_s
-        return min(left_s, max(STALLED_S, STALLED_TARGETS * req.route.target_s))
+        return min(
+            left_s, max(MIN_STALL_S, STALL_TARGET_FACTOR * req.route.target_s)
+        )
 
     def _record_outcome(
         self,
-        req: passage.Passage,
+        req: routed_request.RoutedRequest,
         server: forwarding.Backend,
-        head: forwarding.Head | None,
+        head: forwarding.ResponseHead | None,
         duration_s: float,
     ) -> None:
         """Records the outcome of a send.
@@ -285,23 +306,26 @@
             duration_s: Time of the send, seconds.
         """
 
-        def update(state: beliefs.Beliefs, now: float) -> None:
-            state.fleet.ended(server.id)
+        def update(state: router_state.RouterState, now: float) -> None:
+            state.fleet.record_finished(server.id)
             if head is None:
-                if not req.gone.is_set():
-                    state.plain_failed(server.id, now)
+                if not req.caller_disconnected.is_set():
+                    state.record_plain_failure(server.id, now)
             elif head.ran == 'no':
                 return
             elif head.status >= 500:
-                state.plain_failed(server.id, now)
+                state.record_plain_failure(server.id, now)
             else:
-                state.experience.note(server.id, failed=False)
-                state.fleet.answered(server.id, now, duration_s)
+                state.failure_rates.record(server.id, failed=False)
+                state.fleet.record_success(server.id, now, duration_s)
 
         self._owner.run(update)
 
     def _should_retry(
-        self, req: passage.Passage, response: _CompleteResponse, attempts: int
+        self,
+        req: routed_request.RoutedRequest,
+        response: _CompleteResponse,
+        attempts: int,
     ) -> bool:
         """Whether another server should be tried after this response."""
         if response.head.ran == 'no':
@@ -313,19 +337,21 @@
         )
 
     def _end_without_server(
-        self, req: passage.Passage, history: _SendHistory
+        self, req: routed_request.RoutedRequest, history: _SendHistory
     ) -> None:
         last = history.last_response
         if last is not None and last.head.ran != 'no':
             self._send_response(req, last)
         elif history.may_have_run:
             self._send_failure(req)
-        elif req.held_s():
-            req.refuse_held()
+        elif req.quarantine_left_s():
+            req.refuse_quarantined()
         else:
             self._refuse(req, history)
 
-    def _refuse(self, req: passage.Passage, history: _SendHistory) -> None:
+    def _refuse(
+        self, req: routed_request.RoutedRequest, history: _SendHistory
+    ) -> None:
         """Refuses a request that no server accepts, with a retry delay."""
         name = req.service.name
         backoff_s = self._owner.run(
@@ -341,31 +367,35 @@
         else:
             code = codes.NO_BACKEND
         if backoff_s:
-            retry_s = comeback.not_before_s(backoff_s, self._rng)
+            retry_s = retry_delays.retry_after_end_s(backoff_s, self._rng)
         else:
-            left_s = req.left_s()
-            retry_s = comeback.retry_after_s(FULL_WAIT_S, left_s, self._rng)
+            left_s = req.time_left_s()
+            retry_s = retry_delays.retry_after_s(
+                FULL_SERVICE_S, left_s, self._rng
+            )
         req.refuse(code, {'reason': reason} if reason else {}, retry_s)
 
-    def _send_failure(self, req: passage.Passage) -> None:
-        if req.left_s() < passage.MIN_LEFT_S:
+    def _send_failure(self, req: routed_request.RoutedRequest) -> None:
+        if req.time_left_s() < routed_request.MIN_SEND_TIME_S:
             limit_ms = int((req.deadline - req.started_at) * 1000)
             req.refuse(codes.TIMED_OUT, {'limit_ms': limit_ms})
         else:
             req.refuse(codes.UNKNOWN)
 
     def _send_response(
-        self, req: passage.Passage, response: _CompleteResponse
+        self, req: routed_request.RoutedRequest, response: _CompleteResponse
     ) -> None:
         if response.head.ok:
             self._on_completed(req.fingerprint)
-        complete = req.ex.respond(
+        complete = req.exchange.respond(
             response.head.status, dict(response.head.headers), response.body
         )
-        req.answered(response.head.status, whole=complete)
+        req.record_response(response.head.status, complete=complete)
 
 
-def _read_body(flight: ports.Flight, req: passage.Passage) -> bytes:
+def _read_body(
+    flight: ports.ServerExchange, req: routed_request.RoutedRequest
+) -> bytes:
     """Reads a complete response body.
 
     Raises:
@@ -373,11 +403,11 @@
     """
     chunks = []
     size = 0
-    while chunk := flight.read(req.left_s()):
+    while chunk := flight.read_chunk(req.time_left_s()):
         chunks.append(chunk)
         size += len(chunk)
-        if size > MAX_BODY:
-            raise errors.AnswerLostError(
-                f'response body exceeds {MAX_BODY} bytes'
+        if size > MAX_RESPONSE_BYTES:
+            raise errors.NoReplyError(
+                f'response body exceeds {MAX_RESPONSE_BYTES} bytes'
             )
     return b''.join(chunks)
--- a/packages/daemon/foxtaildaled/calls.py
+++ b/packages/daemon/foxtaildaled/plain_requests.py
@@ -8,11 +8,11 @@
 from foxtaildale import codes
 from foxtaildale import messages
 from foxtaildale import tickets
-from foxtaildaled import claiming
-from foxtaildaled import desk
-from foxtaildaled import gate
-from foxtaildaled import plain
-from foxtaildaled import visit as visits
+from foxtaildaled import claim_client
+from foxtaildaled import plain_services
+from foxtaildaled import request_checks
+from foxtaildaled import request_context as visits
+from foxtaildaled import ticket_handler
 
 PREFIX: Final = '/v1/services/'
 
@@ -21,7 +21,7 @@
     """Request for tickets of a service."""
 
     service: str
-    count: Annotated[int, msgspec.Meta(ge=1, le=desk.MAX_COUNT)] = 1
+    count: Annotated[int, msgspec.Meta(ge=1, le=ticket_handler.MAX_TICKETS)] = 1
 
 
 class TicketsReply(msgspec.Struct, frozen=True):
@@ -31,25 +31,25 @@
     tickets: tuple[str, ...]
 
 
-class Calls:
+class PlainRequests:
     """Serves requests to plain services."""
 
     __slots__ = ('_claiming', '_desk', '_gate', '_plain', '_replies')
 
-    _gate: gate.Gate
+    _gate: request_checks.RequestChecks
     _replies: visits.Replies
-    _plain: plain.Plain
-    _desk: desk.Desk
-    _claiming: claiming.Claiming
+    _plain: plain_services.PlainServices
+    _desk: ticket_handler.TicketHandler
+    _claiming: claim_client.ClaimClient
 
     def __init__(
         self,
         *,
-        admission: gate.Gate,
+        admission: request_checks.RequestChecks,
         replies: visits.Replies,
-        services: plain.Plain,
-        ticket_desk: desk.Desk,
-        claim_desk: claiming.Claiming,
+        services: plain_services.PlainServices,
+        ticket_desk: ticket_handler.TicketHandler,
+        claim_desk: claim_client.ClaimClient,
     ) -> None:
         self._gate = admission
         self._replies = replies
@@ -57,12 +57,12 @@
         self._desk = ticket_desk
         self._claiming = claim_desk
 
-    def call(self, visit: visits.Visit) -> None:
+    def serve_call(self, visit: visits.RequestContext) -> None:
         """Serves one request to a plain service.
 
         A service may require a ticket or a claim for each request.
         """
-        path = visit.ex.path.removeprefix(PREFIX)
+        path = visit.exchange.path.removeprefix(PREFIX)
         name, _slash, call = path.partition('/')
         if not call:
             self._replies.reject(visit, name, 'the path names no call')
@@ -79,14 +79,16 @@
                 visit, name, self._call_service(visit, name, call)
             )
 
-    def mint(self, visit: visits.Visit) -> None:
+    def issue_tickets(self, visit: visits.RequestContext) -> None:
         """Issues tickets."""
         try:
-            req = msgspec.json.decode(visit.ex.body, type=TicketsReq)
+            req = msgspec.json.decode(visit.exchange.body, type=TicketsReq)
         except (msgspec.DecodeError, UnicodeDecodeError) as exc:
             self._replies.reject(visit, '', str(exc))
             return
-        service = self._gate.admit(visit, req.service, 'plain', counts=False)
+        service = self._gate.admit(
+            visit, req.service, 'plain', counts_against_limit=False
+        )
         if service is None:
             return
         if service.once != 'ticket':
@@ -94,19 +96,21 @@
                 visit, req.service, 'the service does not use tickets'
             )
             return
-        issued = self._desk.mint(req.service, req.count)
+        issued = self._desk.issue_tickets(req.service, req.count)
         if issued:
-            self._replies.tell(visit, TicketsReply(req.service, issued))
+            self._replies.respond_document(
+                visit, TicketsReply(req.service, issued)
+            )
             return
         self._replies.refuse(
             visit,
             req.service,
             codes.NO_WITNESS,
-            retry_after_s=visits.AGAIN_S,
+            retry_after_s=visits.DEFAULT_RETRY_AFTER_S,
         )
 
     def _call_with_ticket(
-        self, visit: visits.Visit, name: str, call: str
+        self, visit: visits.RequestContext, name: str, call: str
     ) -> None:
         if not visit.ticket:
             self._refuse_ticket(visit, name, codes.TICKET_NEEDED)
@@ -115,29 +119,31 @@
         if ticket is None or self._desk.check(ticket, name) is not None:
             self._refuse_ticket(visit, name, codes.TICKET_BAD)
             return
-        reply = self._desk.run(ticket, call, visit.ex.body, visit.request)
+        reply = self._desk.run(ticket, call, visit.exchange.body, visit.request)
         self._send_ticket_reply(visit, name, reply)
 
     def _send_ticket_reply(
-        self, visit: visits.Visit, name: str, reply: messages.RunReply
+        self, visit: visits.RequestContext, name: str, reply: messages.RunReply
     ) -> None:
         if reply.outcome.request == visit.request:
             self._replies.record(reply.outcome)
-        response = desk.unpack(reply.answer)
+        response = ticket_handler.decode_reply(reply.response)
         if reply.outcome.code == codes.OK.name and response is not None:
-            self._replies.pass_on(visit, reply.outcome, response)
+            self._replies.respond_service_reply(visit, reply.outcome, response)
             return
         not_run = codes.ran(reply.outcome.code) == 'no'
-        new_tickets = self._desk.mint(name, 1) if not_run else ()
-        self._replies.end(visit, reply.outcome, new_tickets)
+        new_tickets = self._desk.issue_tickets(name, 1) if not_run else ()
+        self._replies.respond_outcome(visit, reply.outcome, new_tickets)
 
     def _refuse_ticket(
-        self, visit: visits.Visit, name: str, code: codes.Code
+        self, visit: visits.RequestContext, name: str, code: codes.Code
     ) -> None:
-        self._replies.refuse(visit, name, code, fresh=self._desk.mint(name, 1))
+        self._replies.refuse(
+            visit, name, code, fresh_tickets=self._desk.issue_tickets(name, 1)
+        )
 
     def _call_with_claim(
-        self, visit: visits.Visit, name: str, call: str
+        self, visit: visits.RequestContext, name: str, call: str
     ) -> None:
         refusal = self._claiming.claim(visit, name, call)
         if refusal is not None:
@@ -150,26 +156,29 @@
             )
             return
         result = self._call_service(visit, name, call)
-        outcome = self._replies.stamp(
+        outcome = self._replies.make_outcome(
             result.code, visit.request, name, visit.snapshot
         )
-        self._claiming.end(name, visit.key, outcome)
-        code = visit.covering(result.code)
+        self._claiming.report_outcome(name, visit.key, outcome)
+        code = visit.refusal_code(result.code)
         self._send_result(
             visit, name, msgspec.structs.replace(result, code=code)
         )
 
     def _call_service(
-        self, visit: visits.Visit, name: str, call: str
-    ) -> plain.Result:
+        self, visit: visits.RequestContext, name: str, call: str
+    ) -> plain_services.Result:
         return self._plain.call(
-            visit.snapshot, name, call, visit.ex.body, visit.request
+            visit.snapshot, name, call, visit.exchange.body, visit.request
         )
 
     def _send_result(
-        self, visit: visits.Visit, name: str, result: plain.Result
+        self,
+        visit: visits.RequestContext,
+        name: str,
+        result: plain_services.Result,
     ) -> None:
-        outcome = self._replies.outcome(
+        outcome = self._replies.make_recorded_outcome(
             visit,
             name,
             result.code,
@@ -177,6 +186,6 @@
             retry_after_s=result.retry_after_s,
         )
         if result.reply is None:
-            self._replies.end(visit, outcome)
+            self._replies.respond_outcome(visit, outcome)
         else:
-            self._replies.pass_on(visit, outcome, result.reply)
+            self._replies.respond_service_reply(visit, outcome, result.reply)
--- a/packages/daemon/foxtaildaled/plain.py
+++ b/packages/daemon/foxtaildaled/plain_services.py
@@ -14,7 +14,7 @@
 from foxtaildale import errors
 from foxtaildale import ports
 from foxtaildale import values
-from foxtaildaled import retries
+from foxtaildaled import entry_retry_budgets
 from foxtaildaled import view
 
 
@@ -28,19 +28,19 @@
     retry_after_s: float = 0.0
 
 
-class Plain:
+class PlainServices:
     """Calls plain services."""
 
     __slots__ = ('_calls_in_progress', '_lock', '_retries', '_services')
 
     _services: ports.Services
-    _retries: retries.Retries
+    _retries: entry_retry_budgets.RetryBudgets
     # Number of calls in progress, by the name of the backend server.
     _calls_in_progress: dict[str, int]
     _lock: threading.Lock
 
     def __init__(
-        self, services: ports.Services, budget: retries.Retries
+        self, services: ports.Services, budget: entry_retry_budgets.RetryBudgets
     ) -> None:
         self._services = services
         self._retries = budget
@@ -59,12 +59,12 @@
         service = snapshot.service(name)
         if service is None:
             return Result(codes.NO_SERVICE, None, _service_figure(name))
-        self._retries.first(name, snapshot)
+        self._retries.record_first_attempt(name, snapshot)
         timeout_s = service.call_timeout_ms / 1000
         tried: set[str] = set()
         sent = False
         while True:
-            server = self._choose(snapshot.live(name, 'plain'), tried)
+            server = self._choose(snapshot.live_servers(name, 'plain'), tried)
             if server is None:
                 return _no_server(sent)
             tried.add(server.name)
@@ -78,7 +78,7 @@
                 sent = True
                 if service.once != 'none':
                     return _outcome_unknown(exc)
-                if not self._retries.take(name, snapshot, None):
+                if not self._retries.acquire(name, snapshot, None):
                     return _outcome_unknown(exc)
 
     def _call(
--- a/packages/daemon/foxtaildaled/follow.py
+++ b/packages/daemon/foxtaildaled/platform_loops.py
@@ -25,18 +25,18 @@
 _T = TypeVar('_T')
 
 
-class Follow:
+class PlatformFollower:
     """Reads the configuration and the VM list."""
 
     __slots__ = ('_directory', '_log', '_owner')
 
-    _owner: actors.Owner[keeper.Keeper]
+    _owner: actors.StateOwner[keeper.Keeper]
     _log: ports.Log
     _directory: ports.Directory
 
     def __init__(
         self,
-        owner: actors.Owner[keeper.Keeper],
+        owner: actors.StateOwner[keeper.Keeper],
         log: ports.Log,
         directory: ports.Directory,
     ) -> None:
@@ -44,7 +44,7 @@
         self._log = log
         self._directory = directory
 
-    def step(self) -> None:
+    def read_once(self) -> None:
         """Reads the configuration and the VM list once."""
         self._read_config()
         self._read_vm_list()
@@ -53,7 +53,7 @@
         offset = self._owner.run(lambda state, _now: state.follower.next_offset)
         try:
             batch = self._log.read(CONFIG_STREAM, offset, _MAX_BATCH)
-        except errors.LapsedError as exc:
+        except errors.RecordsExpiredError as exc:
             first = exc.first
             self._owner.run(
                 lambda state, now: state.follower.on_lapsed(now, first)
@@ -69,8 +69,8 @@
 
     def _write_checkpoint(self, first: int) -> None:
         record = self._owner.run(
-            lambda state, now: state.follower.checkpoint_due(
-                now, first, len(state.keepers(now))
+            lambda state, now: state.follower.due_checkpoint(
+                now, first, len(state.available_keepers(now))
             )
         )
         if record is None:
@@ -89,34 +89,36 @@
         self._owner.run(lambda state, now: state.on_listing(now, listing))
 
 
-class Settle:
+class ClaimSettler:
     """Writes the waiting claims and reads the claims stream."""
 
     __slots__ = ('_log', '_owner')
 
-    _owner: actors.Owner[keeper.Keeper]
+    _owner: actors.StateOwner[keeper.Keeper]
     _log: ports.Log
 
     def __init__(
-        self, owner: actors.Owner[keeper.Keeper], log: ports.Log
+        self, owner: actors.StateOwner[keeper.Keeper], log: ports.Log
     ) -> None:
         self._owner = owner
         self._log = log
 
-    def step(self) -> None:
+    def settle_waiting(self) -> None:
         """Repeats rounds until no claim waits; runs one round if none does.
 
         Only waiting claims cause repeated reads: ten reads a second would take
         a third of the time of an idle keeper.
         """
         self._run_round()
-        while self._owner.run(lambda state, _now: len(state.waiting)):
+        while self._owner.run(lambda state, _now: len(state.pending_claims)):
             time.sleep(_ROUND_INTERVAL_S)
             self._run_round()
 
     def _run_round(self) -> None:
         """Writes the waiting claims, then reads to the end of the stream."""
-        records = self._owner.run(lambda state, now: state.claims.batch(now))
+        records = self._owner.run(
+            lambda state, now: state.claims.take_batch(now)
+        )
         if records:
             self._write(records)
         while self._read():
@@ -125,7 +127,7 @@
     def _write(self, records: list[bytes]) -> None:
         try:
             self._log.append(CLAIMS_STREAM, records)
-        except errors.AnswerLostError:
+        except errors.NoReplyError:
             self._handle_failed_append(sent=True)
         except errors.PortError:
             self._handle_failed_append(sent=False)
@@ -134,7 +136,7 @@
 
     def _handle_failed_append(self, *, sent: bool) -> None:
         self._owner.run(
-            lambda state, now: state.settle(
+            lambda state, now: state.complete_claims(
                 state.claims.on_append_failed(now, sent)
             )
         )
@@ -144,7 +146,7 @@
         offset = self._owner.run(lambda state, _now: state.claims.next_offset())
         try:
             batch = self._log.read(CLAIMS_STREAM, offset, _MAX_BATCH)
-        except errors.LapsedError as exc:
+        except errors.RecordsExpiredError as exc:
             first = exc.first
             self._owner.run(
                 lambda state, now: state.claims.on_lapsed(now, first)
@@ -153,12 +155,14 @@
         except errors.PortError:
             return False
         self._owner.run(
-            lambda state, now: state.settle(state.claims.on_records(now, batch))
+            lambda state, now: state.complete_claims(
+                state.claims.on_records(now, batch)
+            )
         )
         return bool(batch.records)
 
 
-def quietly(call: Callable[[], _T]) -> _T | None:
+def call_or_none(call: Callable[[], _T]) -> _T | None:
     """Makes a call to another process; returns None if it fails."""
     try:
         return call()
--- a/packages/daemon/foxtaildaled/pools.py
+++ b/packages/daemon/foxtaildaled/pools.py
@@ -6,11 +6,11 @@
 """
 
 from foxtaildale import backends
+from foxtaildale import config_follower
 from foxtaildale import errors
 from foxtaildale import members
 from foxtaildale import messages
 from foxtaildale import pool
-from foxtaildale import spread
 
 
 class Pools:
@@ -18,36 +18,40 @@
 
     __slots__ = ('_follower', '_members', '_pools')
 
-    _follower: spread.Follower
+    _follower: config_follower.Follower
     _members: members.Members
     _pools: dict[str, pool.Pool]
 
     def __init__(
-        self, follower: spread.Follower, member_list: members.Members
+        self, follower: config_follower.Follower, member_list: members.Members
     ) -> None:
         self._follower = follower
         self._members = member_list
         self._pools = {}
 
-    def ask(self, now: float, msg: messages.AskSlot) -> messages.Any:
+    def request_slot(
+        self, now: float, msg: messages.SlotRequest
+    ) -> messages.Message:
         """Returns the reply to a request for a slot."""
         service_pool = self._get(now, msg.service)
         if service_pool is None:
-            return messages.Fail(code='no-service')
-        return service_pool.ask(now, msg)
+            return messages.ErrorReply(code='no-service')
+        return service_pool.request_slot(now, msg)
 
-    def end(self, now: float, msg: messages.EndSlot) -> messages.Any:
+    def release(
+        self, now: float, msg: messages.SlotRelease
+    ) -> messages.Message:
         """Releases a grant."""
         service_pool = self._get(now, msg.service)
         if service_pool is not None:
-            service_pool.end(now, msg)
+            service_pool.release(now, msg)
         return messages.Pong()
 
-    def keep(self, now: float, msg: messages.KeepSlots) -> messages.Any:
+    def renew(self, now: float, msg: messages.SlotRenewal) -> messages.Message:
         """Renews the grants that a holder lists."""
         service_pool = self._get(now, msg.service)
         if service_pool is not None:
-            service_pool.keep(now, msg)
+            service_pool.renew(now, msg)
         return messages.Pong()
 
     def on_load(self, now: float, server: str, load: backends.Load) -> None:
@@ -63,7 +67,7 @@
         if service_pool is not None:
             service_pool.on_cache(server, events.events)
 
-    def serve(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Updates every pool from the preset in force and the members."""
         for name in self._pools:
             self._update(now, name)
@@ -102,6 +106,6 @@
         servers = tuple(
             server
             for role in ('prefill', 'decode')
-            for server in self._members.servers(name, role)
+            for server in self._members.available_servers(name, role)
         )
         service_pool.on_servers(now, servers)
--- a/packages/daemon/foxtaildaled/prompts.py
+++ b/packages/daemon/foxtaildaled/prefill_clients.py
@@ -7,30 +7,32 @@
 from foxtaildale import forwarding
 from foxtaildale import ports
 from foxtaildaled import actors
-from foxtaildaled import attempt
-from foxtaildaled import beliefs
-from foxtaildaled import breaks
-from foxtaildaled import passage
+from foxtaildaled import attempt_state
+from foxtaildaled import crash_detection
+from foxtaildaled import routed_request
+from foxtaildaled import router_retry_budgets
+from foxtaildaled import router_state
 from foxtaildaled import sendlimits
-from foxtaildaled import sends
 
 # Maximum time of a prefill, seconds. A long prompt that is queued behind some
 # others takes less; a worker that takes longer is dead or unreachable.
-PREFILL_S: Final = 1.5
+MAX_PREFILL_S: Final = 1.5
 # Maximum number of prefill attempts for one attempt of a request. Each attempt
 # that fails also spends one retry of the service's budget.
-PREFILLS: Final = 3
+MAX_PREFILL_ATTEMPTS: Final = 3
 # Part of the lifetime of a prefilled prompt in which it is offered to a decode
 # worker again. The rest covers the network delay to the worker that holds it.
-HANDLE_PART: Final = 0.7
+USABLE_TTL_FRACTION: Final = 0.7
 
 
 # Called when a server has failed a request, or when another server has its
 # address.
-OnServer = Callable[[passage.Passage, forwarding.Backend], None]
+ServerCallback = Callable[
+    [routed_request.RoutedRequest, forwarding.Backend], None
+]
 
 
-class Prompts:
+class PrefillClient:
     """Sends the prompts of requests to prefill workers."""
 
     __slots__ = (
@@ -47,14 +49,14 @@
     def __init__(
         self,
         *,
-        owner: actors.Owner[beliefs.Beliefs],
-        workers: ports.Workers,
-        budgets: sends.Sends,
+        owner: actors.StateOwner[router_state.RouterState],
+        workers: ports.ServerClient,
+        budgets: router_retry_budgets.RouterRetryBudgets,
         send_limits: sendlimits.SendLimits,
-        crash_probe: breaks.Breaks,
+        crash_probe: crash_detection.CrashDetector,
         clock: ports.Clock,
-        on_failed: OnServer,
-        on_replaced: OnServer,
+        on_failed: ServerCallback,
+        on_replaced: ServerCallback,
     ) -> None:
         self._owner = owner
         self._workers = workers
@@ -65,11 +67,11 @@
         self._on_failed = on_failed
         self._on_replaced = on_replaced
 
-    def read(
+    def ensure_prefilled(
         self,
-        req: passage.Passage,
-        placement: attempt.Spot,
-        response: attempt.Answer,
+        req: routed_request.RoutedRequest,
+        placement: attempt_state.AttemptPlacement,
+        response: attempt_state.ResponseState,
     ) -> None:
         """Prefills the prompt, unless a prefill worker still holds it.
 
@@ -83,32 +85,32 @@
         if prefilled is not None and self._has_restarted(prefilled.worker):
             response.prefilled = None
         age_s = self._clock() - response.prefilled_at
-        ttl_s = req.service.handle_s * HANDLE_PART
+        ttl_s = req.service.handle_s * USABLE_TTL_FRACTION
         if response.prefilled is not None and age_s < ttl_s:
             req.log('prompt kept', held_ms=int(age_s * 1000))
             return
-        if placement.reads_itself:
+        if placement.local_prefill:
             response.prefilled = None
             return
-        if response.prefills and not self._retry_budgets.take(
+        if response.prefill_count and not self._retry_budgets.acquire(
             req.service.name, req.deadline
         ):
-            raise attempt.Refused(*response.unfinished())
+            raise attempt_state.RequestRefused(*response.unfinished_code())
         response.prefilled = self._prefill(req, placement, response)
         response.prefilled_at = self._clock()
-        response.prefills += response.prefilled is not None
+        response.prefill_count += response.prefilled is not None
 
     def _has_restarted(self, worker: forwarding.Backend) -> bool:
         """Whether a worker has restarted, and so has lost its prompts."""
         return self._owner.run(
-            lambda state, _: state.fleet.born(worker.id) > worker.born
+            lambda state, _: state.fleet.started_at(worker.id) > worker.born
         )
 
     def _prefill(
         self,
-        req: passage.Passage,
-        placement: attempt.Spot,
-        response: attempt.Answer,
+        req: routed_request.RoutedRequest,
+        placement: attempt_state.AttemptPlacement,
+        response: attempt_state.ResponseState,
     ) -> forwarding.Prefilled | None:
         """Prefills the prompt at a prefill worker.
 
@@ -120,27 +122,27 @@
                 failed, or the request is quarantined.
         """
         tried: list[str] = []
-        while len(tried) < PREFILLS:
-            preferred = None if tried else placement.prefiller
+        while len(tried) < MAX_PREFILL_ATTEMPTS:
+            preferred = None if tried else placement.prefill_worker
             server = self._choose_worker(req, tried, preferred)
             if server is None:
                 return None
-            attempt.check_held(req.held_s())
+            attempt_state.check_quarantined(req.quarantine_left_s())
             tried.append(server.id)
             began_at = self._clock()
             prefilled = self._prefill_at(req, server)
             placement.prefill_s = self._clock() - began_at if prefilled else 0.0
-            if prefilled is not None or req.gone.is_set():
+            if prefilled is not None or req.caller_disconnected.is_set():
                 return prefilled
             # The next send, another prefill or a local prefill of the decode
             # worker, is a retry of this request.
-            if not self._retry_budgets.take(req.service.name, req.deadline):
-                raise attempt.Refused(*response.unfinished())
+            if not self._retry_budgets.acquire(req.service.name, req.deadline):
+                raise attempt_state.RequestRefused(*response.unfinished_code())
         return None
 
     def _choose_worker(
         self,
-        req: passage.Passage,
+        req: routed_request.RoutedRequest,
         tried: list[str],
         preferred: forwarding.Backend | None,
     ) -> forwarding.Backend | None:
@@ -159,7 +161,7 @@
             return None
 
         def candidates(
-            state: beliefs.Beliefs, now: float
+            state: router_state.RouterState, now: float
         ) -> list[forwarding.Backend]:
             servers = [
                 candidate.backend
@@ -172,59 +174,67 @@
             return servers
 
         for server in self._owner.run(candidates):
-            if self._send_limits.take(server.id):
+            if self._send_limits.acquire(server.id):
                 return server
         return None
 
     def _prefill_at(
-        self, req: passage.Passage, server: forwarding.Backend
+        self, req: routed_request.RoutedRequest, server: forwarding.Backend
     ) -> forwarding.Prefilled | None:
-        left_s = min(req.left_s(), PREFILL_S)
-        flight = self._workers.prefill(req.call, server, left_s)
-        self._owner.run(lambda state, _: state.fleet.sent(server.id))
+        left_s = min(req.time_left_s(), MAX_PREFILL_S)
+        flight = self._workers.prefill(req.caller_request, server, left_s)
+        self._owner.run(lambda state, _: state.fleet.record_sent(server.id))
         began_at = self._clock()
         try:
-            req.attach(flight)
+            req.set_flight(flight)
             flight.send(left_s)
-            head = flight.head(left_s)
-            body = read_small(flight, left_s)
+            head = flight.read_head(left_s)
+            body = read_body(flight, left_s)
             if head.ran == 'no':
                 if head.replaces(server.id):
                     self._on_replaced(req, server)
                 req.log('prefill refused', server=server.id, status=head.status)
                 return None
             if not (head.ok and head.matches):
-                raise errors.AnswerLostError(f'status {head.status}')
-            handle = self._workers.handle(body)
+                raise errors.NoReplyError(f'status {head.status}')
+            handle = self._workers.decode_handle(body)
         except (errors.PortError, errors.DecodeError) as exc:
             req.log('prefill failed', server=server.id, error=str(exc))
             if isinstance(exc, errors.PortError):
-                self._crash_probe.note(req, server, exc, began_at=began_at)
-            if not req.gone.is_set():
+                self._crash_probe.handle_send_error(
+                    req, server, exc, began_at=began_at
+                )
+            if not req.caller_disconnected.is_set():
                 self._on_failed(req, server)
             return None
         finally:
-            req.attach(None)
+            req.set_flight(None)
             flight.close()
-            self._owner.run(lambda state, _: state.fleet.ended(server.id))
+            self._owner.run(
+                lambda state, _: state.fleet.record_finished(server.id)
+            )
         duration_s = self._clock() - began_at
         self._owner.run(
-            lambda state, now: state.fleet.answered(server.id, now, duration_s)
+            lambda state, now: state.fleet.record_success(
+                server.id, now, duration_s
+            )
         )
         req.log('prefilled', server=server.id, took_ms=int(duration_s * 1000))
         name = req.service.name
-        req.counts.prefill_seconds.observe((duration_s,), name)
-        req.counts.prefill_tokens.add(req.call.prompt_tokens, name)
+        req.request_metrics.prefill_seconds.observe((duration_s,), name)
+        req.request_metrics.prefill_tokens.add(
+            req.caller_request.prompt_tokens, name
+        )
         return forwarding.Prefilled(server, handle)
 
 
-def read_small(flight: ports.Flight, timeout_s: float) -> bytes:
+def read_body(flight: ports.ServerExchange, timeout_s: float) -> bytes:
     """Reads a complete body that is known to be small.
 
     Raises:
         errors.AnswerLostError: The body broke off.
     """
     chunks = []
-    while chunk := flight.read(timeout_s):
+    while chunk := flight.read_chunk(timeout_s):
         chunks.append(chunk)
     return b''.join(chunks)
--- a/packages/daemon/foxtaildaled/process.py
+++ b/packages/daemon/foxtaildaled/process.py
@@ -18,12 +18,12 @@
 from foxtaildale_adapters import logs
 
 # Exit status of a process that stopped because an invariant was violated.
-BROKEN_STATUS = 70
+INVARIANT_STATUS = 70
 # Maximum time between SIGHUP and the reload, seconds.
 SIGNAL_POLL_S = 0.5
 # Interval at which the settings are read without a signal, seconds; reading
 # the file takes half a millisecond.
-RELOAD_S = 5.0
+RELOAD_INTERVAL_S = 5.0
 
 
 class Loop:
@@ -70,14 +70,14 @@
         """Starts the next step without waiting for the period to end."""
         self._wake.set()
 
-    def end(self) -> None:
+    def request_stop(self) -> None:
         """Requests the end of the loop after the current step; doesn't wait."""
         self._stop.set()
         self._wake.set()
 
     def stop(self) -> None:
         """Ends the loop after the current step and waits for its thread."""
-        self.end()
+        self.request_stop()
         self._thread.join()
 
     def _run(self) -> None:
@@ -96,7 +96,7 @@
             self._step()
         except errors.InvariantError as exc:
             logs.event(absl_logging.ERROR, 'invariant', error=str(exc))
-            os._exit(BROKEN_STATUS)
+            os._exit(INVARIANT_STATUS)
         except Exception as exc:
             logs.event(
                 absl_logging.ERROR, 'loop', loop=self.name, error=repr(exc)
@@ -113,7 +113,7 @@
     def on_exception(args: threading.ExceptHookArgs) -> None:
         logs.event(absl_logging.ERROR, 'thread died', exc=args.exc_value)
         if isinstance(args.exc_value, errors.InvariantError):
-            os._exit(BROKEN_STATUS)
+            os._exit(INVARIANT_STATUS)
 
     threading.excepthook = on_exception
 
@@ -127,7 +127,7 @@
             default action of SIGHUP would end the process and abort every
             request in progress.
     """
-    reload_at = time.monotonic() + RELOAD_S
+    reload_at = time.monotonic() + RELOAD_INTERVAL_S
     stop = threading.Event()
     changed = threading.Event()
 
@@ -141,5 +141,5 @@
         due = changed.is_set() or time.monotonic() >= reload_at
         if due and reload is not None:
             changed.clear()
-            reload_at = time.monotonic() + RELOAD_S
+            reload_at = time.monotonic() + RELOAD_INTERVAL_S
             reload()
--- a/packages/daemon/foxtaildaled/quarantining.py
+++ b/packages/daemon/foxtaildaled/quarantine_manager.py
@@ -27,35 +27,35 @@
 from foxtaildale import ports
 from foxtaildale_adapters import logs
 from foxtaildaled import actors
-from foxtaildaled import asking
-from foxtaildaled import beliefs
+from foxtaildaled import coordinator_client
+from foxtaildaled import router_state
 
 # Subject by which the coordinator of crash reports is chosen.
-HOME: Final = 'crashes'
+COORDINATOR_SUBJECT: Final = 'crashes'
 # Interval of the loop while a crash is being examined, and otherwise, seconds.
 # A report wakes the loop earlier.
-LOOK_S: Final = 0.25
-REST_S: Final = 1.0
+BUSY_INTERVAL_S: Final = 0.25
+IDLE_INTERVAL_S: Final = 1.0
 # Number of successors of the coordinator that get a copy of each report.
-HEIRS: Final = 2
+SUCCESSORS: Final = 2
 # How long a VM acts as coordinator after it has received reports, seconds.
-JUDGES_S: Final = 5.0
+ACTING_COORDINATOR_S: Final = 5.0
 # Longest wait for the coordinator's reply, and for those of all VMs, seconds.
-ANSWER_S: Final = 0.25
+REPLY_TIMEOUT_S: Final = 0.25
 # Maximum number of own reports that wait for delivery to a coordinator.
-MOST_REPORTS: Final = 256
+MAX_PENDING_REPORTS: Final = 256
 # Maximum number of remembered requests that completed here, and how long they
 # are remembered, seconds.
-MOST_COMPLETED: Final = 2048
-COMPLETED_S: Final = 300.0
+MAX_COMPLETED: Final = 2048
+COMPLETED_TTL_S: Final = 300.0
 # Interval at which the quarantine is saved in the store, seconds.
-SAVE_S: Final = 1.0
+SAVE_INTERVAL_S: Final = 1.0
 
 # When a server crashed, seconds, and the request that ran on it.
 _Report = tuple[float, messages.Crash]
 
 
-class Quarantining:
+class QuarantineManager:
     """Reports crashes and, as coordinator, decides on the quarantine.
 
     Safe for concurrent use.
@@ -83,15 +83,15 @@
     def __init__(
         self,
         *,
-        owner: actors.Owner[beliefs.Beliefs],
-        homes: asking.Asking,
+        owner: actors.StateOwner[router_state.RouterState],
+        coordinators: coordinator_client.CoordinatorClient,
         peers: ports.PeerGroup,
         codec: ports.RecordCodec,
-        store: ports.Topics,
+        store: ports.KeyedTopics,
         clock: ports.Clock,
     ) -> None:
         self._owner = owner
-        self._coordinators = homes
+        self._coordinators = coordinators
         self._peers = peers
         self._codec = codec
         self._store = store
@@ -118,7 +118,7 @@
         # Wakes the loop.
         self.on_report: Callable[[], None] = lambda: None
 
-    def crashed(
+    def record_crash(
         self,
         server: forwarding.Backend,
         request: int,
@@ -135,93 +135,100 @@
         """
         crash = messages.Crash(
             server=server.id,
-            born=server.born,
+            started_at=server.born,
             fingerprint=request,
             ran_ms=int(ran_s * 1000),
         )
         now = self._clock()
         with self._lock:
-            if now - self._completed.get(request, -math.inf) < COMPLETED_S:
+            if now - self._completed.get(request, -math.inf) < COMPLETED_TTL_S:
                 return
             self._pending.append((now, crash))
-            del self._pending[:-MOST_REPORTS]
+            del self._pending[:-MAX_PENDING_REPORTS]
         self.on_report()
 
-    def completed(self, request: int) -> None:
+    def record_completed(self, request: int) -> None:
         """Records a request that completed without an error."""
         with self._lock:
             self._completed.pop(request, None)
             self._completed[request] = self._clock()
-            if len(self._completed) > MOST_COMPLETED:
+            if len(self._completed) > MAX_COMPLETED:
                 del self._completed[next(iter(self._completed))]
 
-    def report(self, msg: messages.CrashReports) -> messages.Quarantined:
+    def apply_reports(
+        self, msg: messages.CrashReports
+    ) -> messages.QuarantineUpdate:
         """Handles reports of another VM as coordinator."""
 
-        def change(state: beliefs.Beliefs, now: float) -> messages.Quarantined:
+        def change(
+            state: router_state.RouterState, now: float
+        ) -> messages.QuarantineUpdate:
             for crash in msg.crashes:
-                state.verdicts.crashes.note(now, crash)
+                state.quarantine_state.crashes.record(now, crash)
             for request in msg.cleared:
-                state.verdicts.acquit(now, request)
+                state.quarantine_state.clear_request(now, request)
             return self._update(state, now)
 
         reply = self._owner.run(change)
         if msg.cleared:
             self._is_changed = True
-        if not msg.copy:
-            self._acting_until = self._clock() + JUDGES_S
+        if not msg.to_successor:
+            self._acting_until = self._clock() + ACTING_COORDINATOR_S
         if msg.crashes or msg.cleared:
             self.on_report()
         return reply
 
-    def take(self, msg: messages.Quarantined) -> messages.Pong:
+    def apply_update(self, msg: messages.QuarantineUpdate) -> messages.Pong:
         """Applies the quarantine that another VM sent."""
         self._owner.run(
-            lambda state, now: state.verdicts.take(
-                now, msg.held, msg.cleared, 'home'
+            lambda state, now: state.quarantine_state.merge(
+                now, msg.quarantined, msg.cleared, 'home'
             )
         )
         return messages.Pong()
 
-    def pace_s(self) -> float:
+    def interval_s(self) -> float:
         """Returns the time until the next round of the loop, seconds."""
         has_settling = self._owner.run(
-            lambda state, now: state.verdicts.crashes.is_settling(now)
+            lambda state, now: state.quarantine_state.crashes.is_settling(now)
         )
-        return LOOK_S if has_settling else REST_S
+        return BUSY_INTERVAL_S if has_settling else IDLE_INTERVAL_S
 
-    def step(self) -> None:
+    def exchange_reports(self) -> None:
         """Runs one round: sends reports, decides, announces and saves."""
         self._clear_completed()
         all_delivered = self._send_reports()
-        is_coordinator = self._coordinators.is_home(HOME)
+        is_coordinator = self._coordinators.is_coordinator(COORDINATOR_SUBJECT)
         now = self._clock()
         # Only the coordinator has the reports of all VMs. From the reports of
         # one VM alone, a request may be blamed for a crash that the reports of
         # other VMs explain.
         is_acting = is_coordinator or now < self._acting_until
         if (is_acting or not all_delivered) and self._owner.run(
-            lambda state, now: state.verdicts.judge(now)
+            lambda state, now: state.quarantine_state.quarantine_blamed(now)
         ):
             self._is_changed = True
         if self._is_changed and is_acting:
             self._is_changed = False
             self._announce()
         if is_acting and now >= self._save_at:
-            self._save_at = now + SAVE_S
+            self._save_at = now + SAVE_INTERVAL_S
             self._save()
 
     def _clear_completed(self) -> None:
         """Clears quarantined requests that completed on this VM."""
         quarantined = self._owner.run(
-            lambda state, now: state.verdicts.quarantine.held(now)
+            lambda state, now: state.quarantine_state.quarantine.quarantined(
+                now
+            )
         )
         now = self._clock()
         with self._lock:
             completed = [
                 request
                 for request in quarantined
-                if now - self._completed.get(request, -math.inf) < COMPLETED_S
+                if now - self._completed.get(request, -math.inf)
+                < COMPLETED_TTL_S
             ]
             self._pending_cleared.extend(completed)
         for request in completed:
@@ -229,12 +236,12 @@
             logs.event(
                 logging.INFO,
                 'request cleared',
-                fingerprint=fingerprint.text(request),
+                fingerprint=fingerprint.to_text(request),
             )
 
     def _clear(self, request: int) -> None:
-        def change(state: beliefs.Beliefs, now: float) -> None:
-            state.verdicts.acquit(now, request)
+        def change(state: router_state.RouterState, now: float) -> None:
+            state.quarantine_state.clear_request(now, request)
 
         self._owner.run(change)
 
@@ -257,12 +264,12 @@
                 self._pending = sent + self._pending
                 self._pending_cleared = cleared + self._pending_cleared
             return False
-        if reply.judge not in (
+        if reply.coordinator_id not in (
             self._informed_coordinator,
             self._coordinator_id,
         ):
             known_reports = self._owner.run(
-                lambda state, now: state.verdicts.crashes.reports(now)
+                lambda state, now: state.quarantine_state.crashes.reports(now)
             )
             if len(known_reports) > len(sent):
                 if self._request_coordinator(known_reports, []) is None:
@@ -270,57 +277,62 @@
                 logs.event(
                     logging.INFO, 'ends told', reports=len(known_reports)
                 )
-        self._informed_coordinator = reply.judge
+        self._informed_coordinator = reply.coordinator_id
         return True
 
     def _record(self, sent: list[_Report]) -> bool:
         """Records own reports; returns whether any crashes are known here."""
 
-        def change(state: beliefs.Beliefs, now: float) -> bool:
+        def change(state: router_state.RouterState, now: float) -> bool:
             for crash in _with_ages(sent, now):
-                state.verdicts.crashes.note(now, crash)
-            return state.verdicts.crashes.pending(now)
+                state.quarantine_state.crashes.record(now, crash)
+            return state.quarantine_state.crashes.has_crashes(now)
 
         return self._owner.run(change)
 
     def _request_coordinator(
         self, reported: Sequence[messages.Crash], cleared: list[int]
-    ) -> messages.Quarantined | None:
+    ) -> messages.QuarantineUpdate | None:
         msg = messages.CrashReports(
             crashes=tuple(reported), cleared=tuple(cleared)
         )
         if reported:
             # Without the copies, reports that a coordinator sends to itself
             # would be lost with it.
-            successors = self._coordinators.heirs(HOME, HEIRS)
-            copy = msgspec.structs.replace(msg, copy=True)
-            self._peers.ask_all(successors, copy, ANSWER_S)
-        reply = self._coordinators.ask(
-            HOME, msg, (messages.Quarantined,), ANSWER_S
+            successors = self._coordinators.successor_addresses(
+                COORDINATOR_SUBJECT, SUCCESSORS
+            )
+            copy = msgspec.structs.replace(msg, to_successor=True)
+            self._peers.request_all(successors, copy, REPLY_TIMEOUT_S)
+        reply = self._coordinators.request(
+            COORDINATOR_SUBJECT,
+            msg,
+            (messages.QuarantineUpdate,),
+            REPLY_TIMEOUT_S,
         )
         if reply is not None:
-            self.take(reply)
+            self.apply_update(reply)
         return reply
 
     def _announce(self) -> None:
         msg, addresses = self._owner.run(
             lambda state, now: (self._update(state, now), state.peers())
         )
-        self._peers.ask_all(addresses, msg, ANSWER_S)
+        self._peers.request_all(addresses, msg, REPLY_TIMEOUT_S)
 
     def _update(
-        self, state: beliefs.Beliefs, now: float
-    ) -> messages.Quarantined:
-        return messages.Quarantined(
-            judge=self._coordinator_id,
-            held=state.verdicts.quarantine.held(now),
-            cleared=state.verdicts.quarantine.cleared(now),
+        self, state: router_state.RouterState, now: float
+    ) -> messages.QuarantineUpdate:
+        return messages.QuarantineUpdate(
+            coordinator_id=self._coordinator_id,
+            quarantined=state.quarantine_state.quarantine.quarantined(now),
+            cleared=state.quarantine_state.quarantine.cleared(now),
         )
 
     def _save(self) -> None:
         """Saves new quarantined requests and removes expired ones."""
         records = self._owner.run(
-            lambda state, now: state.verdicts.unsaved(now)
+            lambda state, now: state.quarantine_state.unsaved_records(now)
         )
         for key, value in records:
             try:
--- a/packages/daemon/foxtaildaled/verdicts.py
+++ b/packages/daemon/foxtaildaled/quarantine_state.py
@@ -17,13 +17,13 @@
 from foxtaildale_adapters import logs
 
 
-class Verdicts:
+class QuarantineState:
     """Crash reports and the quarantine that follows from them.
 
     The methods get the current time as an argument.
     """
 
-    __slots__ = ('_codec', '_saved', '_wall', 'crashes', 'quarantine')
+    __slots__ = ('_codec', '_stored_until', '_wall', 'crashes', 'quarantine')
 
     def __init__(self, codec: ports.RecordCodec, wall: ports.Clock) -> None:
         self._codec = codec
@@ -33,22 +33,22 @@
         self.quarantine = quarantine.Quarantine()
         # Until when requests are quarantined according to the store, seconds
         # since the epoch, by fingerprint.
-        self._saved: dict[int, float] = {}
+        self._stored_until: dict[int, float] = {}
 
-    def judge(self, now: float) -> bool:
+    def quarantine_blamed(self, now: float) -> bool:
         """Quarantines requests that the crash reports blame.
 
         Returns:
             Whether a request was added.
         """
-        if not self.crashes.pending(now):
+        if not self.crashes.has_crashes(now):
             return False
-        quarantined = self.quarantine.held(now)
-        newly_blamed = self.crashes.blamed(now, quarantined)
-        held = dict.fromkeys(newly_blamed, quarantine.HELD_S)
-        return self.take(now, held, {}, 'reports')
+        quarantined = self.quarantine.quarantined(now)
+        newly_blamed = self.crashes.newly_blamed(now, quarantined)
+        held = dict.fromkeys(newly_blamed, quarantine.QUARANTINE_S)
+        return self.merge(now, held, {}, 'reports')
 
-    def take(
+    def merge(
         self,
         now: float,
         held: Mapping[int, float],
@@ -56,23 +56,25 @@
         source: str,
     ) -> bool:
         """Adds requests to the quarantine; returns whether any is new here."""
-        added = self.quarantine.take(now, held, cleared)
+        added = self.quarantine.merge(now, held, cleared)
         for request in added:
             logs.event(
                 logging.WARNING,
                 'request held',
-                fingerprint=fingerprint.text(request),
+                fingerprint=fingerprint.to_text(request),
                 left_s=int(held[request]),
                 source=source,
             )
         return bool(added)
 
-    def acquit(self, now: float, request: int) -> None:
+    def clear_request(self, now: float, request: int) -> None:
         """Clears a request that completed and so crashes no server."""
-        self.crashes.acquit(request)
+        self.crashes.remove_request(request)
         self.quarantine.clear(now, request)
 
-    def learn(self, entry: mirror.Entry, now: float, source: str) -> bool:
+    def apply_record(
+        self, entry: mirror.Entry, now: float, source: str
+    ) -> bool:
         """Applies a record of the store.
 
         Returns:
@@ -81,37 +83,39 @@
         Raises:
             errors.DecodeError: The record is about one and can't be decoded.
         """
-        request = self._codec.held_request(entry.key)
+        request = self._codec.quarantined_fingerprint(entry.key)
         if request is None:
             return False
         if not entry.value:
-            self._saved.pop(request, None)
+            self._stored_until.pop(request, None)
             return True
-        until = self._codec.held(entry.value).until
-        self._saved[request] = until
-        left_s = min(quarantine.HELD_S, until - self._wall())
-        self.take(now, {request: left_s}, {}, source)
+        until = self._codec.decode_quarantined(entry.value).until
+        self._stored_until[request] = until
+        left_s = min(quarantine.QUARANTINE_S, until - self._wall())
+        self.merge(now, {request: left_s}, {}, source)
         return True
 
-    def store_changed(self) -> None:
+    def forget_stored(self) -> None:
         """Forgets saved records after the store was restored from a copy.
 
         The copy may lack records that the store had.
         """
-        self._saved.clear()
+        self._stored_until.clear()
 
-    def unsaved(self, now: float) -> list[tuple[str, bytes]]:
+    def unsaved_records(self, now: float) -> list[tuple[str, bytes]]:
         """Returns the records to add to the store, and those to remove."""
         wall_now = self._wall()
-        held = self.quarantine.held(now)
+        held = self.quarantine.quarantined(now)
         records = [
-            self._codec.encode_held(forwarding.Held(request, wall_now + left_s))
+            self._codec.encode_quarantined(
+                forwarding.QuarantinedRequest(request, wall_now + left_s)
+            )
             for request, left_s in held.items()
-            if request not in self._saved
+            if request not in self._stored_until
         ]
         records += [
-            (self._codec.held_key(request), b'')
-            for request in self._saved
+            (self._codec.quarantined_key(request), b'')
+            for request in self._stored_until
             if request not in held
         ]
         return records
--- a/packages/daemon/foxtaildaled/gate.py
+++ b/packages/daemon/foxtaildaled/request_checks.py
@@ -12,12 +12,12 @@
 from foxtaildale import codes
 from foxtaildale import tickets
 from foxtaildale import values
-from foxtaildaled import desk
-from foxtaildaled import limits
-from foxtaildaled import visit as contexts
+from foxtaildaled import account_limits
+from foxtaildaled import request_context as contexts
+from foxtaildaled import ticket_handler
 
 
-class Fault(msgspec.Struct, frozen=True):
+class Rejection(msgspec.Struct, frozen=True):
     """The reason why a request is not admitted."""
 
     code: codes.Code
@@ -26,22 +26,22 @@
     again_s: float = 0.0
 
 
-class Gate:
+class RequestChecks:
     """Admits requests, or responds with a refusal."""
 
     __slots__ = ('_handler', '_limits', '_replies', 'stopping')
 
-    _handler: desk.Desk
-    _limits: limits.Shares
+    _handler: ticket_handler.TicketHandler
+    _limits: account_limits.LocalShares
     _replies: contexts.Replies
     # Whether the entry is shutting down.
     stopping: bool
 
     def __init__(
         self,
-        handler: desk.Desk,
+        handler: ticket_handler.TicketHandler,
         replies: contexts.Replies,
-        account_limits: limits.Shares,
+        account_limits: account_limits.LocalShares,
     ) -> None:
         self._handler = handler
         self._replies = replies
@@ -49,7 +49,7 @@
         self._limits = account_limits
         self.stopping = False
 
-    def knows(self, context: contexts.Visit) -> bool:
+    def check_account(self, context: contexts.RequestContext) -> bool:
         """Returns whether a client account has the caller's key.
 
         If no account has the key, the request is refused. Without a preset the
@@ -60,7 +60,7 @@
             return True
         if context.account is not None:
             return True
-        sent = 'authorization' in context.ex.headers
+        sent = 'authorization' in context.exchange.headers
         reason = 'no client account has its key' if sent else 'it has no key'
         self._replies.refuse(
             context,
@@ -72,12 +72,12 @@
 
     def admit(
         self,
-        context: contexts.Visit,
+        context: contexts.RequestContext,
         name: str,
         kind: str,
         call: str = '',
         *,
-        counts: bool = True,
+        counts_against_limit: bool = True,
     ) -> values.Service | None:
         """Returns the service, or refuses the request and returns None.
 
@@ -86,18 +86,22 @@
             name: Name of the requested service.
             kind: Required kind of the service, `model` or `plain`.
             call: Name of the call of the service.
-            counts: Whether the request counts against its account's limit.
+            counts_against_limit: Whether the request counts against its account's limit.
         """
         service = context.snapshot.service(name)
         rejection = self._check_request(context, service, name, kind)
-        if rejection is None and counts:
+        if rejection is None and counts_against_limit:
             rejection = self._check_limit(context)
         if rejection is None:
             return service
         if context.ticket and not self._void_ticket(context, call):
             return None
-        code = context.covering(rejection.code)
-        again_s = contexts.AGAIN_S if code.status == 503 else rejection.again_s
+        code = context.refusal_code(rejection.code)
+        again_s = (
+            contexts.DEFAULT_RETRY_AFTER_S
+            if code.status == 503
+            else rejection.again_s
+        )
         self._replies.refuse(
             context,
             name,
@@ -109,26 +113,30 @@
 
     def _check_request(
         self,
-        context: contexts.Visit,
+        context: contexts.RequestContext,
         service: values.Service | None,
         name: str,
         kind: str,
-    ) -> Fault | None:
+    ) -> Rejection | None:
         if self.stopping:
-            return Fault(codes.STOPPING)
+            return Rejection(codes.STOPPING)
         if context.snapshot.in_force is None:
-            return Fault(codes.NO_PRESET)
+            return Rejection(codes.NO_PRESET)
         if service is None or service.kind != kind:
-            return Fault(codes.NO_SERVICE, (values.Figure('service', name),))
-        body_bytes, limit = len(context.ex.body), service.max_body_bytes
+            return Rejection(
+                codes.NO_SERVICE, (values.Figure('service', name),)
+            )
+        body_bytes, limit = len(context.exchange.body), service.max_body_bytes
         if body_bytes <= limit:
             return None
-        return Fault(
+        return Rejection(
             codes.TOO_LARGE,
             (values.Figure('found', body_bytes), values.Figure('limit', limit)),
         )
 
-    def _check_limit(self, context: contexts.Visit) -> Fault | None:
+    def _check_limit(
+        self, context: contexts.RequestContext
+    ) -> Rejection | None:
         account = context.account
         if account is None or not account.limit.rate:
             return None
@@ -144,13 +152,13 @@
             'burst': limit.burst,
             'unit': limit.unit,
         }
-        return Fault(
+        return Rejection(
             codes.OVER_LIMIT,
             tuple(values.Figure(name, figures[name]) for name in figures),
             verdict.wait_s,
         )
 
-    def _void_ticket(self, context: contexts.Visit, call: str) -> bool:
+    def _void_ticket(self, context: contexts.RequestContext, call: str) -> bool:
         """Voids the ticket of a refused request.
 
         Returns whether the request is certain never to run. Otherwise the
@@ -161,10 +169,10 @@
             # No entry runs a request with an invalid ticket.
             return True
         reply = self._handler.void(
-            ticket, call, context.ex.body, context.request
+            ticket, call, context.exchange.body, context.request
         )
         if codes.ran(reply.outcome.code) == 'no':
             return True
         self._replies.record(reply.outcome)
-        self._replies.end(context, reply.outcome)
+        self._replies.respond_outcome(context, reply.outcome)
         return False
