--- a/packages/daemon/foxtaildaled/visit.py
+++ b/packages/daemon/foxtaildaled/request_context.py
@@ -12,24 +12,24 @@
 from foxtaildale import ports
 from foxtaildale import values
 from foxtaildale_adapters import incoming
-from foxtaildaled import records
+from foxtaildaled import outcome_records
 from foxtaildaled import view
 
 KEY_HEADER: Final = 'idempotency-key'
 TICKET_HEADER: Final = 'foxtaildale-ticket'
 # Header that states that no earlier attempt with this key is open.
-FIRST_TRY_HEADER: Final = 'foxtaildale-first-try'
+FIRST_ATTEMPT_HEADER: Final = 'foxtaildale-first-try'
 _TRUE: Final = 'true'
 # Default delay before a retry, seconds.
-AGAIN_S: Final = 1.0
+DEFAULT_RETRY_AFTER_S: Final = 1.0
 
 
-class Visit:
+class RequestContext:
     """The state that all handlers of one request share."""
 
-    __slots__ = ('ex', 'request', 'snapshot')
+    __slots__ = ('exchange', 'request', 'snapshot')
 
-    ex: incoming.Exchange
+    exchange: incoming.Exchange
     # Identifies the request for callers and operators.
     request: str
     # Configuration and servers at the arrival of the request. The request uses
@@ -39,38 +39,44 @@
     def __init__(
         self, ex: incoming.Exchange, request: str, snapshot: view.Snapshot
     ) -> None:
-        self.ex = ex
+        self.exchange = ex
         self.request = request
         self.snapshot = snapshot
 
     @property
     def account(self) -> accounts.Account | None:
         """The client account that has the caller's key; None if none has."""
-        header = self.ex.headers.get('authorization', '')
-        return self.snapshot.holders.holder(accounts.from_header(header))
+        header = self.exchange.headers.get('authorization', '')
+        return self.snapshot.holders.by_key(accounts.from_header(header))
 
     @property
     def key(self) -> str:
         """The caller's idempotency key; empty if there is none."""
-        return self.ex.headers.get(KEY_HEADER, '')
+        return self.exchange.headers.get(KEY_HEADER, '')
 
     @property
     def ticket(self) -> str:
         """The caller's ticket as text; empty if there is none."""
-        return self.ex.headers.get(TICKET_HEADER, '')
+        return self.exchange.headers.get(TICKET_HEADER, '')
 
     @property
-    def alone(self) -> bool:
+    def is_first_attempt(self) -> bool:
         """Whether the caller states that no earlier attempt is open."""
-        return self.ex.headers.get(FIRST_TRY_HEADER, '').lower() == _TRUE
+        return (
+            self.exchange.headers.get(FIRST_ATTEMPT_HEADER, '').lower() == _TRUE
+        )
 
-    def covering(self, code: codes.Code) -> codes.Code:
+    def refusal_code(self, code: codes.Code) -> codes.Code:
         """Returns the code with which the request may be refused.
 
         A caller applies "not run" to all attempts that it sent with a key, and
         an earlier attempt may still be running at another VM.
         """
-        return claims.covering(code, self.alone) if self.key else code
+        return (
+            claims.refusal_code(code, self.is_first_attempt)
+            if self.key
+            else code
+        )
 
 
 class Replies:
@@ -79,13 +85,15 @@
     __slots__ = ('_entry_vm', '_records')
 
     _entry_vm: str
-    _records: records.Records
+    _records: outcome_records.OutcomeRecords
 
-    def __init__(self, entry_vm: str, kept: records.Records) -> None:
+    def __init__(
+        self, entry_vm: str, outcome_records: outcome_records.OutcomeRecords
+    ) -> None:
         self._entry_vm = entry_vm
-        self._records = kept
+        self._records = outcome_records
 
-    def stamp(
+    def make_outcome(
         self,
         code: codes.Code,
         request: str,
@@ -105,9 +113,9 @@
         )
         return outcomes.make(code, source, figures, retry_after_s)
 
-    def outcome(
+    def make_recorded_outcome(
         self,
-        context: Visit,
+        context: RequestContext,
         service: str,
         code: codes.Code,
         *,
@@ -115,7 +123,7 @@
         retry_after_s: float = 0.0,
     ) -> values.Outcome:
         """Records and returns the final outcome of a request."""
-        outcome = self.stamp(
+        outcome = self.make_outcome(
             code,
             context.request,
             service,
@@ -128,55 +136,64 @@
 
     def refuse(
         self,
-        context: Visit,
+        context: RequestContext,
         service: str,
         code: codes.Code,
         *,
         figures: tuple[values.Figure, ...] = (),
         retry_after_s: float = 0.0,
-        fresh: tuple[str, ...] = (),
+        fresh_tickets: tuple[str, ...] = (),
     ) -> None:
         """Ends a request with a code and, if given, new tickets."""
-        outcome = self.outcome(
+        outcome = self.make_recorded_outcome(
             context,
             service,
             code,
             figures=figures,
             retry_after_s=retry_after_s,
         )
-        self.end(context, outcome, fresh)
+        self.respond_outcome(context, outcome, fresh_tickets)
 
-    def reject(self, context: Visit, service: str, reason: str) -> None:
+    def reject(
+        self, context: RequestContext, service: str, reason: str
+    ) -> None:
         """Refuses a malformed request."""
         figures = (values.Figure('reason', reason),)
-        code = context.covering(codes.BAD_REQUEST)
+        code = context.refusal_code(codes.BAD_REQUEST)
         self.refuse(context, service, code, figures=figures)
 
-    def end(
+    def respond_outcome(
         self,
-        context: Visit,
+        context: RequestContext,
         outcome: values.Outcome,
-        fresh: tuple[str, ...] = (),
+        fresh_tickets: tuple[str, ...] = (),
     ) -> None:
         """Responds with an outcome other than a plain success."""
-        context.ex.respond(
+        context.exchange.respond(
             codes.ALL[outcome.code].status,
             outcomes.headers(outcome),
-            outcomes.body(outcome, fresh),
+            outcomes.body(outcome, fresh_tickets),
         )
 
     def record(self, outcome: values.Outcome) -> None:
         """Records an outcome that another process made."""
         self._records.add(outcome)
 
-    def pass_on(
-        self, context: Visit, outcome: values.Outcome, reply: ports.Reply
+    def respond_service_reply(
+        self,
+        context: RequestContext,
+        outcome: values.Outcome,
+        reply: ports.Reply,
     ) -> None:
         """Responds with the reply of a plain service."""
-        context.ex.respond(reply.status, outcomes.headers(outcome), reply.body)
+        context.exchange.respond(
+            reply.status, outcomes.headers(outcome), reply.body
+        )
 
-    def tell(self, context: Visit, document: msgspec.Struct) -> None:
+    def respond_document(
+        self, context: RequestContext, document: msgspec.Struct
+    ) -> None:
         """Responds with a document of the entry itself."""
-        context.ex.respond(
+        context.exchange.respond(
             200, {'Content-Type': outcomes.JSON}, msgspec.json.encode(document)
         )
--- a/packages/daemon/foxtaildaled/reading.py
+++ b/packages/daemon/foxtaildaled/response_reading.py
@@ -22,7 +22,7 @@
 _DISCONNECTED: Final = 'the caller went away'
 
 
-class Reader:
+class ResponseReader:
     """Reads one response, which may arrive over several connections."""
 
     __slots__ = (
@@ -49,23 +49,23 @@
     def __init__(
         self,
         *,
-        gone: threading.Event,
+        caller_disconnected: threading.Event,
         sink: sinks.Sink,
         checker: streams.Checker,
         clock: ports.Clock,
-        times: list[float],
-        carrier: pump.Pump,
-        silence_s: float,
+        sent_times: list[float],
+        stream_pump: pump.Pump,
+        max_silence_s: float,
     ) -> None:
-        self._caller_disconnected = gone
+        self._caller_disconnected = caller_disconnected
         self._sink = sink
         self._checker = checker
         self._clock = clock
-        self._sent_times = times
-        self._pump = carrier
-        self._max_silence_s = silence_s
+        self._sent_times = sent_times
+        self._pump = stream_pump
+        self._max_silence_s = max_silence_s
 
-    def read(self, items: ports.Pieces) -> str:
+    def read(self, items: ports.EventStream) -> str:
         """Reads to the end.
 
         Returns:
@@ -78,7 +78,7 @@
         if not is_streamed or not isinstance(items, events.Stream):
             return self._iterate(items)
         first = next(items)
-        if isinstance(first, backends.Last):
+        if isinstance(first, backends.StreamEnd):
             # The stream was read beyond its last chunk and has closed itself
             # with this event, so there is no connection to take over.
             return self._iterate([first])
@@ -91,42 +91,44 @@
     def _pump_stream(
         self,
         taken: flow.Taken,
-        chunks_read: list[backends.Piece | backends.Last],
+        chunks_read: list[backends.Chunk | backends.StreamEnd],
         sink: sinks.Sink,
     ) -> str:
         assert isinstance(sink, sinks.EventSink)
         assert taken.sock is not None
         flow_state = flow.Flow(
-            exchange=sink.open(),
+            exchange=sink.ensure_started(),
             checker=self._checker,
             framer=sink.framer,
             clock=self._clock,
             times=self._sent_times,
             rest=taken.rest,
         )
-        if flow_state.take(chunks_read) or sink.open().flush():
+        if flow_state.take(chunks_read) or sink.ensure_started().flush():
             flow_state.run(self._pump, taken.sock, self._max_silence_s)
         if flow_state.last is not None:
             return ''
         return flow_state.fault or _DISCONNECTED
 
-    def _iterate(self, items: Iterable[backends.Piece | backends.Last]) -> str:
+    def _iterate(
+        self, items: Iterable[backends.Chunk | backends.StreamEnd]
+    ) -> str:
         for item in items:
             if self._caller_disconnected.is_set():
                 return _DISCONNECTED
-            if isinstance(item, backends.Last):
+            if isinstance(item, backends.StreamEnd):
                 return self._finish(item)
-            verdict = self._checker.piece(item)
+            verdict = self._checker.check_chunk(item)
             if verdict is streams.Verdict.ACCEPTED:
-                self._sink.piece(item)
+                self._sink.write_chunk(item)
                 self._sent_times.append(self._clock())
             elif verdict is not streams.Verdict.DUPLICATE:
                 return str(verdict.value)
         return 'the stream ended early'
 
-    def _finish(self, last: backends.Last) -> str:
-        verdict = self._checker.last(last)
-        if verdict is not streams.Verdict.WHOLE:
+    def _finish(self, last: backends.StreamEnd) -> str:
+        verdict = self._checker.check_end(last)
+        if verdict is not streams.Verdict.COMPLETE:
             return str(verdict.value)
-        self._sink.last(last)
+        self._sink.write_end(last)
         return ''
--- a/packages/daemon/foxtaildaled/passage.py
+++ b/packages/daemon/foxtaildaled/routed_request.py
@@ -24,10 +24,10 @@
 
 # Minimum time left for a send, seconds. With less, a backend server can only
 # time out.
-MIN_LEFT_S: Final = 0.03
+MIN_SEND_TIME_S: Final = 0.03
 
 
-class Passage:
+class RoutedRequest:
     """A request with its route, deadline and connection to the caller."""
 
     __slots__ = (
@@ -36,41 +36,41 @@
         '_lock',
         '_quarantine_left_s',
         'account',
-        'call',
-        'counts',
+        'caller_disconnected',
+        'caller_request',
+        'config_version',
+        'crashed_stages',
         'deadline',
-        'ended_stages',
         'entry_vm',
-        'ex',
+        'exchange',
         'fingerprint',
-        'gone',
         'on_not_run',
+        'request_metrics',
         'route',
         'service',
         'started_at',
-        'version',
     )
 
     def __init__(
         self,
         exchange: incoming.Exchange,
         *,
-        call: forwarding.Call,
+        caller_request: forwarding.CallerRequest,
         route: routes.Route,
         service: routes.Service,
-        version: int,
+        config_version: int,
         entry_vm: str,
-        counts: metrics.Metrics,
+        request_metrics: metrics.Metrics,
         clock: ports.Clock,
-        ends_at: float = math.inf,
+        process_ends_at: float = math.inf,
         account: accounts.Account | None = None,
-        held_s: Callable[[int], float] = lambda _: 0.0,
+        quarantine_left_s: Callable[[int], float] = lambda _: 0.0,
     ) -> None:
-        self.ex = exchange
-        self.call = call
+        self.exchange = exchange
+        self.caller_request = caller_request
         # The same for every attempt of this request, at all entry VMs.
-        self.fingerprint = fingerprint.of(call)
-        self._quarantine_left_s = held_s
+        self.fingerprint = fingerprint.compute(caller_request)
+        self._quarantine_left_s = quarantine_left_s
         # The client account of the caller; None if no accounts are configured.
         self.account = account
         # Called when the request is refused: it has not run and will not run.
@@ -78,25 +78,25 @@
         self.route = route
         self.service = service
         # Version of the configuration that the request is served with.
-        self.version = version
+        self.config_version = config_version
         self.entry_vm = entry_vm
-        self.counts = counts
+        self.request_metrics = request_metrics
         self._clock = clock
         self.started_at = clock()
         timeout_s = route.timeout_s
-        if call.patience_s is not None:
-            timeout_s = min(timeout_s, call.patience_s)
+        if caller_request.patience_s is not None:
+            timeout_s = min(timeout_s, caller_request.patience_s)
         # Deadline of the final response. It is not later than the end of this
         # process: a request that would be cut off then is refused instead, and
         # can run to its end at another VM.
-        self.deadline = min(self.started_at + timeout_s, ends_at)
+        self.deadline = min(self.started_at + timeout_s, process_ends_at)
         # Stages of the servers that crashed while they ran this request.
-        self.ended_stages: set[forwarding.Stage] = set()
+        self.crashed_stages: set[forwarding.Stage] = set()
         # Set when the caller has disconnected.
-        self.gone = threading.Event()
+        self.caller_disconnected = threading.Event()
         # Guards `_flight`: the caller may disconnect while a flight is set.
         self._lock = threading.Lock()
-        self._flight: ports.Flight | None = None
+        self._flight: ports.ServerExchange | None = None
 
     @property
     def priority(self) -> int:
@@ -105,11 +105,11 @@
             return self.route.priority
         return self.account.priority
 
-    def watch(self) -> None:
+    def watch_caller(self) -> None:
         """Starts to watch the caller's connection."""
-        self.ex.watch(self._on_disconnected)
+        self.exchange.watch(self._on_disconnected)
 
-    def left_s(self) -> float:
+    def time_left_s(self) -> float:
         """Returns the time left until the deadline, seconds."""
         return self.deadline - self._clock()
 
@@ -117,21 +117,21 @@
         """Returns the time since the request arrived, seconds."""
         return self._clock() - self.started_at
 
-    def held_s(self) -> float:
+    def quarantine_left_s(self) -> float:
         """Returns the quarantine time left, seconds; 0 if it may be sent."""
         return self._quarantine_left_s(self.fingerprint)
 
-    def caller_gone(self) -> bool:
+    def check_disconnected(self) -> bool:
         """Checks the connection; whether the caller has disconnected."""
-        if not self.gone.is_set() and self.ex.gone():
-            self.gone.set()
-        return self.gone.is_set()
+        if not self.caller_disconnected.is_set() and self.exchange.gone():
+            self.caller_disconnected.set()
+        return self.caller_disconnected.is_set()
 
-    def attach(self, flight: ports.Flight | None) -> None:
+    def set_flight(self, flight: ports.ServerExchange | None) -> None:
         """Sets the flight to cancel when the caller disconnects, if any."""
         with self._lock:
             self._flight = flight
-            disconnected = self.gone.is_set()
+            disconnected = self.caller_disconnected.is_set()
         if disconnected and flight is not None:
             flight.cancel()
 
@@ -150,48 +150,50 @@
             retry_after_s=round(retry_after_s, 2),
             **figures,
         )
-        self.counts.requests.add(1, self.service.name, code.name)
+        self.request_metrics.requests.add(1, self.service.name, code.name)
         if code.ran == 'no':
             self.on_not_run()
         if code.status == codes.CANCELLED.status:
-            self.ex.cut()
+            self.exchange.cut()
             return
-        refuse(self.ex, code, figures, self.entry_vm, retry_after_s)
+        send_error(self.exchange, code, figures, self.entry_vm, retry_after_s)
 
-    def refuse_held(self) -> None:
+    def refuse_quarantined(self) -> None:
         """Refuses the request because it is quarantined."""
-        left_s = self.held_s()
+        left_s = self.quarantine_left_s()
         self.refuse(codes.QUARANTINED, {'left_s': math.ceil(left_s)}, left_s)
 
-    def answered(self, status: int, *, whole: bool, **fields: object) -> None:
+    def record_response(
+        self, status: int, *, complete: bool, **fields: object
+    ) -> None:
         """Records that the caller was sent a backend server's response.
 
         Args:
             status: HTTP status of the response.
-            whole: Whether the caller received the complete response.
+            complete: Whether the caller received the complete response.
             **fields: Further fields of the log event.
         """
-        self.log('answered', status=status, whole=whole, **fields)
+        self.log('answered', status=status, whole=complete, **fields)
         name = self.service.name
-        code = codes.OK if 200 <= status < 300 and whole else codes.FAILED
-        self.counts.requests.add(1, name, code.name)
-        self.counts.answer_seconds.observe((self.age_s(),), name)
+        code = codes.OK if 200 <= status < 300 and complete else codes.FAILED
+        self.request_metrics.requests.add(1, name, code.name)
+        self.request_metrics.answer_seconds.observe((self.age_s(),), name)
 
     def log(self, event: str, **fields: object) -> None:
         """Logs an event of this request."""
         logs.event(
             logging.INFO,
             event,
-            request=self.call.id,
+            request=self.caller_request.id,
             route=self.route.name,
-            version=self.version,
+            version=self.config_version,
             age_ms=int(self.age_s() * 1000),
             **fields,
         )
 
     def _on_disconnected(self) -> None:
         with self._lock:
-            self.gone.set()
+            self.caller_disconnected.set()
             flight = self._flight
         if flight is not None:
             flight.cancel()
@@ -201,7 +203,7 @@
     """Default callback that does nothing."""
 
 
-def refuse(
+def send_error(
     exchange: incoming.Exchange,
     code: codes.Code,
     figures: Mapping[str, float | str],
--- a/packages/daemon/foxtaildaled/router.py
+++ b/packages/daemon/foxtaildaled/router.py
@@ -20,14 +20,14 @@
 from foxtaildale_adapters import callers
 from foxtaildale_adapters import logs
 from foxtaildale_adapters import metrics
-from foxtaildaled import forward
-from foxtaildaled import generate
-from foxtaildaled import limits
-from foxtaildaled import passage
+from foxtaildaled import account_limits
+from foxtaildaled import generation
+from foxtaildaled import plain_forwarder
+from foxtaildaled import routed_request
 
 # Delay after which callers retry while the entry VM has no configuration yet,
 # seconds.
-UNREADY_S: Final = 0.3
+NOT_READY_RETRY_S: Final = 0.3
 
 
 class Decode(Protocol):
@@ -35,7 +35,7 @@
 
     def __call__(
         self, exchange: callers.Exchange, *, keyed: bool = False
-    ) -> forwarding.Call:
+    ) -> forwarding.CallerRequest:
         """Returns the request.
 
         Args:
@@ -71,13 +71,13 @@
         entry_vm: str,
         matcher: Callable[[], routes.Matcher | None],
         decode: Decode,
-        plain: forward.Forward,
-        model: generate.Generate,
-        limiter: limits.Limiter,
-        counts: metrics.Metrics,
+        forwarder: plain_forwarder.PlainForwarder,
+        generator: generation.Generation,
+        limiter: account_limits.Limiter,
+        request_metrics: metrics.Metrics,
         clock: ports.Clock,
         ends_at: Callable[[], float],
-        held_s: Callable[[int], float],
+        quarantine_left_s: Callable[[int], float],
     ) -> None:
         self._entry_vm = entry_vm
         # Returns the time at which this process ends at the latest; infinity
@@ -85,29 +85,29 @@
         self._ends_at = ends_at
         # Returns how long a request stays in quarantine, seconds, by its
         # fingerprint; a quarantined request must not be sent to any server.
-        self._quarantine_left_s = held_s
+        self._quarantine_left_s = quarantine_left_s
         self._matcher = matcher
         self._decode = decode
-        self._forward = plain
-        self._generate = model
+        self._forward = forwarder
+        self._generate = generator
         # Enforces the limits of client accounts.
         self._limiter = limiter
-        self._request_metrics = counts
+        self._request_metrics = request_metrics
         self._clock = clock
 
     def handle(self, exchange: callers.Exchange) -> None:
         """Serves or refuses one request."""
         matcher = self._matcher()
         if matcher is None:
-            self._refuse(exchange, codes.NO_PRESET, UNREADY_S)
+            self._refuse(exchange, codes.NO_PRESET, NOT_READY_RETRY_S)
             return
         try:
-            call = self._decode(exchange, keyed=matcher.keyed)
+            call = self._decode(exchange, keyed=matcher.requires_key)
         except errors.DecodeError as exc:
             self._refuse(exchange, codes.BAD_REQUEST, reason=str(exc))
             return
         version = matcher.table.version
-        route = matcher.find(call.host, call.path)
+        route = matcher.match(call.host, call.path)
         if route is None:
             self._refuse(exchange, codes.NO_ROUTE, version=version)
             return
@@ -118,55 +118,57 @@
     def _make_passage(
         self,
         exchange: callers.Exchange,
-        call: forwarding.Call,
+        call: forwarding.CallerRequest,
         matcher: routes.Matcher,
         route: routes.Route,
-    ) -> passage.Passage:
-        account = matcher.client_accounts.holder(call.key)
+    ) -> routed_request.RoutedRequest:
+        account = matcher.client_accounts.by_key(call.key)
         call.account = account.name if account is not None else ''
         name = routes.pick_service(route, call.id)
-        return passage.Passage(
+        return routed_request.RoutedRequest(
             exchange,
-            call=call,
+            caller_request=call,
             route=route,
             service=matcher.table.service(name),
-            version=matcher.table.version,
+            config_version=matcher.table.version,
             entry_vm=self._entry_vm,
-            counts=self._request_metrics,
+            request_metrics=self._request_metrics,
             clock=self._clock,
-            ends_at=self._ends_at(),
+            process_ends_at=self._ends_at(),
             account=account,
-            held_s=self._quarantine_left_s,
+            quarantine_left_s=self._quarantine_left_s,
         )
 
     def _is_admitted(
-        self, req: passage.Passage, matcher: routes.Matcher
+        self, req: routed_request.RoutedRequest, matcher: routes.Matcher
     ) -> bool:
         """Checks the account and its limit; refuses the request if needed."""
         if req.account is not None:
             return self._is_within_limit(req, req.account)
-        if not matcher.keyed or req.route.public:
+        if not matcher.requires_key or req.route.public:
             return True
         reason = 'no client account has its key'
-        if req.call.key is None:
+        if req.caller_request.key is None:
             reason = 'it has no key of a client account'
         self._request_metrics.accounts.add(1, '', codes.UNAUTHORIZED.name)
         req.refuse(codes.UNAUTHORIZED, {'reason': reason})
         return False
 
     def _is_within_limit(
-        self, req: passage.Passage, account: accounts.Account
+        self, req: routed_request.RoutedRequest, account: accounts.Account
     ) -> bool:
         limit = account.limit
         if not limit.rate:
             return True
-        cost = limit.cost(req.call.prompt_tokens, req.call.output_tokens)
+        cost = limit.cost(
+            req.caller_request.prompt_tokens, req.caller_request.output_tokens
+        )
         started_at = self._clock()
         decision = self._limiter.admit(account, cost)
         took_ms = int((self._clock() - started_at) * 1000)
         remaining = int(decision.level)
         if not decision.wait_s:
-            req.on_not_run = lambda: self._limiter.give_back(
+            req.on_not_run = lambda: self._limiter.refund(
                 account, cost, decision
             )
             self._request_metrics.accounts.add(1, account.name, codes.OK.name)
@@ -195,11 +197,11 @@
         req.refuse(codes.OVER_LIMIT, figures, decision.wait_s)
         return False
 
-    def _serve(self, req: passage.Passage) -> None:
-        if req.held_s():
-            req.refuse_held()
+    def _serve(self, req: routed_request.RoutedRequest) -> None:
+        if req.quarantine_left_s():
+            req.refuse_quarantined()
             return
-        req.watch()
+        req.watch_caller()
         if req.route.kind == 'stream':
             self._generate.serve(req)
         else:
@@ -221,4 +223,6 @@
             **figures,
         )
         self._request_metrics.requests.add(1, '', code.name)
-        passage.refuse(exchange, code, figures, self._entry_vm, retry_after_s)
+        routed_request.send_error(
+            exchange, code, figures, self._entry_vm, retry_after_s
+        )
--- a/packages/daemon/foxtaildaled/routing.py
+++ b/packages/daemon/foxtaildaled/router_daemon.py
@@ -29,33 +29,33 @@
 from foxtaildale_adapters import peers
 from foxtaildale_adapters import probe
 from foxtaildale_adapters import wire
+from foxtaildaled import account_limits
 from foxtaildaled import actors
-from foxtaildaled import asking
-from foxtaildaled import beliefs
-from foxtaildaled import breaks
-from foxtaildaled import fitness
-from foxtaildaled import forward
-from foxtaildaled import generate
-from foxtaildaled import limits
+from foxtaildaled import coordinator_client
+from foxtaildaled import crash_detection
+from foxtaildaled import engine_cleanup
+from foxtaildaled import generation
 from foxtaildaled import loops
-from foxtaildaled import places
+from foxtaildaled import placement_client
+from foxtaildaled import placement_finder
+from foxtaildaled import plain_forwarder
+from foxtaildaled import prefill_clients
 from foxtaildaled import process
-from foxtaildaled import prompts
-from foxtaildaled import quarantining
+from foxtaildaled import quarantine_manager
 from foxtaildaled import router
-from foxtaildaled import selfreports
+from foxtaildaled import router_retry_budgets
+from foxtaildaled import router_state
+from foxtaildaled import self_reports
 from foxtaildaled import sendlimits
-from foxtaildaled import sends
-from foxtaildaled import spots
-from foxtaildaled import tidy
-from foxtaildaled import watched
+from foxtaildaled import tracked_flights
+from foxtaildaled import vm_eligibility
 
 # Time after the stop signal in which new connections are still accepted,
 # seconds. The load balancer checks readiness once a second and removes a VM
 # after two failed checks.
-LAME_S: Final = 2.8
+LAME_DUCK_S: Final = 2.8
 # Time before SIGKILL that is reserved for closing connections, seconds.
-CLOSE_S: Final = 0.5
+CLOSE_MARGIN_S: Final = 0.5
 # Number of threads that serve requests of other entry VMs.
 _PEER_THREADS: Final = 3
 # Interval of heartbeats on connections between entry VMs, seconds. Each entry
@@ -92,19 +92,19 @@
 class Adapters:
     """Implementations of the ports that the platform provides to the router."""
 
-    __slots__ = ('codec', 'decode', 'store', 'workers')
+    __slots__ = ('codec', 'decode', 'make_store', 'workers')
 
     def __init__(
         self,
         *,
         codec: ports.RecordCodec,
-        store: Callable[[str], ports.Topics],
+        make_store: Callable[[str], ports.KeyedTopics],
         decode: router.Decode,
-        workers: ports.Workers,
+        workers: ports.ServerClient,
     ) -> None:
         self.codec = codec
         # Creates a client of the store at an address.
-        self.store = store
+        self.make_store = make_store
         self.decode = decode
         self.workers = workers
 
@@ -128,10 +128,10 @@
 
     __slots__ = (
         '_admin',
-        '_asking',
         '_cleanup',
         '_closed',
         '_codec',
+        '_coordinators',
         '_ends_at',
         '_fitness',
         '_handlers',
@@ -170,19 +170,19 @@
         self._ends_at = math.inf
         # Each loop has its own client, so that a loop that waits delays no
         # other.
-        self._stores: list[ports.Topics] = []
+        self._stores: list[ports.KeyedTopics] = []
         self._metrics = metrics.Metrics()
-        self._state = beliefs.Beliefs(
+        self._state = router_state.RouterState(
             adapters.codec, cfg.peer_address, cfg.seeds, cfg.data_centre, rng
         )
-        open_flights = watched.Running()
-        self._state.on_restarted = open_flights.restarted
-        owner = self._owner = actors.Owner(self._state, clock)
+        open_flights = tracked_flights.OpenFlights()
+        self._state.on_restarted = open_flights.cancel_earlier
+        owner = self._owner = actors.StateOwner(self._state, clock)
         self._peers = peers.Peers(_HEARTBEAT_S, _SILENCE_S)
         self._responder = wire.Responder(
             cfg.peer_address, self._handle, _PEER_THREADS
         )
-        self._fitness = fitness.Fitness(
+        self._fitness = vm_eligibility.Eligibility(
             owner=owner,
             peers=self._peers,
             stopping=self._stopping,
@@ -190,7 +190,7 @@
             first_start=cfg.first_start,
             entry_vm=cfg.entry_vm,
         )
-        self._asking = asking.Asking(
+        self._coordinators = coordinator_client.CoordinatorClient(
             entry_vm=cfg.entry_vm,
             handle=self._handle,
             owner=owner,
@@ -199,32 +199,34 @@
         )
         self._send_limits = sendlimits.SendLimits(
             entry_vm=cfg.entry_vm,
-            homes=self._asking,
+            coordinators=self._coordinators,
             peers=self._peers,
             addresses=lambda: owner.run(lambda state, _: state.peers()),
             clock=clock,
         )
-        self._self_reports = selfreports.SelfReports(owner, self._send_limits)
+        self._self_reports = self_reports.SelfReportHandler(
+            owner, self._send_limits
+        )
         adapters = Adapters(
             codec=adapters.codec,
-            store=adapters.store,
+            make_store=adapters.make_store,
             decode=adapters.decode,
-            workers=watched.Workers(
+            workers=tracked_flights.TrackingWorkers(
                 adapters.workers,
                 open_flights,
                 self._self_reports,
             ),
         )
-        self._cleanup = tidy.Tidy(adapters.workers)
-        self._placement_plan = places.Places(
+        self._cleanup = engine_cleanup.EngineCleanup(adapters.workers)
+        self._placement_plan = placement_client.PlacementClient(
             entry_vm=cfg.entry_vm,
             owner=owner,
-            homes=self._asking,
+            coordinators=self._coordinators,
             clock=clock,
         )
-        self._limit_accounting = limits.Counting(
-            known=self._accounts,
-            book=allowances.Allowances(
+        self._limit_accounting = account_limits.UsageCounter(
+            configured=self._accounts,
+            usage=allowances.Allowances(
                 allowances.Tolerance(
                     window_s=cfg.limit_window_s,
                     overage=cfg.limit_overage,
@@ -233,19 +235,19 @@
                 clock(),
                 first_start=cfg.first_start,
             ),
-            homes=self._asking,
+            coordinators=self._coordinators,
             peers=self._peers,
             clock=clock,
         )
-        self._quarantining = quarantining.Quarantining(
+        self._quarantining = quarantine_manager.QuarantineManager(
             owner=owner,
-            homes=self._asking,
+            coordinators=self._coordinators,
             peers=self._peers,
             codec=adapters.codec,
             store=self._make_store(adapters),
             clock=clock,
         )
-        budgets = sends.Sends(
+        budgets = router_retry_budgets.RouterRetryBudgets(
             cfg.retry_ratio,
             cfg.retry_burst,
             owner,
@@ -253,30 +255,30 @@
             cfg.entry_vm,
             first_start=cfg.first_start,
         )
-        crash_probe = breaks.Breaks(
-            probe.Probe(), clock, self._quarantining.crashed
+        crash_probe = crash_detection.CrashDetector(
+            probe.Probe(), clock, self._quarantining.record_crash
         )
         handler = router.Router(
             entry_vm=cfg.entry_vm,
             matcher=lambda: self._state.matcher,
             decode=adapters.decode,
-            plain=forward.Forward(
+            forwarder=plain_forwarder.PlainForwarder(
                 owner=owner,
                 workers=adapters.workers,
                 budgets=budgets,
                 send_limits=self._send_limits,
                 crash_probe=crash_probe,
-                on_completed=self._quarantining.completed,
+                on_completed=self._quarantining.record_completed,
                 clock=clock,
                 rng=rng,
             ),
-            model=self._make_generate(adapters, budgets, crash_probe, rng),
+            generator=self._make_generate(adapters, budgets, crash_probe, rng),
             limiter=self._make_limiter(),
-            counts=self._metrics,
+            request_metrics=self._metrics,
             clock=clock,
             ends_at=lambda: self._ends_at,
-            held_s=lambda request: self._state.verdicts.quarantine.left_s(
-                clock(), request
+            quarantine_left_s=lambda request: (
+                self._state.quarantine_state.quarantine.left_s(clock(), request)
             ),
         )
         self._server = callers.Server(
@@ -306,26 +308,28 @@
         )
         self._loops = self._make_loops(adapters, rng)
         # Handlers by message type; `_state` handles all other messages.
-        self._handlers: dict[type, Callable[[Any], messages.Any]] = {
-            messages.AskHome: lambda _: self._fitness.reply(),
-            messages.AskCredit: self._limit_accounting.ask,
-            messages.GiveBack: self._limit_accounting.take_back,
-            messages.LetIn: self._limit_accounting.told,
-            messages.CrashReports: self._quarantining.report,
-            messages.Quarantined: self._quarantining.take,
-            messages.AskSends: self._send_limits.lend,
-            messages.Sends: self._send_limits.hear,
-            messages.AskHeld: lambda msg: self._placement_plan.held(
-                msg.service
+        self._handlers: dict[type, Callable[[Any], messages.Message]] = {
+            messages.EligibilityRequest: lambda _: self._fitness.probe_reply(),
+            messages.CreditRequest: self._limit_accounting.admit,
+            messages.CreditRefund: self._limit_accounting.refund,
+            messages.UsageReport: self._limit_accounting.count_remote,
+            messages.CrashReports: self._quarantining.apply_reports,
+            messages.QuarantineUpdate: self._quarantining.apply_update,
+            messages.SendTokensRequest: self._send_limits.grant_tokens,
+            messages.SendTokensReply: self._send_limits.apply_grants,
+            messages.InventoryRequest: lambda msg: (
+                self._placement_plan.current_placements(msg.service)
+            ),
+            messages.DumpRequest: lambda _: messages.DumpReply(
+                state=self._dump()
             ),
-            messages.Dump: lambda _: messages.DumpReply(state=self._dump()),
         }
 
     def start(self) -> None:
         """Starts the loops, then the servers."""
         self._responder.start()
         self._cleanup.start()
-        self._asking.start()
+        self._coordinators.start()
         for loop in self._loops:
             loop.start()
         self.addresses = {
@@ -346,11 +350,11 @@
         Requests in progress may run until shortly before SIGKILL is due.
         """
         stopped_at = clock()
-        self._ends_at = stopped_at + self.cfg.grace_s - CLOSE_S
+        self._ends_at = stopped_at + self.cfg.grace_s - CLOSE_MARGIN_S
         self._stopping.set()
         self._server.announce_stop()
         logs.event(logging.INFO, 'stopping', busy=self._server.busy())
-        time.sleep(LAME_S)
+        time.sleep(LAME_DUCK_S)
         self._server.stop_accepting()
         self._server.close_idle()
         while self._server.busy() and clock() < self._ends_at:
@@ -358,7 +362,7 @@
         logs.event(logging.INFO, 'stopped', busy=self._server.busy())
         self.close()
 
-    def busy(self) -> int:
+    def requests_in_progress(self) -> int:
         """Returns the number of requests in progress."""
         return self._server.busy()
 
@@ -366,7 +370,7 @@
         """Returns the names of the known entry VMs."""
         return self._owner.run(lambda state, _: frozenset(state.entry_vms))
 
-    def version(self) -> int | None:
+    def config_version(self) -> int | None:
         """Returns the version of the configuration in force, or None."""
         matcher = self._state.matcher
         return matcher.table.version if matcher is not None else None
@@ -377,7 +381,7 @@
             return
         self._closed = True
         for loop in self._loops:
-            loop.end()
+            loop.request_stop()
         for server in (self._server, self._readiness, self._admin):
             server.close()
         self._responder.close()
@@ -388,17 +392,21 @@
         """Applies changed settings, except for the addresses to listen on."""
         if cfg == self.cfg:
             return
-        self._owner.run(lambda state, _: state.on_seeds(cfg.seeds))
+        self._owner.run(lambda state, _: state.set_seeds(cfg.seeds))
         for store in self._stores:
-            store.move(cfg.store)
+            store.set_address(cfg.store)
         self.cfg = cfg
         logs.event(
             logging.INFO, 'reloaded', store=cfg.store, seeds=list(cfg.seeds)
         )
 
-    def _make_limiter(self) -> limits.Limiter:
-        local_shares = limits.Shares(lambda: len(self._state.entry_vms), clock)
-        return limits.Homes(self._asking, local_shares)
+    def _make_limiter(self) -> account_limits.Limiter:
+        local_shares = account_limits.LocalShares(
+            lambda: len(self._state.entry_vms), clock
+        )
+        return account_limits.CoordinatorLimiter(
+            self._coordinators, local_shares
+        )
 
     def _accounts(self) -> accounts.Accounts | None:
         matcher = self._state.matcher
@@ -407,36 +415,36 @@
     def _make_generate(
         self,
         adapters: Adapters,
-        budgets: sends.Sends,
-        crash_probe: breaks.Breaks,
+        budgets: router_retry_budgets.RouterRetryBudgets,
+        crash_probe: crash_detection.CrashDetector,
         rng: random.Random,
-    ) -> generate.Generate:
-        placements = spots.Spots(
+    ) -> generation.Generation:
+        placements = placement_finder.PlacementFinder(
             owner=self._owner,
             workers=adapters.workers,
-            plan=self._placement_plan,
+            client=self._placement_plan,
             send_limits=self._send_limits,
             entry_vm=self.cfg.entry_vm,
             clock=clock,
         )
-        return generate.Generate(
+        return generation.Generation(
             owner=self._owner,
             workers=adapters.workers,
             budgets=budgets,
             placements=placements,
-            prefill_client=prompts.Prompts(
+            prefill_client=prefill_clients.PrefillClient(
                 owner=self._owner,
                 workers=adapters.workers,
                 budgets=budgets,
                 send_limits=self._send_limits,
                 crash_probe=crash_probe,
                 clock=clock,
-                on_failed=placements.failed,
-                on_replaced=placements.replaced,
+                on_failed=placements.record_failure,
+                on_replaced=placements.report_replaced,
             ),
             cleanup=self._cleanup,
             crash_probe=crash_probe,
-            on_completed=self._quarantining.completed,
+            on_completed=self._quarantining.record_completed,
             clock=clock,
             rng=rng,
         )
@@ -445,30 +453,36 @@
         self, adapters: Adapters, rng: random.Random
     ) -> list[process.Loop]:
         limits_loop = process.Loop(
-            'limits', limits.TELL_S, self._limit_accounting.step
+            'limits',
+            account_limits.REPORT_INTERVAL_S,
+            self._limit_accounting.report_admitted,
         )
         quarantine_loop = process.Loop(
-            'quarantine', self._quarantining.pace_s, self._quarantining.step
+            'quarantine',
+            self._quarantining.interval_s,
+            self._quarantining.exchange_reports,
         )
         self._quarantining.on_report = quarantine_loop.wake
         send_limits_loop = process.Loop(
-            'server limits', self._send_limits.pace_s, self._send_limits.step
+            'server limits',
+            self._send_limits.interval_s,
+            self._send_limits.exchange_tokens,
         )
-        self._send_limits.on_told = send_limits_loop.wake
+        self._send_limits.on_limit_changed = send_limits_loop.wake
         return [
             limits_loop,
             quarantine_loop,
             send_limits_loop,
-            *loops.make(
+            *loops.make_loops(
                 self.cfg,
                 codec=adapters.codec,
                 store=lambda: self._make_store(adapters),
                 workers=adapters.workers,
                 owner=self._owner,
                 peers=self._peers,
-                plan=self._placement_plan,
-                fit=self._fitness,
-                counts=self._metrics,
+                client=self._placement_plan,
+                eligibility=self._fitness,
+                router_metrics=self._metrics,
                 stopping=self._stopping,
                 on_read=self._apply_limits,
                 clock=clock,
@@ -476,8 +490,8 @@
             ),
         ]
 
-    def _make_store(self, adapters: Adapters) -> ports.Topics:
-        client = adapters.store(self.cfg.store)
+    def _make_store(self, adapters: Adapters) -> ports.KeyedTopics:
+        client = adapters.make_store(self.cfg.store)
         self._stores.append(client)
         return client
 
@@ -493,21 +507,25 @@
         )
         self._limits_version = matcher.table.version
 
-    def _handle(self, msg: messages.Any) -> messages.Any:
+    def _handle(self, msg: messages.Message) -> messages.Message:
         # A VM that is refused chooses another coordinator or store reader at
         # once. Without the refusal it would first have to wait until it notices
         # that this process has ended.
         needs_coordinator = isinstance(
             msg,
-            messages.AskPlace | messages.AskCredit | messages.AskSends,
+            messages.PlacementRequest
+            | messages.CreditRequest
+            | messages.SendTokensRequest,
         )
-        if needs_coordinator and self._fitness.reason():
-            return messages.Fail(code=self._fitness.reason())
+        if needs_coordinator and self._fitness.ineligibility_reason():
+            return messages.ErrorReply(
+                code=self._fitness.ineligibility_reason()
+            )
         needs_running = isinstance(
-            msg, messages.AskRecords | messages.CrashReports
+            msg, messages.RecordsRequest | messages.CrashReports
         )
         if needs_running and self._stopping.is_set():
-            return messages.Fail(code='stopping')
+            return messages.ErrorReply(code='stopping')
         handler = self._handlers.get(type(msg))
         if handler is not None:
             return handler(msg)
@@ -518,20 +536,22 @@
             return 'being stopped'
         if self._state.matcher is None:
             return 'no configuration is known'
-        if not self._state.servers_known:
+        if not self._state.servers_received:
             return 'no list of backend servers is known'
         return ''
 
     def _dump(self) -> bytes:
-        def collect(state: beliefs.Beliefs, now: float) -> dict[str, object]:
+        def collect(
+            state: router_state.RouterState, now: float
+        ) -> dict[str, object]:
             matcher = state.matcher
             return {
                 'role': 'router',
                 'entry_vm': self.cfg.entry_vm,
                 'stopping': self._stopping.is_set(),
                 'version': matcher.table.version if matcher else None,
-                'fresh_at': state.fresh_at,
-                'store_failed_at': state.failed_at,
+                'fresh_at': state.servers_current_at,
+                'store_failed_at': state.store_failed_at,
                 'now': now,
                 'entry_vms': sorted(state.entry_vms),
                 'backend_servers': [
@@ -541,18 +561,18 @@
                         'stage': server_state.backend.stage,
                         'leaving': server_state.backend.leaving,
                         'in_flight': server_state.in_flight,
-                        'held_tokens': server_state.held_tokens,
-                        'faults': round(server_state.faults_now(now), 2),
+                        'held_tokens': server_state.in_flight_tokens,
+                        'faults': round(server_state.decayed_failures(now), 2),
                     }
-                    for server_state in state.fleet.known()
+                    for server_state in state.fleet.server_states()
                 ],
                 'busy': self._server.busy(),
-                'plans': state.plans.planned(),
+                'plans': state.plans.summary(),
                 'accounts': self._limit_accounting.levels(),
                 'server_limits': self._send_limits.limits(),
                 'held': {
-                    fingerprint.text(request): round(left_s)
-                    for request, left_s in state.verdicts.quarantine.held(
+                    fingerprint.to_text(request): round(left_s)
+                    for request, left_s in state.quarantine_state.quarantine.quarantined(
                         now
                     ).items()
                 },
--- a/packages/daemon/foxtaildaled/sends.py
+++ b/packages/daemon/foxtaildaled/router_retry_budgets.py
@@ -17,10 +17,10 @@
 import threading
 from typing import Final
 
-from foxtaildale import budget
 from foxtaildale import ports
+from foxtaildale import retry_budgets
 from foxtaildaled import actors
-from foxtaildaled import beliefs
+from foxtaildaled import router_state
 
 # Fraction of the limit that is used. Each VM stays within its part in every
 # window, so the parts add up to this fraction. The remainder covers retries
@@ -28,7 +28,7 @@
 _USED_PART: Final = 0.9
 
 
-class Sends:
+class RouterRetryBudgets:
     """Decides whether a request may be sent again."""
 
     __slots__ = (
@@ -46,7 +46,7 @@
         self,
         ratio: float,
         burst: float,
-        owner: actors.Owner[beliefs.Beliefs],
+        owner: actors.StateOwner[router_state.RouterState],
         clock: ports.Clock,
         entry_vm: str,
         *,
@@ -61,16 +61,16 @@
         # of this VM spent.
         self._burst_from = clock()
         if not first_start:
-            self._burst_from += budget.WINDOW_S
+            self._burst_from += retry_budgets.WINDOW_S
         self._lock = threading.Lock()
-        self._budgets: dict[str, budget.Budget] = {}
+        self._budgets: dict[str, retry_budgets.RetryBudget] = {}
 
-    def first(self, service: str) -> None:
+    def record_first_attempt(self, service: str) -> None:
         """Counts the first attempt of a request."""
         with self._lock:
-            self._budget(service).first(self._clock())
+            self._budget(service).record_first_attempt(self._clock())
 
-    def take(self, service: str, deadline: float) -> bool:
+    def acquire(self, service: str, deadline: float) -> bool:
         """Counts one retry, if the budget allows it before the deadline."""
         entry_vms = self._owner.run(lambda state, _: frozenset(state.entry_vms))
         now = self._clock()
@@ -82,12 +82,12 @@
         with self._lock:
             service_budget = self._budget(service)
             service_budget.on_preset(self._ratio, burst)
-            return service_budget.allow(now, deadline)
+            return service_budget.acquire(now, deadline)
 
-    def _budget(self, service: str) -> budget.Budget:
+    def _budget(self, service: str) -> retry_budgets.RetryBudget:
         service_budget = self._budgets.get(service)
         if service_budget is None:
-            service_budget = self._budgets[service] = budget.Budget(
+            service_budget = self._budgets[service] = retry_budgets.RetryBudget(
                 self._ratio, 0
             )
         return service_budget
--- a/packages/daemon/foxtaildaled/beliefs.py
+++ b/packages/daemon/foxtaildaled/router_state.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from foxtaildale import errors
-from foxtaildale import experience
+from foxtaildale import failure_rates
 from foxtaildale import fleet
 from foxtaildale import forwarding
 from foxtaildale import messages
@@ -25,9 +25,9 @@
 from foxtaildale import positions
 from foxtaildale import routes
 from foxtaildale_adapters import logs
-from foxtaildaled import announcements
-from foxtaildaled import plans
-from foxtaildaled import verdicts
+from foxtaildaled import quarantine_state
+from foxtaildaled import server_announcements
+from foxtaildaled import service_plans
 
 # Time after a store failure during which a missing entry does not mean that the
 # server was removed, seconds. Servers write their entries every 1.2 s and
@@ -40,7 +40,7 @@
 _REWRITE_S = 20.0
 
 
-class Beliefs:
+class RouterState:
     """State of a router; the current time is passed as an argument."""
 
     __slots__ = (
@@ -52,15 +52,15 @@
         '_unreadable',
         'announcements',
         'entry_vms',
-        'experience',
-        'failed_at',
+        'failure_rates',
         'fleet',
-        'fresh_at',
         'matcher',
         'on_restarted',
         'plans',
-        'servers_known',
-        'verdicts',
+        'quarantine_state',
+        'servers_current_at',
+        'servers_received',
+        'store_failed_at',
     )
 
     def __init__(
@@ -80,7 +80,7 @@
             topic: mirror.Mirror(
                 functools.partial(codec.rank, topic),
                 # Live servers write their entries again within seconds.
-                keeps=topic != codec.servers_topic,
+                retain_carried=topic != codec.servers_topic,
             )
             for topic in (
                 codec.config_topic,
@@ -98,29 +98,36 @@
         # Servers whose newest entry can't be decoded; each is logged once.
         self._unreadable: set[str] = set()
         self.fleet = fleet.Fleet(data_centre, rng)
-        self.announcements = announcements.Announcements(self.fleet)
-        self.experience = experience.Experience()
-        self.verdicts = verdicts.Verdicts(codec, wall)
+        self.announcements = server_announcements.ServerAnnouncements(
+            self.fleet
+        )
+        self.failure_rates = failure_rates.FailureRates()
+        self.quarantine_state = quarantine_state.QuarantineState(codec, wall)
         # The configuration in force; None until one is received.
         self.matcher: routes.Matcher | None = None
         # Whether the list of servers was received at least once.
-        self.servers_known = False
+        self.servers_received = False
         # The entry VMs by name. The dictionary is replaced and never modified,
         # so that callers may store it and detect changes by identity.
         self.entry_vms: dict[str, forwarding.EntryVm] = {}
         # The time as of which the list of servers is current, and when the
         # store last failed to reply.
-        self.fresh_at: float | None = None
-        self.failed_at: float | None = None
+        self.servers_current_at: float | None = None
+        self.store_failed_at: float | None = None
         # The plans of the services that this entry VM coordinates.
-        self.plans = plans.Plans(self, peer_address)
+        self.plans = service_plans.ServicePlans(self, peer_address)
 
-    def end(self, topic: str) -> int:
+    def applied_offset(self, topic: str) -> int:
         """Returns the offset up to which a topic was applied."""
         return self._mirrors[topic].end
 
-    def take(
-        self, topic: str, keyed: ports.Keyed, now: float, *, whole: bool
+    def apply_store_reply(
+        self,
+        topic: str,
+        keyed: ports.KeyedRecords,
+        now: float,
+        *,
+        is_snapshot: bool,
     ) -> None:
         """Applies a reply of the store."""
         topic_mirror = self._mirrors[topic]
@@ -134,7 +141,9 @@
                 known=before,
             )
             return
-        apply_entries = topic_mirror.snapshot if whole else topic_mirror.apply
+        apply_entries = (
+            topic_mirror.snapshot if is_snapshot else topic_mirror.apply
+        )
         entries = tuple(
             self._seal_entry(topic, entry) for entry in keyed.entries
         )
@@ -145,41 +154,49 @@
             topic != self._codec.config_topic
             and now - self._epoch_at > _REWRITE_S
         ):
-            changes += topic_mirror.drop_carried()
+            changes += topic_mirror.remove_carried()
         if topic == self._codec.servers_topic:
-            self.servers_known = True
-            self.fresh_at = now
+            self.servers_received = True
+            self.servers_current_at = now
         self._apply_changes(topic, changes, now, 'store', positions_before)
 
-    def take_reply(self, reply: messages.RecordsReply, now: float) -> None:
+    def apply_peer_reply(
+        self, reply: messages.RecordsReply, now: float
+    ) -> None:
         """Applies the records and reports of another entry VM."""
         for topic, records in reply.records.items():
             topic_mirror = self._mirrors.get(topic)
             if topic_mirror is None:
                 continue
             entries = [mirror.Entry(*record) for record in records]
-            end = reply.ends.get(topic, 0)
+            end = reply.positions.get(topic, 0)
             positions_before = self._changed_positions(topic, entries)
             before = topic_mirror.end
             changes = topic_mirror.apply(entries, end)
             self._record_epoch(topic, before, now, 'peer')
             if topic == self._codec.servers_topic and end:
-                self.servers_known = True
+                self.servers_received = True
             self._apply_changes(topic, changes, now, 'peer', positions_before)
-        if self.servers_known:
-            self.fresh_at = max(self.fresh_at or 0.0, now - reply.age_s)
-        self.fleet.told_failing(reply.failing, now)
-        self.announcements.take(reply, now)
-        self.verdicts.take(now, reply.held, reply.cleared, 'peer')
-
-    def reply(
-        self, ask: messages.AskRecords, now: float
+        if self.servers_received:
+            self.servers_current_at = max(
+                self.servers_current_at or 0.0, now - reply.store_age_s
+            )
+        self.fleet.update_failure_rates(reply.failure_ratios, now)
+        self.announcements.merge(reply, now)
+        self.quarantine_state.merge(
+            now, reply.quarantined, reply.cleared, 'peer'
+        )
+
+    def build_reply(
+        self, ask: messages.RecordsRequest, now: float
     ) -> messages.RecordsReply:
         """Returns the records that another entry VM lacks."""
         records = {
             topic: tuple(
                 (entry.key, entry.offset, entry.value, entry.removed)
-                for entry in topic_mirror.since(ask.ends.get(topic, 0))
+                for entry in topic_mirror.entries_since(
+                    ask.positions.get(topic, 0)
+                )
             )
             for topic, topic_mirror in self._mirrors.items()
         }
@@ -187,63 +204,67 @@
             topic: topic_mirror.end
             for topic, topic_mirror in self._mirrors.items()
         }
-        age_s = now - self.fresh_at if self.fresh_at is not None else 1e9
-        self.experience.told(now, ask.seen)
-        self.announcements.take(ask, now)
+        age_s = (
+            now - self.servers_current_at
+            if self.servers_current_at is not None
+            else 1e9
+        )
+        self.failure_rates.merge(now, ask.request_counts)
+        self.announcements.merge(ask, now)
         departures = self.fleet.departures
         return messages.RecordsReply(
             records=records,
-            ends=ends,
-            age_s=age_s,
-            failing=self.experience.rates(now),
-            store_lost=self.store_lost(),
-            held=self.verdicts.quarantine.held(now),
-            cleared=self.verdicts.quarantine.cleared(now),
+            positions=ends,
+            store_age_s=age_s,
+            failure_ratios=self.failure_rates.rates(now),
+            store_failed=self.is_store_lost(),
+            quarantined=self.quarantine_state.quarantine.quarantined(now),
+            cleared=self.quarantine_state.quarantine.cleared(now),
             # A VM that has just started has no topic yet and needs all
             # departures.
-            departures=departures.news(now)
-            if any(ask.ends.values())
-            else departures.words(),
-            backoffs=self.fleet.backoffs.words(now),
+            departures=departures.recent_changes(now)
+            if any(ask.positions.values())
+            else departures.all_states(),
+            backoffs=self.fleet.backoffs.report(now),
         )
 
-    def ask(self, now: float) -> messages.AskRecords:
+    def build_request(self, now: float) -> messages.RecordsRequest:
         """Returns the request to another entry VM for its records."""
-        return messages.AskRecords(
-            ends={
+        return messages.RecordsRequest(
+            positions={
                 topic: topic_mirror.end
                 for topic, topic_mirror in self._mirrors.items()
             },
-            seen=self.experience.news(),
-            departures=self.fleet.departures.news(now),
-            backoffs=self.fleet.backoffs.words(now),
+            request_counts=self.failure_rates.take_unsent(),
+            departures=self.fleet.departures.recent_changes(now),
+            backoffs=self.fleet.backoffs.report(now),
         )
 
-    def ask_self(self, now: float) -> None:
+    def apply_own_failures(self, now: float) -> None:
         """Applies own observations where this VM collects those of others."""
-        self.experience.told(now, self.experience.news())
-        self.fleet.told_failing(self.experience.rates(now), now)
+        self.failure_rates.merge(now, self.failure_rates.take_unsent())
+        self.fleet.update_failure_rates(self.failure_rates.rates(now), now)
 
-    def handle(self, msg: messages.Any, now: float) -> messages.Any:
+    def handle(self, msg: messages.Message, now: float) -> messages.Message:
         """Handles a message of another entry VM and returns the reply."""
-        if isinstance(msg, messages.AskRecords):
-            return self.reply(msg, now)
-        if isinstance(msg, messages.AskPlace):
-            return self.plans.ask(msg, now)
-        if isinstance(msg, messages.EndPlace):
-            self.plans.end(msg, now)
+        if isinstance(msg, messages.RecordsRequest):
+            return self.build_reply(msg, now)
+        if isinstance(msg, messages.PlacementRequest):
+            return self.plans.request_placement(msg, now)
+        if isinstance(msg, messages.PlacementRelease):
+            self.plans.release(msg, now)
             return messages.Pong()
-        if isinstance(msg, messages.ServerFailed):
-            self.plans.failed(msg, now)
+        if isinstance(msg, messages.ServerFailureReport):
+            self.plans.record_failure(msg, now)
             return messages.Pong()
-        return messages.Fail(code='not-for-a-router')
+        return messages.ErrorReply(code='not-for-a-router')
 
-    def plain_failed(self, server: str, now: float) -> None:
+    def record_plain_failure(self, server: str, now: float) -> None:
         """Records that a plain server failed a request of this VM."""
-        self.fleet.failed(server, now)
-        self.experience.note(server, failed=True)
+        self.fleet.record_failure(server, now)
+        self.failure_rates.record(server, failed=True)
 
-    def on_seeds(self, seeds: tuple[str, ...]) -> None:
+    def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """Applies the seeds of changed settings."""
         self._seeds = seeds
 
@@ -253,19 +274,22 @@
 
     def fresh_for(self, now: float, limit_s: float) -> float:
         """Returns how long the list stays younger than a limit, seconds."""
-        if self.fresh_at is None:
+        if self.servers_current_at is None:
             return 0.0
-        return max(0.0, self.fresh_at + limit_s - now)
+        return max(0.0, self.servers_current_at + limit_s - now)
 
-    def store_lost(self) -> bool:
+    def is_store_lost(self) -> bool:
         """Whether the store failed after its last reply to this entry VM."""
-        if self.failed_at is None:
+        if self.store_failed_at is None:
             return False
-        return self.fresh_at is None or self.failed_at > self.fresh_at
+        return (
+            self.servers_current_at is None
+            or self.store_failed_at > self.servers_current_at
+        )
 
-    def failed(self, now: float) -> None:
+    def record_store_failure(self, now: float) -> None:
         """Records a failed call to the store."""
-        self.failed_at = now
+        self.store_failed_at = now
 
     def is_listed(self, name: str, member: forwarding.EntryVm) -> bool:
         """Whether the store lists an entry VM with the given data."""
@@ -282,7 +306,7 @@
         return sorted(addresses)
 
     def _seal_entry(self, topic: str, entry: mirror.Entry) -> mirror.Entry:
-        value = self._codec.seal(topic, entry.value)
+        value = self._codec.redact(topic, entry.value)
         if value is entry.value:
             return entry
         return msgspec.structs.replace(entry, value=value)
@@ -294,14 +318,14 @@
         topic_mirror = self._mirrors[topic]
         end = topic_mirror.end
         epoch = positions.epoch(end)
-        if not before and topic_mirror.carries():
+        if not before and topic_mirror.has_carried():
             # Other VMs noticed the restore before this process started.
             self._epoch_at = now
         if not before or epoch == positions.epoch(before):
             return
         self._epoch_at = now
         if topic == self._codec.members_topic:
-            self.verdicts.store_changed()
+            self.quarantine_state.forget_stored()
         logs.event(
             logging.INFO,
             'store epoch',
@@ -317,7 +341,10 @@
         """Whether the store had no recent failure and was not just restored."""
         if now - self._epoch_at <= _STORE_GRACE_S:
             return False
-        return self.failed_at is None or now - self.failed_at > _STORE_GRACE_S
+        return (
+            self.store_failed_at is None
+            or now - self.store_failed_at > _STORE_GRACE_S
+        )
 
     def _changed_positions(
         self, topic: str, entries: Iterable[mirror.Entry]
@@ -329,7 +356,8 @@
         return {
             entry.key: position
             for entry in entries
-            if (position := topic_mirror.changed_at(entry.key)) is not None
+            if (position := topic_mirror.changed_position(entry.key))
+            is not None
         }
 
     def _apply_changes(
@@ -349,14 +377,14 @@
                         continue
                     if entry.key in positions_before:
                         before = positions_before[entry.key]
-                        self._mirrors[topic].repeats(entry, before)
-                elif not self.verdicts.learn(entry, now, source):
+                        self._mirrors[topic].mark_repeated(entry, before)
+                elif not self.quarantine_state.apply_record(entry, now, source):
                     self._apply_member(entry)
             except errors.DecodeError as exc:
                 if topic == self._codec.servers_topic:
                     # The newest entry defines no usable server, whoever wrote
                     # it. A live server writes its entry again within seconds.
-                    self.fleet.remove(entry.key, now, store_well=True)
+                    self.fleet.remove(entry.key, now, store_healthy=True)
                     if entry.key in self._unreadable:
                         continue
                     self._unreadable.add(entry.key)
@@ -374,7 +402,7 @@
     def _apply_table(self, entry: mirror.Entry, source: str) -> None:
         if entry.key != self._codec.config_key or not entry.value:
             return
-        table = self._codec.table(entry.value)
+        table = self._codec.decode_table(entry.value)
         if self.matcher and table.version <= self.matcher.table.version:
             return
         self.matcher = routes.Matcher(table)
@@ -392,14 +420,14 @@
         self, entry: mirror.Entry, now: float, source: str
     ) -> bool:
         """Applies a server's record; returns whether it changed anything."""
-        server_state = self.fleet.tally(entry.key)
+        server_state = self.fleet.server_state(entry.key)
         before = server_state.listed if server_state is not None else None
         if not entry.value:
             self._unreadable.discard(entry.key)
             if before is None:
                 return True
             healthy = self._is_store_healthy(now)
-            self.fleet.remove(entry.key, now, store_well=healthy)
+            self.fleet.remove(entry.key, now, store_healthy=healthy)
             event = (
                 'backend server gone' if healthy else 'backend server vanished'
             )
@@ -411,10 +439,10 @@
                 source=source,
             )
             return True
-        backend = self._codec.server(entry.key, entry.value)
+        backend = self._codec.decode_server(entry.key, entry.value)
         unreadable = entry.key in self._unreadable
         self._unreadable.discard(entry.key)
-        known_start = self.fleet.born(entry.key)
+        known_start = self.fleet.started_at(entry.key)
         if not self.fleet.put(backend):
             logs.event(
                 logging.INFO,
@@ -428,7 +456,7 @@
             return True
         if known_start and backend.born > known_start:
             self._apply_restart(backend, known_start, entry.offset, source)
-        self.announcements.listed(backend, now, source)
+        self.announcements.apply_entry(backend, now, source)
         if before is None or _differs(before, backend):
             logs.event(
                 logging.INFO,
@@ -448,7 +476,7 @@
         self, backend: forwarding.Backend, before: int, offset: int, source: str
     ) -> None:
         """Removes what was recorded about earlier incarnations of a server."""
-        self.plans.restarted(backend.id)
+        self.plans.record_restart(backend.id)
         logs.event(
             logging.INFO,
             'backend server started again',
@@ -462,7 +490,7 @@
 
     def _apply_member(self, entry: mirror.Entry) -> None:
         if entry.value:
-            member = self._codec.member(entry.key, entry.value)
+            member = self._codec.decode_member(entry.key, entry.value)
             self.entry_vms = {**self.entry_vms, entry.key: member}
         else:
             remaining = dict(self.entry_vms)
--- a/packages/daemon/foxtaildaled/selfreports.py
+++ b/packages/daemon/foxtaildaled/self_reports.py
@@ -7,60 +7,62 @@
 from foxtaildale import errors
 from foxtaildale import forwarding
 from foxtaildaled import actors
-from foxtaildaled import beliefs
+from foxtaildaled import router_state
 from foxtaildaled import sendlimits
 
 
-class SelfReports:
+class SelfReportHandler:
     """Handles the self-reports in responses; safe for concurrent use."""
 
     __slots__ = ('_departures', '_owner', '_send_limits')
 
     def __init__(
         self,
-        owner: actors.Owner[beliefs.Beliefs],
+        owner: actors.StateOwner[router_state.RouterState],
         send_limits: sendlimits.SendLimits,
     ) -> None:
         self._owner = owner
         self._departures = owner.run(lambda state, _: state.fleet.departures)
         self._send_limits = send_limits
 
-    def hear(
+    def apply_response(
         self,
         server: forwarding.Backend,
-        response: forwarding.Head | forwarding.Reply,
+        response: forwarding.ResponseHead | forwarding.ControlResponse,
         *,
-        leave: int = 0,
-        streams: bool = False,
+        leave_revision: int = 0,
+        is_streaming: bool = False,
     ) -> None:
         """Applies the report in one response about the server that sent it.
 
         Args:
             server: Where the call was sent.
             response: The response to the call.
-            leave: What `mark` returned before the call was sent.
-            streams: Whether the server is still working on the call.
+            leave_revision: What `mark` returned before the call was sent.
+            is_streaming: Whether the server is still working on the call.
         """
-        is_head = isinstance(response, forwarding.Head)
+        is_head = isinstance(response, forwarding.ResponseHead)
         # Another server that responds at the same address may not give its id.
         if not response.misdirected or response.server == server.id:
             self._apply_report(
-                server, response.report, leave, is_complete=is_head
+                server, response.report, leave_revision, is_complete=is_head
             )
         load = response.report.load
 
-        def update(state: beliefs.Beliefs, now: float) -> None:
+        def update(state: router_state.RouterState, now: float) -> None:
             if response.not_run:
-                state.fleet.not_run(
+                state.fleet.record_not_run(
                     server.id, now, misdirected=response.misdirected
                 )
             elif load is not None:
-                state.fleet.loaded(server.id, now, load, streams=streams)
+                state.fleet.record_load(
+                    server.id, now, load, streaming=is_streaming
+                )
 
         if response.not_run or load is not None:
             self._owner.run(update)
 
-    def mark(self, server: forwarding.Backend) -> int:
+    def leave_revision(self, server: forwarding.Backend) -> int:
         """Returns the revision of a server's leave state before a send."""
         return self._departures.revision(server.id, server.born)
 
@@ -74,25 +76,29 @@
     ) -> None:
         # Only responses to requests are known to contain the complete report.
         if is_complete or report.limit is not None:
-            self._send_limits.told(server, report.limit)
+            self._send_limits.record_limit(server, report.limit)
         if report.leaving:
-            if not self._departures.leaving(server.id, server.born):
+            if not self._departures.is_leaving(server.id, server.born):
                 self._owner.run(
-                    lambda state, now: state.announcements.departs(server, now)
+                    lambda state, now: state.announcements.record_leaving(
+                        server, now
+                    )
                 )
         elif (
             is_complete
             and leave_revision % 2
-            and leave_revision == self.mark(server)
+            and leave_revision == self.leave_revision(server)
         ):
             # The call was sent after the announcement arrived, so its response
             # is newer than the announcement.
             self._owner.run(
-                lambda state, now: state.announcements.stays(server, now)
+                lambda state, now: state.announcements.record_withdrawal(
+                    server, now
+                )
             )
         if backoff_s := report.backoff_s:
             self._owner.run(
-                lambda state, now: state.announcements.backs_off(
+                lambda state, now: state.announcements.record_backoff(
                     server, backoff_s, now
                 )
             )
@@ -105,7 +111,7 @@
                 entry VM.
         """
         left_s = self._owner.run(
-            lambda state, now: state.fleet.backoffs.own_s(
+            lambda state, now: state.fleet.backoffs.local_s(
                 now, server.id, server.born
             )
         )
--- a/packages/daemon/foxtaildaled/sendlimits.py
+++ b/packages/daemon/foxtaildaled/sendlimits.py
@@ -17,19 +17,19 @@
 from foxtaildale import ports
 from foxtaildale import sendtokens
 from foxtaildale_adapters import logs
-from foxtaildaled import asking
+from foxtaildaled import coordinator_client
 
 # Subject by which the coordinator of server limits is chosen.
-HOME: Final = 'server limits'
+COORDINATOR_SUBJECT: Final = 'server limits'
 # Interval between requests while a limit is known, and between checks
 # otherwise, seconds.
-ASK_S: Final = 0.2
-REST_S: Final = 1.0
+REQUEST_INTERVAL_S: Final = 0.2
+IDLE_INTERVAL_S: Final = 1.0
 # Interval between requests for each entry VM, seconds. All VMs send their
 # requests to one coordinator, so the interval grows with their number.
-ASK_EACH_S: Final = 0.001
+REQUEST_INTERVAL_PER_VM_S: Final = 0.001
 # Longest wait for the coordinator's reply, and for those of all VMs, seconds.
-ANSWER_S: Final = 0.15
+REPLY_TIMEOUT_S: Final = 0.15
 
 
 class SendLimits:
@@ -44,20 +44,20 @@
         '_peers',
         '_quota',
         '_tokens',
-        'on_told',
+        'on_limit_changed',
     )
 
     def __init__(
         self,
         *,
         entry_vm: str,
-        homes: asking.Asking,
+        coordinators: coordinator_client.CoordinatorClient,
         peers: ports.PeerGroup,
         addresses: Callable[[], list[str]],
         clock: ports.Clock,
     ) -> None:
         self._entry_vm = entry_vm
-        self._coordinators = homes
+        self._coordinators = coordinators
         self._peers = peers
         # Returns the peer addresses of the other entry VMs.
         self._addresses = addresses
@@ -66,9 +66,11 @@
         self._tokens = sendtokens.Tokens()
         self._quota = sendtokens.Quota()
         # Wakes the loop.
-        self.on_told: Callable[[], None] = lambda: None
+        self.on_limit_changed: Callable[[], None] = lambda: None
 
-    def told(self, server: forwarding.Backend, limit: float | None) -> None:
+    def record_limit(
+        self, server: forwarding.Backend, limit: float | None
+    ) -> None:
         """Records the limit that a server's response reports.
 
         Args:
@@ -79,7 +81,7 @@
         if limit is None and previous is None:
             return
         with self._lock:
-            self._tokens.named(self._clock(), server.id, limit)
+            self._tokens.set_limit(self._clock(), server.id, limit)
         if limit != previous:
             logs.event(
                 logging.INFO,
@@ -88,63 +90,77 @@
                 limit=limit,
                 before=previous,
             )
-            self.on_told()
+            self.on_limit_changed()
 
-    def take(self, server: str) -> bool:
+    def acquire(self, server: str) -> bool:
         """Spends a token for a send; returns whether it may be sent."""
         if self._tokens.limit(server) is None:
             return True
         with self._lock:
-            return self._tokens.take(self._clock(), server)
+            return self._tokens.try_spend(self._clock(), server)
 
-    def spent(self) -> frozenset[str]:
+    def exhausted_servers(self) -> frozenset[str]:
         """Returns the ids of the servers that have no token left."""
         with self._lock:
-            return self._tokens.spent(self._clock())
+            return self._tokens.request_exhausted(self._clock())
 
     def limits(self) -> dict[str, float]:
         """Returns the known limits by server id, for the state dump."""
         with self._lock:
             return self._tokens.limits()
 
-    def pace_s(self) -> float:
+    def interval_s(self) -> float:
         """Returns the time until the next request, seconds."""
         if not self.limits():
-            return REST_S
-        return max(ASK_S, ASK_EACH_S * len(self._addresses()))
+            return IDLE_INTERVAL_S
+        return max(
+            REQUEST_INTERVAL_S,
+            REQUEST_INTERVAL_PER_VM_S * len(self._addresses()),
+        )
 
-    def step(self) -> None:
+    def exchange_tokens(self) -> None:
         """Requests the tokens that will be needed and announces changes."""
         with self._lock:
-            requests = self._tokens.asks(self._clock())
+            requests = self._tokens.drain_requests(self._clock())
         if requests:
             self._request_tokens(requests)
         with self._lock:
-            changes = self._quota.news(self._clock())
+            changes = self._quota.drain_changes(self._clock())
         if changes:
-            msg = messages.Sends(grants=changes)
-            self._peers.ask_all(self._addresses(), msg, ANSWER_S)
+            msg = messages.SendTokensReply(grants=changes)
+            self._peers.request_all(self._addresses(), msg, REPLY_TIMEOUT_S)
 
-    def lend(self, msg: messages.AskSends) -> messages.Sends:
+    def grant_tokens(
+        self, msg: messages.SendTokensRequest
+    ) -> messages.SendTokensReply:
         """Grants tokens to an entry VM as coordinator."""
         with self._lock:
             now = self._clock()
-            return messages.Sends(
-                grants=self._quota.ask(now, msg.holder, msg.asks)
+            return messages.SendTokensReply(
+                grants=self._quota.request_tokens(now, msg.holder, msg.requests)
             )
 
-    def hear(self, msg: messages.Sends) -> messages.Pong:
+    def apply_grants(self, msg: messages.SendTokensReply) -> messages.Pong:
         """Applies what the coordinator announced to all VMs."""
         with self._lock:
-            self._tokens.granted(self._clock(), msg.grants)
+            self._tokens.apply_grants(self._clock(), msg.grants)
         return messages.Pong()
 
-    def _request_tokens(self, requests: dict[str, messages.SendAsk]) -> None:
-        msg = messages.AskSends(holder=self._entry_vm, asks=requests)
-        reply = self._coordinators.ask(HOME, msg, (messages.Sends,), ANSWER_S)
+    def _request_tokens(
+        self, requests: dict[str, messages.ServerSendRequest]
+    ) -> None:
+        msg = messages.SendTokensRequest(
+            holder=self._entry_vm, requests=requests
+        )
+        reply = self._coordinators.request(
+            COORDINATOR_SUBJECT,
+            msg,
+            (messages.SendTokensReply,),
+            REPLY_TIMEOUT_S,
+        )
         with self._lock:
             now = self._clock()
             if reply is not None:
-                self._tokens.granted(now, reply.grants)
+                self._tokens.apply_grants(now, reply.grants)
                 return
-            self._tokens.alone(now, len(self._addresses()) + 1)
+            self._tokens.grant_local_share(now, len(self._addresses()) + 1)
--- a/packages/daemon/foxtaildaled/plans.py
+++ b/packages/daemon/foxtaildaled/service_plans.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from foxtaildale import balance
 from foxtaildale import fleet
 from foxtaildale import forwarding
 from foxtaildale import messages
-from foxtaildale import placing
+from foxtaildale import placement_plan
 from foxtaildale import routes
+from foxtaildale import stage_balance
 
 # In seconds: inventories of a service are taken as long as placements were
 # requested within `_REQUESTED_S`. `_INVENTORY_S` is the minimum interval
@@ -34,7 +34,7 @@
 _INVENTORY_SAMPLE = 16
 
 
-class Known(Protocol):
+class StateView(Protocol):
     """The part of the router state that the plans need."""
 
     fleet: fleet.Fleet
@@ -45,7 +45,7 @@
         """Returns the peer addresses of the other entry VMs."""
 
 
-class Plans:
+class ServicePlans:
     """The plans by service; the current time is passed as an argument."""
 
     __slots__ = (
@@ -55,13 +55,13 @@
         '_requested_at',
         '_sample_start',
         '_state',
-        'on_unsurveyed',
+        'on_inventory_needed',
     )
 
-    def __init__(self, state: Known, peer_address: str) -> None:
+    def __init__(self, state: StateView, peer_address: str) -> None:
         self._state = state
         self._peer_address = peer_address
-        self._plans: dict[str, placing.Plan] = {}
+        self._plans: dict[str, placement_plan.Plan] = {}
         # By service: when placements were last requested from this VM, and
         # when the last inventory of all entry VMs was complete.
         self._requested_at: dict[str, float] = {}
@@ -69,25 +69,27 @@
         # Index at which the next sample of VMs starts.
         self._sample_start = 0
         # Called when an inventory is needed immediately.
-        self.on_unsurveyed: Callable[[], None] = lambda: None
+        self.on_inventory_needed: Callable[[], None] = lambda: None
 
-    def ask(self, msg: messages.AskPlace, now: float) -> messages.Any:
+    def request_placement(
+        self, msg: messages.PlacementRequest, now: float
+    ) -> messages.Message:
         """Handles a placement request as the coordinator of a service."""
         if self._state.matcher is None:
-            return messages.Fail(code='not-ready')
+            return messages.ErrorReply(code='not-ready')
         name = msg.service
         service = self._state.matcher.table.service(name)
-        plan = self._plans.setdefault(name, placing.Plan())
+        plan = self._plans.setdefault(name, placement_plan.Plan())
         self._requested_at[name] = now
         engines = self._engines(name, now)
         if not self._has_inventory(name, now):
             # The request is queued without engines, so that it loses no time:
             # its placement is granted as soon as the inventory is complete.
-            self.on_unsurveyed()
+            self.on_inventory_needed()
             engines = _no_engines
-        return plan.ask(now, msg, service, engines)
+        return plan.request_placement(now, msg, service, engines)
 
-    def surveys_due(self, now: float) -> list[str]:
+    def due_inventories(self, now: float) -> list[str]:
         """Returns the services whose inventory is due."""
         return [
             service
@@ -96,7 +98,7 @@
             and now - self._inventory_at.get(service, -math.inf) >= _INVENTORY_S
         ]
 
-    def survey_peers(self, service: str, now: float) -> list[str]:
+    def inventory_peers(self, service: str, now: float) -> list[str]:
         """Returns the addresses of the VMs to ask for their placements.
 
         These are all VMs if there is no recent inventory; otherwise the VMs
@@ -119,8 +121,11 @@
         holders.discard(self._peer_address)
         return sorted({*holders, *others})
 
-    def surveyed(
-        self, service: str, reports: Iterable[messages.KeepPlaces], now: float
+    def apply_inventory(
+        self,
+        service: str,
+        reports: Iterable[messages.PlacementRenewal],
+        now: float,
     ) -> bool:
         """Applies the placements that entry VMs report.
 
@@ -129,7 +134,7 @@
         """
         first = not self._has_inventory(service, now)
         for report in reports:
-            self.keep(report, now)
+            self.renew(report, now)
         self._inventory_at[service] = now
         return first
 
@@ -141,7 +146,7 @@
 
     def stage_changes(
         self, now: float
-    ) -> dict[str, tuple[balance.Change, ...]]:
+    ) -> dict[str, tuple[stage_balance.Change, ...]]:
         """Returns the stage changes that are wanted, by service."""
         if self._state.matcher is None:
             return {}
@@ -153,31 +158,34 @@
             for name, plan in self._plans.items()
         }
 
-    def stage_ordered(self, service: str, server: str, now: float) -> None:
+    def record_order(self, service: str, server: str, now: float) -> None:
         """Records that an engine was ordered to change its stage."""
-        self._plans[service].balance.ordered(now, server)
+        self._plans[service].balance.record_order(now, server)
 
-    def end(self, msg: messages.EndPlace, now: float) -> None:
+    def release(self, msg: messages.PlacementRelease, now: float) -> None:
         """Releases a placement as the coordinator of a service."""
         plan = self._plans.get(msg.service)
         if plan is not None:
-            plan.end(now, msg)
+            plan.release(now, msg)
 
-    def failed(self, msg: messages.ServerFailed, now: float) -> None:
+    def record_failure(
+        self, msg: messages.ServerFailureReport, now: float
+    ) -> None:
         """Records a report of a failed server as the coordinator."""
-        plan = self._plans.setdefault(msg.service, placing.Plan())
-        plan.failed(now, msg)
+        plan = self._plans.setdefault(msg.service, placement_plan.Plan())
+        plan.record_failure(now, msg)
 
-    def keep(self, msg: messages.KeepPlaces, now: float) -> None:
+    def renew(self, msg: messages.PlacementRenewal, now: float) -> None:
         """Applies the placements that an entry VM reports."""
         # A placement at an earlier incarnation of a worker is lost.
         placements = tuple(
             placement
             for placement in msg.places
-            if placement.born >= self._state.fleet.born(placement.worker)
+            if placement.started_at
+            >= self._state.fleet.started_at(placement.decode_worker)
         )
-        plan = self._plans.setdefault(msg.service, placing.Plan())
-        plan.keep(now, msgspec.structs.replace(msg, places=placements))
+        plan = self._plans.setdefault(msg.service, placement_plan.Plan())
+        plan.renew(now, msgspec.structs.replace(msg, places=placements))
 
     def planned_services(self) -> tuple[str, ...]:
         """Returns the services whose engines are planned by a coordinator."""
@@ -186,14 +194,17 @@
         services = self._state.matcher.table.services
         return tuple(item.name for item in services if item.kv_tokens)
 
-    def planned(self) -> dict[str, dict[str, object]]:
+    def summary(self) -> dict[str, dict[str, object]]:
         """Returns a summary of the plans for operators."""
         return {
-            name: {'waiting': plan.waiting(), 'planned': plan.planned()}
+            name: {
+                'waiting': plan.waiting_count(),
+                'planned': plan.planned_counts(),
+            }
             for name, plan in self._plans.items()
         }
 
-    def _engines(self, service: str, now: float) -> placing.Engines:
+    def _engines(self, service: str, now: float) -> placement_plan.Engines:
         return lambda: (
             # Engines in backoff for this entry VM may accept requests of other
             # VMs.
@@ -205,11 +216,13 @@
             ),
         )
 
-    def restarted(self, server: str) -> None:
+    def record_restart(self, server: str) -> None:
         """Removes what was recorded about a server that restarted."""
         for plan in self._plans.values():
-            plan.restarted(server)
+            plan.forget(server)
 
 
-def _no_engines() -> tuple[Sequence[fleet.Tally], Sequence[fleet.Tally]]:
+def _no_engines() -> tuple[
+    Sequence[fleet.ServerState], Sequence[fleet.ServerState]
+]:
     return (), ()
--- a/packages/daemon/foxtaildaled/sinks.py
+++ b/packages/daemon/foxtaildaled/sinks.py
@@ -31,16 +31,16 @@
     def started(self) -> bool:
         """Whether a part of the response may have been sent to the caller."""
 
-    def begin(self, worker: str, stream: str) -> None:
+    def begin_attempt(self, worker: str, stream: str) -> None:
         """Starts the response of a decode worker; may be called again."""
 
-    def piece(self, chunk: backends.Piece) -> None:
+    def write_chunk(self, chunk: backends.Chunk) -> None:
         """Handles the next chunk."""
 
-    def last(self, last: backends.Last) -> None:
+    def write_end(self, last: backends.StreamEnd) -> None:
         """Handles the end of a complete response."""
 
-    def end(self, outcome: values.Outcome, earlier: bytes = b'') -> None:
+    def finish(self, outcome: values.Outcome, earlier: bytes = b'') -> None:
         """Ends the exchange with the outcome.
 
         Args:
@@ -49,7 +49,7 @@
                 is stored.
         """
 
-    def whole(self) -> bytes:
+    def complete_response(self) -> bytes:
         """Returns the response as a document; empty if it is incomplete."""
 
 
@@ -68,7 +68,7 @@
     finish_reason: str
 
 
-class Whole(msgspec.Struct, frozen=True):
+class ResponseDigest(msgspec.Struct, frozen=True):
     """Number of chunks and digest of the text of a complete response."""
 
     count: int
@@ -83,7 +83,7 @@
     created: int
     model: str
     choices: tuple[Choice, ...]
-    foxtaildale: Whole
+    foxtaildale: ResponseDigest
 
 
 class EventSink:
@@ -109,27 +109,27 @@
         """Whether a part of the response may have been sent to the caller."""
         return self._ex.started
 
-    def begin(self, worker: str, stream: str) -> None:
+    def begin_attempt(self, worker: str, stream: str) -> None:
         """Starts the response of a decode worker."""
         self.framer = streams.Framer(
             self._request, worker, stream, self._model, self._created
         )
 
-    def piece(self, chunk: backends.Piece) -> None:
+    def write_chunk(self, chunk: backends.Chunk) -> None:
         """Sends the next chunk."""
         self._start()
-        self._ex.send(self.framer.piece(chunk.position, chunk.text))
+        self._ex.send(self.framer.frame_chunk(chunk.position, chunk.text))
 
-    def last(self, last: backends.Last) -> None:
+    def write_end(self, last: backends.StreamEnd) -> None:
         """Sends the end of a complete response."""
         self._start()
-        self._ex.send(self.framer.last(last))
+        self._ex.send(self.framer.frame_end(last))
 
-    def whole(self) -> bytes:
+    def complete_response(self) -> bytes:
         """Returns nothing, since this sink does not store the chunks."""
         return b''
 
-    def end(self, outcome: values.Outcome, earlier: bytes = b'') -> None:
+    def finish(self, outcome: values.Outcome, earlier: bytes = b'') -> None:
         """Ends the exchange with the outcome."""
         if not self._ex.started:
             _respond_outcome(self._ex, outcome, earlier)
@@ -138,7 +138,7 @@
             self._ex.send(b'data: %b\n\n' % outcomes.body(outcome))
         self._ex.finish()
 
-    def open(self) -> incoming.Exchange:
+    def ensure_started(self) -> incoming.Exchange:
         """Starts the response if necessary, and returns its exchange."""
         self._start()
         return self._ex
@@ -149,48 +149,48 @@
             self._ex.start(200, headers)
 
 
-class KeptSink:
+class RecordingEventSink:
     """Sends each chunk as an event, and stores the response for retries."""
 
     __slots__ = ('_document', '_events')
 
     _events: EventSink
-    _document: 'WholeSink'
+    _document: 'DocumentSink'
 
     def __init__(self, ex: incoming.Exchange, request: str, model: str) -> None:
         self._events = EventSink(ex, request, model)
-        self._document = WholeSink(ex, request, model)
+        self._document = DocumentSink(ex, request, model)
 
     @property
     def started(self) -> bool:
         """Whether a part of the response may have been sent to the caller."""
         return self._events.started
 
-    def begin(self, worker: str, stream: str) -> None:
+    def begin_attempt(self, worker: str, stream: str) -> None:
         """Starts the response of a decode worker."""
-        self._events.begin(worker, stream)
-        self._document.begin(worker, stream)
+        self._events.begin_attempt(worker, stream)
+        self._document.begin_attempt(worker, stream)
 
-    def piece(self, chunk: backends.Piece) -> None:
+    def write_chunk(self, chunk: backends.Chunk) -> None:
         """Sends and stores the next chunk."""
-        self._events.piece(chunk)
-        self._document.piece(chunk)
+        self._events.write_chunk(chunk)
+        self._document.write_chunk(chunk)
 
-    def last(self, last: backends.Last) -> None:
+    def write_end(self, last: backends.StreamEnd) -> None:
         """Sends and stores the end of a complete response."""
-        self._events.last(last)
-        self._document.last(last)
+        self._events.write_end(last)
+        self._document.write_end(last)
 
-    def end(self, outcome: values.Outcome, earlier: bytes = b'') -> None:
+    def finish(self, outcome: values.Outcome, earlier: bytes = b'') -> None:
         """Ends the exchange with the outcome."""
-        self._events.end(outcome, earlier)
+        self._events.finish(outcome, earlier)
 
-    def whole(self) -> bytes:
+    def complete_response(self) -> bytes:
         """Returns the response as a document; empty if it is incomplete."""
-        return self._document.whole()
+        return self._document.complete_response()
 
 
-class WholeSink:
+class DocumentSink:
     """Collects the chunks and responds with one document."""
 
     __slots__ = ('_ex', '_last', '_model', '_request', '_texts')
@@ -199,7 +199,7 @@
     _request: str
     _model: str
     _texts: list[str]
-    _last: backends.Last | None
+    _last: backends.StreamEnd | None
 
     def __init__(self, ex: incoming.Exchange, request: str, model: str) -> None:
         self._ex = ex
@@ -213,28 +213,28 @@
         """False, since nothing is sent before the response is complete."""
         return False
 
-    def begin(self, worker: str, stream: str) -> None:
+    def begin_attempt(self, worker: str, stream: str) -> None:
         """Starts a response; discards the chunks of earlier workers."""
         del worker, stream
         self._texts.clear()
 
-    def piece(self, chunk: backends.Piece) -> None:
+    def write_chunk(self, chunk: backends.Chunk) -> None:
         """Stores the next chunk."""
         self._texts.append(chunk.text)
 
-    def last(self, last: backends.Last) -> None:
+    def write_end(self, last: backends.StreamEnd) -> None:
         """Stores the end of a complete response."""
         self._last = last
 
-    def end(self, outcome: values.Outcome, earlier: bytes = b'') -> None:
+    def finish(self, outcome: values.Outcome, earlier: bytes = b'') -> None:
         """Responds with the document or with the error."""
-        document = self.whole()
+        document = self.complete_response()
         if outcome.code != codes.OK.name or not document:
             _respond_outcome(self._ex, outcome, earlier)
             return
         self._ex.respond(200, outcomes.headers(outcome), document)
 
-    def whole(self) -> bytes:
+    def complete_response(self) -> bytes:
         """Returns the response as a document; empty if it is incomplete."""
         if self._last is None:
             return b''
@@ -245,13 +245,18 @@
             choices=(
                 Choice(0, Message('assistant', ''.join(self._texts)), 'stop'),
             ),
-            foxtaildale=Whole(self._last.count, self._last.digest),
+            foxtaildale=ResponseDigest(self._last.count, self._last.digest),
         )
         return msgspec.json.encode(document)
 
 
-def make(
-    ex: incoming.Exchange, request: str, model: str, *, stream: bool, keep: bool
+def make_sink(
+    ex: incoming.Exchange,
+    request: str,
+    model: str,
+    *,
+    stream: bool,
+    keep_response: bool,
 ) -> Sink:
     """Returns the sink for the form of response that a caller requested.
 
@@ -260,12 +265,12 @@
         request: Identity of the request.
         model: Model that the caller requested.
         stream: Whether the caller requested a stream.
-        keep: Whether the complete response is needed after it was sent.
+        keep_response: Whether the complete response is needed after it was sent.
     """
     if not stream:
-        return WholeSink(ex, request, model)
-    if keep:
-        return KeptSink(ex, request, model)
+        return DocumentSink(ex, request, model)
+    if keep_response:
+        return RecordingEventSink(ex, request, model)
     return EventSink(ex, request, model)
 
 
--- a/packages/daemon/foxtaildaled/slots.py
+++ b/packages/daemon/foxtaildaled/slot_acquisition.py
@@ -14,10 +14,10 @@
 
 from foxtaildale import codes
 from foxtaildale import errors
+from foxtaildale import fallback_share
 from foxtaildale import ledger
 from foxtaildale import messages
 from foxtaildale import ports
-from foxtaildale import share
 from foxtaildale import values
 from foxtaildaled import job as jobs
 from foxtaildaled import view
@@ -26,7 +26,7 @@
 _REPLY_TIMEOUT_S: Final = 1.0
 
 
-class Refusal(msgspec.Struct, frozen=True):
+class FinalResult(msgspec.Struct, frozen=True):
     """The final result of a request, with its code and figures.
 
     Without a slot it is a refusal: nothing was sent to a backend server.
@@ -39,7 +39,7 @@
     answer: bytes = b''
 
 
-class Slots:
+class SlotClient:
     """Acquires, renews and releases slots."""
 
     __slots__ = (
@@ -63,7 +63,7 @@
     # Service and decode worker of each grant in use, by name of the grant.
     _grants: dict[str, tuple[str, str]]
     # Share of the workers for an unreachable coordinator, by service.
-    _fallbacks: dict[str, share.Share]
+    _fallbacks: dict[str, fallback_share.FallbackShare]
     # The listing that each share applied last, by service.
     _applied_listings: dict[str, values.Listing]
     _lock: threading.Lock
@@ -71,13 +71,13 @@
     def __init__(
         self,
         peers: ports.Peers,
-        seen: view.View,
+        current_view: view.View,
         entry_vm: str,
         holder: str,
         clock: ports.Clock,
     ) -> None:
         self._peers = peers
-        self._view = seen
+        self._view = current_view
         self._holder = holder
         self._grants = {}
         self._entry_vm = entry_vm
@@ -86,9 +86,9 @@
         self._applied_listings = {}
         self._lock = threading.Lock()
 
-    def get(
+    def acquire(
         self, job: jobs.Job, ready_at: str, avoid: str
-    ) -> messages.Granted | Refusal:
+    ) -> messages.SlotGrant | FinalResult:
         """Waits for a slot or a refusal, or until the caller disconnects.
 
         Args:
@@ -96,25 +96,28 @@
             ready_at: Prefill worker that holds a finished prefill; or ''.
             avoid: Decode worker at which an earlier attempt failed; or ''.
         """
-        while not job.gone.is_set():
+        while not job.caller_disconnected.is_set():
             reply = self._request_slot(job, ready_at, avoid)
-            if isinstance(reply, messages.Granted):
+            if isinstance(reply, messages.SlotGrant):
                 with self._lock:
-                    self._grants[reply.grant] = (job.name, reply.decode)
-            if isinstance(reply, messages.Granted | Refusal):
+                    self._grants[reply.grant] = (
+                        job.service_name,
+                        reply.decode_worker,
+                    )
+            if isinstance(reply, messages.SlotGrant | FinalResult):
                 return reply
-            job.gone.wait(reply.again_in_ms / 1000)
+            job.caller_disconnected.wait(reply.retry_in_ms / 1000)
         self._leave_queue(job)
-        return Refusal(codes.GONE)
+        return FinalResult(codes.GONE)
 
-    def end(self, job: jobs.Job, msg: messages.EndSlot) -> None:
+    def release(self, job: jobs.Job, msg: messages.SlotRelease) -> None:
         """Releases a slot and reports the measurements of the attempt."""
         with self._lock:
             self._grants.pop(msg.grant, None)
-            self._fallback(job).end(self._clock(), msg)
-        self._notify_coordinator(job.name, msg)
+            self._fallback(job).release(self._clock(), msg)
+        self._notify_coordinator(job.service_name, msg)
 
-    def step(self) -> None:
+    def renew_grants(self) -> None:
         """Reports the grants in use to each coordinator; runs periodically.
 
         A coordinator that replaces a lost one has no record of earlier grants
@@ -129,57 +132,57 @@
         for grant, (service, decode) in in_use:
             services.setdefault(service, []).append((grant, decode))
         for service, grants in services.items():
-            msg = messages.KeepSlots(
+            msg = messages.SlotRenewal(
                 service=service, holder=self._holder, grants=tuple(grants)
             )
             self._notify_coordinator(service, msg)
 
     def _leave_queue(self, job: jobs.Job) -> None:
         """Removes the request of a disconnected caller from the queue."""
-        msg = messages.EndSlot(
-            service=job.name,
-            grant=ledger.name(job.request, job.attempt),
+        msg = messages.SlotRelease(
+            service=job.service_name,
+            grant=ledger.grant_name(job.request, job.attempt),
             result='cancelled',
         )
-        self._notify_coordinator(job.name, msg)
+        self._notify_coordinator(job.service_name, msg)
 
     def _notify_coordinator(
-        self, service: str, msg: messages.EndSlot | messages.KeepSlots
+        self, service: str, msg: messages.SlotRelease | messages.SlotRenewal
     ) -> None:
-        address = self._view.now.home(service)
+        address = self._view.snapshot.coordinator_address(service)
         if address is None:
             return
         try:
-            self._peers.ask(address, msg, _REPLY_TIMEOUT_S)
+            self._peers.request(address, msg, _REPLY_TIMEOUT_S)
         except errors.PortError:
             # The grant expires at the coordinator.
             return
 
     def _request_slot(
         self, job: jobs.Job, ready_at: str, avoid: str
-    ) -> messages.Granted | messages.Queued | Refusal:
+    ) -> messages.SlotGrant | messages.Queued | FinalResult:
         now = self._clock()
-        msg = messages.AskSlot(
-            service=job.name,
+        msg = messages.SlotRequest(
+            service=job.service_name,
             request=job.request,
             attempt=job.attempt,
             holder=job.holder,
             prompt_tokens=job.prompt_tokens,
-            output_tokens=job.max_tokens,
-            prefixes=job.prefixes,
+            output_tokens=job.max_output_tokens,
+            prefix_digests=job.prefixes,
             waited_ms=round((now - job.arrived_at) * 1000),
-            ready_at=ready_at,
-            avoid=avoid,
+            prefilled_at=ready_at,
+            excluded_worker=avoid,
         )
         reply = self._request_from_coordinator(job.snapshot, msg)
         with self._lock:
             fallback = self._fallback(job)
             if reply is None:
-                reply = fallback.ask(now, msg)
-            elif isinstance(reply, messages.Granted):
-                fallback.granted(now, msg, reply)
+                reply = fallback.request_slot(now, msg)
+            elif isinstance(reply, messages.SlotGrant):
+                fallback.count_grant(now, msg, reply)
         if isinstance(reply, messages.Refused):
-            return Refusal(
+            return FinalResult(
                 codes.ALL.get(reply.code, codes.NO_CAPACITY),
                 reply.figures,
                 reply.retry_after_ms / 1000,
@@ -187,31 +190,34 @@
         return reply
 
     def _request_from_coordinator(
-        self, snapshot: view.Snapshot, msg: messages.AskSlot
-    ) -> messages.Granted | messages.Queued | messages.Refused | None:
-        address = snapshot.home(msg.service)
+        self, snapshot: view.Snapshot, msg: messages.SlotRequest
+    ) -> messages.SlotGrant | messages.Queued | messages.Refused | None:
+        address = snapshot.coordinator_address(msg.service)
         if address is None:
             return None
         try:
-            reply = self._peers.ask(address, msg, _REPLY_TIMEOUT_S)
+            reply = self._peers.request(address, msg, _REPLY_TIMEOUT_S)
         except errors.PortError:
             return None
         if isinstance(
-            reply, messages.Granted | messages.Queued | messages.Refused
+            reply, messages.SlotGrant | messages.Queued | messages.Refused
         ):
             return reply
         return None
 
-    def _fallback(self, job: jobs.Job) -> share.Share:
-        fallback = self._fallbacks.get(job.name)
+    def _fallback(self, job: jobs.Job) -> fallback_share.FallbackShare:
+        fallback = self._fallbacks.get(job.service_name)
         if fallback is None:
-            fallback = self._fallbacks[job.name] = share.Share(
-                job.name, self._entry_vm
+            fallback = self._fallbacks[job.service_name] = (
+                fallback_share.FallbackShare(job.service_name, self._entry_vm)
             )
         fallback.on_service(job.service)
         # A share recomputes its servers from each listing. This is skipped when
         # the listing has not changed since the last request or release.
-        if self._applied_listings.get(job.name) is not job.snapshot.listing:
+        if (
+            self._applied_listings.get(job.service_name)
+            is not job.snapshot.listing
+        ):
             fallback.on_listing(job.snapshot.listing)
-            self._applied_listings[job.name] = job.snapshot.listing
+            self._applied_listings[job.service_name] = job.snapshot.listing
         return fallback
--- a/packages/daemon/foxtaildaled/balancing.py
+++ b/packages/daemon/foxtaildaled/stage_orders.py
@@ -9,24 +9,24 @@
 import logging
 from typing import Final
 
-from foxtaildale import balance
 from foxtaildale import errors
 from foxtaildale import lease
 from foxtaildale import ports
 from foxtaildale import positions
+from foxtaildale import stage_balance
 from foxtaildale_adapters import logs
 from foxtaildaled import actors
-from foxtaildaled import beliefs
-from foxtaildaled import places
+from foxtaildaled import placement_client
+from foxtaildaled import router_state
 
 # Polling interval, seconds. A surplus must have lasted for one interval.
-LOOK_S: Final = 0.5
+POLL_S: Final = 0.5
 # Minimum interval between two claims for one service, seconds. The effect of an
 # order is in the list of servers one heartbeat of 1.2 s later.
-PAUSE_S: Final = 2.0
+MIN_CLAIM_INTERVAL_S: Final = 2.0
 
 
-class Balancing:
+class StageOrders:
     """Orders stage changes; `step` is called by a loop."""
 
     __slots__ = (
@@ -49,11 +49,11 @@
         entry_vm: str,
         holder: str,
         lease_s: float,
-        owner: actors.Owner[beliefs.Beliefs],
-        plan: places.Places,
+        owner: actors.StateOwner[router_state.RouterState],
+        client: placement_client.PlacementClient,
         codec: ports.RecordCodec,
-        store: ports.Topics,
-        workers: ports.Workers,
+        store: ports.KeyedTopics,
+        workers: ports.ServerClient,
         clock: ports.Clock,
     ) -> None:
         self._entry_vm = entry_vm
@@ -61,7 +61,7 @@
         self._holder = holder
         self._lease_s = lease_s
         self._owner = owner
-        self._client = plan
+        self._client = client
         self._codec = codec
         self._store = store
         self._workers = workers
@@ -70,7 +70,7 @@
         # Earliest time of the next claim by service, seconds.
         self._next_claim_at: dict[str, float] = {}
 
-    def step(self) -> None:
+    def order_due_changes(self) -> None:
         """Orders the due stage changes of each service that is planned here."""
         wanted = self._owner.run(
             lambda state, now: state.plans.stage_changes(now)
@@ -78,11 +78,11 @@
         for service, changes in wanted.items():
             if self._clock() < self._next_claim_at.get(service, 0.0):
                 continue
-            if changes and self._client.is_home(service):
+            if changes and self._client.is_coordinator(service):
                 self._order_changes(service, changes)
 
     def _order_changes(
-        self, service: str, changes: tuple[balance.Change, ...]
+        self, service: str, changes: tuple[stage_balance.Change, ...]
     ) -> None:
         service_lease = self._leases.setdefault(
             service, lease.Lease(self._holder, self._lease_s)
@@ -93,11 +93,11 @@
             logs.event(
                 logging.INFO, 'claim failed', service=service, error=str(exc)
             )
-            self._next_claim_at[service] = self._clock() + PAUSE_S
+            self._next_claim_at[service] = self._clock() + MIN_CLAIM_INTERVAL_S
             return
         if fence is None:
             return
-        self._next_claim_at[service] = self._clock() + PAUSE_S
+        self._next_claim_at[service] = self._clock() + MIN_CLAIM_INTERVAL_S
         for change in changes:
             if service_lease.may_order(self._clock()):
                 self._order(service, change, fence)
@@ -110,7 +110,7 @@
                 not known.
         """
         topic = self._codec.holders_topic
-        holders = self._store.newest(topic)
+        holders = self._store.read_newest(topic)
         offset, holder = None, ''
         for entry in holders.entries:
             if entry.key == service:
@@ -118,18 +118,20 @@
         epoch = positions.epoch(holders.end)
         if not service_lease.may_claim(self._clock(), epoch, offset, holder):
             return None
-        service_lease.claiming(self._clock())
+        service_lease.start_claim(self._clock())
         value = self._holder.encode()
-        return self._store.claim(topic, service, value, holders.end) + 1
+        return (
+            self._store.put_if_unchanged(topic, service, value, holders.end) + 1
+        )
 
-    def _order(self, service: str, change: balance.Change, fence: int) -> None:
+    def _order(
+        self, service: str, change: stage_balance.Change, fence: int
+    ) -> None:
         server = change.backend
         # The order is recorded before it is sent, since it may be executed
         # whatever the reply is.
         self._owner.run(
-            lambda state, now: state.plans.stage_ordered(
-                service, server.id, now
-            )
+            lambda state, now: state.plans.record_order(service, server.id, now)
         )
         try:
             reply = self._workers.order_stage(
--- a/packages/daemon/foxtaildaled/start.py
+++ b/packages/daemon/foxtaildaled/start.py
@@ -19,7 +19,7 @@
 from foxtaildale_platform import store
 from foxtaildale_platform import workers
 from foxtaildaled import process
-from foxtaildaled import routing
+from foxtaildaled import router_daemon
 
 # Default port on which a router serves metrics, state and liveness.
 METRICS_PORT = 9100
@@ -46,20 +46,20 @@
         return 0
     process.stop_on_broken_invariants()
     logs.setup_bounded('router', cfg.entry_vm, 'info')
-    adapters = routing.Adapters(
+    adapters = router_daemon.Adapters(
         codec=records.Codec(),
-        store=store.Store,
+        make_store=store.Store,
         decode=calls.decode,
         workers=workers.Workers(),
     )
-    daemon = routing.RouterDaemon(cfg, adapters, metrics_port)
+    daemon = router_daemon.RouterDaemon(cfg, adapters, metrics_port)
     daemon.start()
     process.wait_for_stop(lambda: _reload(daemon))
     daemon.stop()
     return 0
 
 
-def _reload(daemon: routing.RouterDaemon) -> None:
+def _reload(daemon: router_daemon.RouterDaemon) -> None:
     """Reads the platform's settings again; invalid ones are not applied."""
     try:
         daemon.reload(_read_settings())
--- a/packages/daemon/foxtaildaled/syncing.py
+++ b/packages/daemon/foxtaildaled/store_sync.py
@@ -21,8 +21,8 @@
 from foxtaildale_adapters import logs
 from foxtaildale_adapters import metrics
 from foxtaildaled import actors
-from foxtaildaled import beliefs
-from foxtaildaled import storereaders
+from foxtaildaled import reader_choice
+from foxtaildaled import router_state
 
 # How long one read of the configuration waits for a change, seconds. A
 # connection that went silent is detected after this time plus the time limit of
@@ -30,35 +30,35 @@
 CONFIG_WAIT_S: Final = 1.5
 # Reads of the servers within the time after which a leaving server must get no
 # more requests. With four, one read may fail and the next is still in time.
-READS_PER_BOUND: Final = 4.0
+READS_PER_LEAVING_BOUND: Final = 4.0
 # Wait after a failed call to the store, seconds. It is short compared with the
 # two seconds within which a change must be in force, and long compared with the
 # cost of a call. It doubles with each consecutive failure.
-RETRY_S: Final = 0.3
+MIN_RETRY_S: Final = 0.3
 # Longest wait between attempts, seconds: of a reader and of a VM without a
 # configuration, and of all other VMs, which learn from the reader that the
 # store has recovered. Each call to a store that is down adds to its backlog.
-RETRY_READER_S: Final = 0.6
-RETRY_MOST_S: Final = 2.4
+READER_MAX_RETRY_S: Final = 0.6
+MAX_RETRY_S: Final = 2.4
 # Interval between the reader's reads of the list of entry VMs, seconds. The
 # other VMs get the list from the reader.
-MEMBERS_S: Final = 3.0
+MEMBERS_INTERVAL_S: Final = 3.0
 # Time after which an entry that was written but not seen is written again,
 # seconds: two intervals of the reads, and two more in case the reader fails.
-LISTED_S: Final = 12.0
+RELIST_INTERVAL_S: Final = 12.0
 # Part of the time bound for leaving servers after which the known state is too
 # old and the store is read. A reader gets a request every 0.4 s and reads every
 # 0.5 s, so its data is at most 0.9 s old; the bound is two seconds or more.
-STALE_PART: Final = 0.55
+MAX_AGE_FRACTION: Final = 0.55
 # Interval between requests to a peer, and longest wait for its reply, seconds.
-PEER_S: Final = 0.4
-PEER_ANSWER_S: Final = 0.3
+PEER_INTERVAL_S: Final = 0.4
+PEER_TIMEOUT_S: Final = 0.3
 # Shortest pause of a loop that has nothing to read, seconds. It checks again
 # when the known state may be too old.
-LAZY_S: Final = 0.1
+MIN_PAUSE_S: Final = 0.1
 
 
-class Topic:
+class TopicReader:
     """Reads the changes of one keyed topic; a loop calls `step`."""
 
     __slots__ = (
@@ -73,8 +73,8 @@
     def __init__(
         self,
         topic: str,
-        owner: actors.Owner[beliefs.Beliefs],
-        store: ports.Topics,
+        owner: actors.StateOwner[router_state.RouterState],
+        store: ports.KeyedTopics,
         counts: metrics.Metrics,
         wait_s: float,
     ) -> None:
@@ -86,33 +86,37 @@
         # Whether the last read succeeded; None before the first.
         self._is_up: bool | None = None
 
-    def step(self) -> bool:
+    def read_once(self) -> bool:
         """Reads once; returns whether the store responded."""
         try:
-            offset = self._owner.run(lambda state, _: state.end(self._topic))
+            offset = self._owner.run(
+                lambda state, _: state.applied_offset(self._topic)
+            )
             keyed, is_snapshot = self._read(offset)
         except (errors.PortError, errors.DecodeError) as exc:
-            self._owner.run(lambda state, now: state.failed(now))
+            self._owner.run(lambda state, now: state.record_store_failure(now))
             self._counts.store_calls.add(1, self._topic, 'failed')
             self._log_change(False, error=str(exc))
             return False
         self._owner.run(
-            lambda state, now: state.take(
-                self._topic, keyed, now, whole=is_snapshot
+            lambda state, now: state.apply_store_reply(
+                self._topic, keyed, now, is_snapshot=is_snapshot
             )
         )
         self._counts.store_calls.add(1, self._topic, 'answered')
         self._log_change(True, offset=keyed.end)
         return True
 
-    def _read(self, offset: int) -> tuple[ports.Keyed, bool]:
+    def _read(self, offset: int) -> tuple[ports.KeyedRecords, bool]:
         if not offset:
-            return self._store.newest(self._topic), True
+            return self._store.read_newest(self._topic), True
         try:
             wait_s = self._wait_s
-            return self._store.follow(self._topic, offset, wait_s), False
-        except errors.LapsedError:
-            return self._store.newest(self._topic), True
+            return self._store.wait_for_records(
+                self._topic, offset, wait_s
+            ), False
+        except errors.RecordsExpiredError:
+            return self._store.read_newest(self._topic), True
 
     def _log_change(self, is_up: bool, **fields: object) -> None:
         if is_up == self._is_up:
@@ -125,7 +129,7 @@
         logs.event(logging.INFO, event, topic=self._topic, **fields)
 
 
-class Members:
+class MemberListing:
     """Lists this entry VM and, as reader, reads the list for the others."""
 
     __slots__ = (
@@ -146,10 +150,10 @@
         name: str,
         member: forwarding.EntryVm,
         codec: ports.RecordCodec,
-        owner: actors.Owner[beliefs.Beliefs],
-        store: ports.Topics,
-        topic: Topic,
-        readers: storereaders.Readers,
+        owner: actors.StateOwner[router_state.RouterState],
+        store: ports.KeyedTopics,
+        topic: TopicReader,
+        readers: reader_choice.ReaderChoice,
         clock: ports.Clock,
     ) -> None:
         self._name = name
@@ -163,15 +167,15 @@
         self._store = store
         self._topic = topic
 
-    def step(self) -> bool:
+    def list_once(self) -> bool:
         """Reads the list if it is the reader, and writes a missing entry.
 
         Returns:
             Whether this entry VM is listed with its current entry.
         """
         vms = self._entry_vms()
-        is_reader = not vms or self._readers.choose(vms) == self._name
-        if is_reader and not self._topic.step():
+        is_reader = not vms or self._readers.choose_reader(vms) == self._name
+        if is_reader and not self._topic.read_once():
             return False
         name, member = self._name, self._member
         if self._owner.run(lambda state, _: state.is_listed(name, member)):
@@ -196,10 +200,10 @@
         except errors.PortError as exc:
             logs.event(logging.WARNING, 'listing failed', error=str(exc))
             return
-        self._next_write_at = self._clock() + LISTED_S
+        self._next_write_at = self._clock() + RELIST_INTERVAL_S
 
 
-class Lazy:
+class FallbackReader:
     """Reads a topic from the store unless the reader's data is fresh."""
 
     __slots__ = (
@@ -215,23 +219,23 @@
     def __init__(
         self,
         *,
-        topic: Topic,
-        owner: actors.Owner[beliefs.Beliefs],
-        readers: storereaders.Readers,
+        topic: TopicReader,
+        owner: actors.StateOwner[router_state.RouterState],
+        readers: reader_choice.ReaderChoice,
         entry_vm: str,
-        limit_s: float,
+        max_age_s: float,
         rng: random.Random,
     ) -> None:
         self._topic = topic
         self._owner = owner
         self._readers = readers
         self._entry_vm = entry_vm
-        self._max_age_s = limit_s
+        self._max_age_s = max_age_s
         self._rng = rng
         # Number of consecutive failed calls.
         self._failures = 0
 
-    def step(self) -> float:
+    def read_if_stale(self) -> float:
         """Reads once if needed.
 
         Returns:
@@ -239,25 +243,25 @@
         """
 
         def read_state(
-            state: beliefs.Beliefs, now: float
+            state: router_state.RouterState, now: float
         ) -> tuple[float, dict[str, forwarding.EntryVm], bool]:
             fresh_s = state.fresh_for(now, self._max_age_s)
             return fresh_s, state.entry_vms, state.matcher is None
 
         fresh_s, vms, is_unconfigured = self._owner.run(read_state)
-        is_reader = self._readers.choose(vms) == self._entry_vm
+        is_reader = self._readers.choose_reader(vms) == self._entry_vm
         if fresh_s > 0 and not is_reader:
-            return max(LAZY_S, fresh_s)
-        if self._topic.step():
+            return max(MIN_PAUSE_S, fresh_s)
+        if self._topic.read_once():
             self._failures = 0
             return 0.0
         self._failures += 1
         return self._retry_s(is_urgent=is_reader or is_unconfigured)
 
     def _retry_s(self, *, is_urgent: bool) -> float:
-        max_wait_s = RETRY_READER_S if is_urgent else RETRY_MOST_S
+        max_wait_s = READER_MAX_RETRY_S if is_urgent else MAX_RETRY_S
         doublings = min(self._failures - 1, 8)
-        wait_s = min(max_wait_s, RETRY_S * float(2**doublings))
+        wait_s = min(max_wait_s, MIN_RETRY_S * float(2**doublings))
         # Random, since all VMs lose the store at the same moment.
         return wait_s * self._rng.uniform(0.75, 1.25)
 
@@ -277,35 +281,37 @@
     def __init__(
         self,
         *,
-        owner: actors.Owner[beliefs.Beliefs],
+        owner: actors.StateOwner[router_state.RouterState],
         peers: ports.Peers,
-        readers: storereaders.Readers,
+        readers: reader_choice.ReaderChoice,
         entry_vm: str,
-        limit_s: float,
+        max_age_s: float,
         rng: random.Random,
     ) -> None:
         self._owner = owner
         self._peers = peers
         self._readers = readers
         self._entry_vm = entry_vm
-        self._max_age_s = limit_s
+        self._max_age_s = max_age_s
         self._rng = rng
 
-    def step(self) -> None:
+    def sync_once(self) -> None:
         """Sends one round of requests, as a loop."""
         vms = self._owner.run(lambda state, _: state.entry_vms)
-        reader = self._readers.choose(vms)
+        reader = self._readers.choose_reader(vms)
         if reader != self._entry_vm:
             reply = self._request_state(vms[reader].peer_address)
-            if reply is None or reply.age_s > self._max_age_s:
-                self._readers.failed(reader)
+            if reply is None or reply.store_age_s > self._max_age_s:
+                self._readers.record_failure(reader)
                 _log_excluded(reader, answered=reply is not None)
-            elif reply.store_lost and self._readers.store_lost(reader):
+            elif reply.store_failed and self._readers.record_store_lost(reader):
                 _log_excluded(reader, answered=True)
         else:
-            self._owner.run(lambda state, now: state.ask_self(now))
-            is_store_lost = self._owner.run(lambda state, _: state.store_lost())
-            if is_store_lost and self._readers.store_lost(reader):
+            self._owner.run(lambda state, now: state.apply_own_failures(now))
+            is_store_lost = self._owner.run(
+                lambda state, _: state.is_store_lost()
+            )
+            if is_store_lost and self._readers.record_store_lost(reader):
                 _log_excluded(reader, answered=True)
         if self._owner.run(
             lambda state, now: state.is_fresh(now, self._max_age_s)
@@ -317,9 +323,9 @@
 
     def _request_state(self, address: str) -> messages.RecordsReply | None:
         """Requests and applies the state of one entry VM; None on failure."""
-        request = self._owner.run(lambda state, now: state.ask(now))
+        request = self._owner.run(lambda state, now: state.build_request(now))
         try:
-            reply = self._peers.ask(address, request, PEER_ANSWER_S)
+            reply = self._peers.request(address, request, PEER_TIMEOUT_S)
         except errors.PortError as exc:
             logs.event(
                 logging.INFO, 'peer lost', address=address, error=str(exc)
@@ -327,7 +333,7 @@
             return None
         if not isinstance(reply, messages.RecordsReply):
             return None
-        self._owner.run(lambda state, now: state.take_reply(reply, now))
+        self._owner.run(lambda state, now: state.apply_peer_reply(reply, now))
         return reply
 
 
--- a/packages/daemon/foxtaildaled/desk.py
+++ b/packages/daemon/foxtaildaled/ticket_handler.py
@@ -19,7 +19,7 @@
 from foxtaildale import tickets
 from foxtaildale import values
 from foxtaildaled import actors
-from foxtaildaled import plain
+from foxtaildaled import plain_services
 from foxtaildaled import view
 
 # Attempts to send a message to the witness. Each attempt opens a new connection
@@ -28,12 +28,12 @@
 # Timeout of one reply of the witness, seconds.
 _WITNESS_TIMEOUT_S: Final = 1.0
 # Maximum number of tickets issued in one request.
-MAX_COUNT: Final = 32
+MAX_TICKETS: Final = 32
 # Delay before a retry that may obtain a definite outcome, seconds.
 _RETRY_AFTER_S: Final = 1.0
 
 
-class Stamp(Protocol):
+class OutcomeFactory(Protocol):
     """A function that makes outcomes that name this entry."""
 
     def __call__(
@@ -49,7 +49,7 @@
         """Returns the outcome."""
 
 
-class Desk:
+class TicketHandler:
     """Issues tickets and runs requests that have one."""
 
     __slots__ = (
@@ -64,38 +64,38 @@
 
     _cfg: options.Options
     _incarnation: str
-    _owner: actors.Owner[tickets.Executor]
+    _owner: actors.StateOwner[tickets.Executor]
     _peers: ports.Peers
-    _plain: plain.Plain
+    _plain: plain_services.PlainServices
     _view: view.View
-    _make_outcome: Stamp
+    _make_outcome: OutcomeFactory
 
     def __init__(
         self,
         *,
         cfg: options.Options,
         incarnation: str,
-        owner: actors.Owner[tickets.Executor],
+        owner: actors.StateOwner[tickets.Executor],
         peers: ports.Peers,
-        calls: plain.Plain,
-        seen: view.View,
-        stamp: Stamp,
+        service_client: plain_services.PlainServices,
+        current_view: view.View,
+        make_outcome: OutcomeFactory,
     ) -> None:
         self._cfg = cfg
         self._incarnation = incarnation
         self._owner = owner
         self._peers = peers
-        self._plain = calls
-        self._view = seen
-        self._make_outcome = stamp
+        self._plain = service_client
+        self._view = current_view
+        self._make_outcome = make_outcome
 
-    def mint(self, service: str, count: int) -> tuple[str, ...]:
+    def issue_tickets(self, service: str, count: int) -> tuple[str, ...]:
         """Returns new tickets; fewer or none while no witness is available."""
-        witness = self._view.now.witness(self._cfg)
+        witness = self._view.snapshot.choose_witness(self._cfg)
         if witness is None:
             return ()
         issued = []
-        for _ in range(min(count, MAX_COUNT)):
+        for _ in range(min(count, MAX_TICKETS)):
             ticket = self._issue_ticket(service, witness)
             if ticket is None:
                 break
@@ -108,36 +108,38 @@
         """Runs a valid ticket here, or at the incarnation that it names."""
         if ticket.executor == self._incarnation:
             return self._execute(ticket, call, body, request)
-        msg = messages.RunTicket(
+        msg = messages.RunRequest(
             ticket=ticket, call=call, body=body, request=request
         )
         timeout_s = self._call_timeout_s(ticket.service)
         try:
-            reply = self._peers.ask(ticket.executor_address, msg, timeout_s)
+            reply = self._peers.request(ticket.executor_address, msg, timeout_s)
         except errors.PortError:
             reply = None
         if isinstance(reply, messages.RunReply):
             return reply
         return self.void(ticket, call, body, request)
 
-    def serve(self, msg: messages.RunTicket) -> messages.Any:
+    def handle_forwarded(self, msg: messages.RunRequest) -> messages.Message:
         """Runs a ticket that another entry forwarded."""
         if self.check(msg.ticket, msg.ticket.service) is not None:
-            return messages.Fail(code='ticket-bad')
+            return messages.ErrorReply(code='ticket-bad')
         if msg.ticket.executor != self._incarnation:
-            return messages.Fail(code='stranger')
+            return messages.ErrorReply(code='stranger')
         return self._execute(msg.ticket, msg.call, msg.body, msg.request)
 
     def check(self, ticket: messages.Ticket, service: str) -> codes.Code | None:
         """Returns the code for an invalid ticket; None if it is valid."""
-        return self._owner.run(lambda state, _now: state.check(ticket, service))
+        return self._owner.run(
+            lambda state, _now: state.verify(ticket, service)
+        )
 
-    def step(self) -> None:
+    def refresh_clock(self) -> None:
         """Updates the witness's clock reading and expires old tickets.
 
         Runs periodically.
         """
-        witness = self._view.now.witness(self._cfg)
+        witness = self._view.snapshot.choose_witness(self._cfg)
         if witness is not None:
             self._read_clock(witness)
         self._owner.run(lambda state, now: state.expire(now))
@@ -151,7 +153,7 @@
     ) -> messages.Ticket | None:
         for _ in range(_WITNESS_ATTEMPTS):
             ticket = self._owner.run(
-                lambda state, now: state.mint(
+                lambda state, now: state.issue(
                     now, service, witness.incarnation, witness.address
                 )
             )
@@ -161,11 +163,11 @@
         return None
 
     def _read_clock(self, witness: values.Keeper) -> None:
-        msg = messages.AskReading(witness=witness.incarnation)
+        msg = messages.ClockRequest(witness=witness.incarnation)
         reply = self._request_witness(witness.address, msg)
         if reply is not None:
             self._owner.run(
-                lambda state, now: state.on_reading(
+                lambda state, now: state.on_witness_clock(
                     now, witness.incarnation, reply
                 )
             )
@@ -176,19 +178,19 @@
         admission = self._owner.run(
             lambda state, now: state.admit(now, ticket, call, body)
         )
-        if isinstance(admission, tickets.Known):
+        if isinstance(admission, tickets.AlreadyFinished):
             return messages.RunReply(
-                outcome=admission.outcome, answer=admission.answer
+                outcome=admission.outcome, response=admission.answer
             )
         if isinstance(admission, tickets.Refuse):
             return self._make_reply(admission.code, ticket, request)
-        if isinstance(admission, tickets.Stranger):
+        if isinstance(admission, tickets.OtherIncarnation):
             return self.void(ticket, call, body, request)
         reply = self._request_witness(admission.address, admission.note)
         decision = self._owner.run(
-            lambda state, now: state.on_witness(now, ticket.identity, reply)
+            lambda state, now: state.on_start_reply(now, ticket.identity, reply)
         )
-        if isinstance(decision, tickets.GiveUp):
+        if isinstance(decision, tickets.Abandon):
             result = self._make_reply(decision.code, ticket, request)
             if decision.code is codes.UNKNOWN:
                 # Another thread may be running the request and will record its
@@ -203,24 +205,26 @@
         self, ticket: messages.Ticket, call: str, body: bytes, request: str
     ) -> messages.RunReply:
         result = self._plain.call(
-            self._view.now, ticket.service, call, body, request
+            self._view.snapshot, ticket.service, call, body, request
         )
         outcome = self._make_outcome(
             result.code,
             request,
             ticket.service,
-            self._view.now,
+            self._view.snapshot,
             figures=result.figures,
             retry_after_s=result.retry_after_s,
         )
-        return messages.RunReply(outcome=outcome, answer=pack(result.reply))
+        return messages.RunReply(
+            outcome=outcome, response=encode_reply(result.reply)
+        )
 
     def _record_result(
         self, ticket: messages.Ticket, result: messages.RunReply
     ) -> None:
         report = self._owner.run(
             lambda state, now: state.finish(
-                now, ticket.identity, result.outcome, result.answer
+                now, ticket.identity, result.outcome, result.response
             )
         )
         if report is not None:
@@ -230,13 +234,13 @@
         self, ticket: messages.Ticket, call: str, body: bytes, request: str
     ) -> messages.RunReply:
         """Voids a ticket, or returns the known outcome of its request."""
-        msg = tickets.void(ticket, call, body)
-        verdict = tickets.verdict(
+        msg = tickets.void_request(ticket, call, body)
+        verdict = tickets.verdict_on_void(
             self._request_witness(ticket.witness_address, msg)
         )
         if verdict.outcome is not None:
             return messages.RunReply(
-                outcome=verdict.outcome, answer=verdict.answer
+                outcome=verdict.outcome, response=verdict.answer
             )
         return self._make_reply(verdict.code, ticket, request)
 
@@ -247,17 +251,17 @@
             code,
             request,
             ticket.service,
-            self._view.now,
+            self._view.snapshot,
             retry_after_s=_RETRY_AFTER_S,
         )
         return messages.RunReply(outcome=outcome)
 
     def _request_witness(
-        self, address: str, msg: messages.Any
+        self, address: str, msg: messages.Message
     ) -> messages.WitnessReply | None:
         for _ in range(_WITNESS_ATTEMPTS):
             try:
-                reply = self._peers.ask(address, msg, _WITNESS_TIMEOUT_S)
+                reply = self._peers.request(address, msg, _WITNESS_TIMEOUT_S)
             except errors.PortError:
                 continue
             if isinstance(reply, messages.WitnessReply):
@@ -265,19 +269,19 @@
         return None
 
     def _call_timeout_s(self, service: str) -> float:
-        cfg = self._view.now.service(service)
+        cfg = self._view.snapshot.service(service)
         timeout_ms = 5_000 if cfg is None else cfg.call_timeout_ms
         # The executor may need every attempt to reach its witness before it calls
         # the service.
         return timeout_ms / 1000 + _WITNESS_ATTEMPTS * _WITNESS_TIMEOUT_S
 
 
-def pack(reply: ports.Reply | None) -> bytes:
+def encode_reply(reply: ports.Reply | None) -> bytes:
     """Encodes a service's reply for storage at a witness."""
     return b'' if reply is None else msgspec.msgpack.encode(reply)
 
 
-def unpack(data: bytes) -> ports.Reply | None:
+def decode_reply(data: bytes) -> ports.Reply | None:
     """Decodes a service's reply that a witness stored; None if it is empty."""
     if not data:
         return None
--- a/packages/daemon/foxtaildaled/watched.py
+++ b/packages/daemon/foxtaildaled/tracked_flights.py
@@ -15,24 +15,26 @@
 
 from foxtaildale import forwarding
 from foxtaildale import ports
-from foxtaildaled import selfreports
+from foxtaildaled import self_reports
 
 
-class Running:
+class OpenFlights:
     """Open flights by server; safe for concurrent use."""
 
     __slots__ = ('_flights', '_lock')
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._flights: dict[str, set[_Watched]] = collections.defaultdict(set)
+        self._flights: dict[str, set[_TrackedFlight]] = collections.defaultdict(
+            set
+        )
 
-    def add(self, flight: '_Watched') -> None:
+    def add(self, flight: '_TrackedFlight') -> None:
         """Registers a flight that has been created."""
         with self._lock:
             self._flights[flight.server.id].add(flight)
 
-    def remove(self, flight: '_Watched') -> None:
+    def remove(self, flight: '_TrackedFlight') -> None:
         """Removes a flight that has been closed."""
         with self._lock:
             flights = self._flights[flight.server.id]
@@ -40,7 +42,7 @@
             if not flights:
                 del self._flights[flight.server.id]
 
-    def restarted(self, server: forwarding.Backend) -> int:
+    def cancel_earlier(self, server: forwarding.Backend) -> int:
         """Cancels the flights to earlier incarnations of a server.
 
         Returns:
@@ -57,17 +59,17 @@
         return len(lost)
 
 
-class _Watched:
+class _TrackedFlight:
     """A flight that is registered until it is closed; a `ports.Flight`."""
 
     __slots__ = ('_flight', '_on_head', '_open_flights', 'server')
 
     def __init__(
         self,
-        flight: ports.Flight,
+        flight: ports.ServerExchange,
         server: forwarding.Backend,
-        open_flights: Running,
-        on_head: Callable[[forwarding.Head], None],
+        open_flights: OpenFlights,
+        on_head: Callable[[forwarding.ResponseHead], None],
     ) -> None:
         self.server = server
         self._flight = flight
@@ -78,14 +80,14 @@
     def send(self, timeout_s: float) -> None:
         self._flight.send(timeout_s)
 
-    def head(self, timeout_s: float) -> forwarding.Head:
-        head = self._flight.head(timeout_s)
+    def read_head(self, timeout_s: float) -> forwarding.ResponseHead:
+        head = self._flight.read_head(timeout_s)
         if head.matches:
             self._on_head(head)
         return head
 
-    def read(self, timeout_s: float) -> bytes:
-        return self._flight.read(timeout_s)
+    def read_chunk(self, timeout_s: float) -> bytes:
+        return self._flight.read_chunk(timeout_s)
 
     def cancel(self) -> None:
         self._flight.cancel()
@@ -95,16 +97,16 @@
         self._flight.close()
 
 
-class Workers:
+class TrackingWorkers:
     """A `ports.Workers` that tracks flights and reads self-reports."""
 
     __slots__ = ('_open_flights', '_reports', '_workers')
 
     def __init__(
         self,
-        workers: ports.Workers,
-        open_flights: Running,
-        reports: selfreports.SelfReports,
+        workers: ports.ServerClient,
+        open_flights: OpenFlights,
+        reports: self_reports.SelfReportHandler,
     ) -> None:
         self._workers = workers
         self._open_flights = open_flights
@@ -112,75 +114,84 @@
 
     def _watch(
         self,
-        flight: ports.Flight,
+        flight: ports.ServerExchange,
         server: forwarding.Backend,
         *,
         streams: bool = False,
-    ) -> _Watched:
-        leave = self._reports.mark(server)
+    ) -> _TrackedFlight:
+        leave = self._reports.leave_revision(server)
 
-        def record_head(head: forwarding.Head) -> None:
-            self._reports.hear(server, head, leave=leave, streams=streams)
+        def record_head(head: forwarding.ResponseHead) -> None:
+            self._reports.apply_response(
+                server, head, leave_revision=leave, is_streaming=streams
+            )
 
-        return _Watched(flight, server, self._open_flights, record_head)
+        return _TrackedFlight(flight, server, self._open_flights, record_head)
 
-    def plain(
+    def forward(
         self,
-        call: forwarding.Call,
+        call: forwarding.CallerRequest,
         server: forwarding.Backend,
         left_s: float,
         *,
         repeatable: bool = False,
-    ) -> ports.Flight:
+    ) -> ports.ServerExchange:
         """Prepares a request to a plain service, as the caller sent it."""
-        flight = self._workers.plain(
+        flight = self._workers.forward(
             call, server, left_s, repeatable=repeatable
         )
         return self._watch(flight, server)
 
     def prefill(
-        self, call: forwarding.Call, server: forwarding.Backend, left_s: float
-    ) -> ports.Flight:
+        self,
+        call: forwarding.CallerRequest,
+        server: forwarding.Backend,
+        left_s: float,
+    ) -> ports.ServerExchange:
         """Prepares a prefill of a request's prompt."""
         flight = self._workers.prefill(call, server, left_s)
         return self._watch(flight, server)
 
     def decode(
         self,
-        call: forwarding.Call,
+        call: forwarding.CallerRequest,
         reserved: forwarding.Reserved,
         prefilled: forwarding.Prefilled | None,
         left_s: float,
         *,
         repeatable: bool = False,
-    ) -> ports.Flight:
+    ) -> ports.ServerExchange:
         """Prepares the decoding of a request."""
         flight = self._workers.decode(
             call, reserved, prefilled, left_s, repeatable=repeatable
         )
         return self._watch(flight, reserved.worker, streams=True)
 
-    def handle(self, body: bytes) -> str:
+    def decode_handle(self, body: bytes) -> str:
         """Returns the handle in the response body of a prefill."""
-        return self._workers.handle(body)
+        return self._workers.decode_handle(body)
 
     def reserve(
         self, server: forwarding.Backend, tokens: int, ttl_s: float
-    ) -> forwarding.Reply:
+    ) -> forwarding.ControlResponse:
         """Reserves a slot and memory; the text is the reservation's name."""
         reply = self._workers.reserve(server, tokens, ttl_s)
         return self._record_reply(server, reply)
 
-    def release(self, reserved: forwarding.Reserved) -> forwarding.Reply:
+    def release_reservation(
+        self, reserved: forwarding.Reserved
+    ) -> forwarding.ControlResponse:
         """Releases a reservation that was not used."""
         self._reports.check_backoff(reserved.worker)
-        reply = self._workers.release(reserved)
+        reply = self._workers.release_reservation(reserved)
         return self._record_reply(reserved.worker, reply)
 
-    def free(self, prefilled: forwarding.Prefilled) -> forwarding.Reply:
+    def release_prefill(
+        self, prefilled: forwarding.Prefilled
+    ) -> forwarding.ControlResponse:
         """Frees a prefilled prompt that no decode worker has fetched."""
         self._reports.check_backoff(prefilled.worker)
-        reply = self._workers.free(prefilled)
+        reply = self._workers.release_prefill(prefilled)
         return self._record_reply(prefilled.worker, reply)
 
     def order_stage(
@@ -189,14 +200,14 @@
         stage: forwarding.Stage,
         holder: str,
         fence: int,
-    ) -> forwarding.Reply:
+    ) -> forwarding.ControlResponse:
         """Orders an engine to change its stage; the text is its reply."""
         self._reports.check_backoff(server)
         reply = self._workers.order_stage(server, stage, holder, fence)
         return self._record_reply(server, reply)
 
     def _record_reply(
-        self, server: forwarding.Backend, reply: forwarding.Reply
-    ) -> forwarding.Reply:
-        self._reports.hear(server, reply)
+        self, server: forwarding.Backend, reply: forwarding.ControlResponse
+    ) -> forwarding.ControlResponse:
+        self._reports.apply_response(server, reply)
         return reply
--- a/packages/daemon/foxtaildaled/view.py
+++ b/packages/daemon/foxtaildaled/view.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from foxtaildale import accounts
+from foxtaildale import coordinator_choice
 from foxtaildale import errors
-from foxtaildale import homes
 from foxtaildale import members
 from foxtaildale import messages
 from foxtaildale import options
@@ -42,15 +42,15 @@
         """Revision of the preset in force; 0 if none is known."""
         return self.in_force.revision if self.in_force else 0
 
-    def home(self, service: str) -> str | None:
+    def coordinator_address(self, service: str) -> str | None:
         """Returns the address of the keeper that coordinates a service."""
         if not self.keepers:
             return None
         names = tuple(keeper.name for keeper in self.keepers)
-        name = homes.home(service, names)
+        name = coordinator_choice.choose_coordinator(service, names)
         return next(k.address for k in self.keepers if k.name == name)
 
-    def live(
+    def live_servers(
         self, service: str, role: values.Role
     ) -> tuple[values.BackendServer, ...]:
         """Returns the backend servers that may receive new requests."""
@@ -68,7 +68,7 @@
             (s for s in self.listing.backend_servers if s.name == name), None
         )
 
-    def witness(self, me: options.Options) -> values.Keeper | None:
+    def choose_witness(self, me: options.Options) -> values.Keeper | None:
         """Returns a keeper that can witness tickets; None if there is none.
 
         The keeper is on another VM, since the failure of a VM stops all its
@@ -79,7 +79,7 @@
         for group in (elsewhere, others):
             if group:
                 names = tuple(keeper.name for keeper in group)
-                name = homes.home(me.entry_vm, names)
+                name = coordinator_choice.choose_coordinator(me.entry_vm, names)
                 return next(k for k in group if k.name == name)
         return None
 
@@ -138,7 +138,7 @@
         self._max_revision = 0
 
     @property
-    def now(self) -> Snapshot:
+    def snapshot(self) -> Snapshot:
         """The current snapshot.
 
         If the keeper has not replied for longer than the freshness bound, a
@@ -154,9 +154,9 @@
             return snapshot
         return msgspec.structs.replace(snapshot, in_force=None)
 
-    def step(self) -> None:
+    def refresh(self) -> None:
         """Requests the state from the keeper once and applies the reply."""
-        msg = messages.Hello(
+        msg = messages.EntryHeartbeat(
             incarnation=self._incarnation,
             address=self._address,
             revision=self._max_revision,
@@ -164,15 +164,17 @@
         )
         requested_at = self._clock()
         try:
-            reply = self._peers.ask(self._cfg.keeper, msg, self._cfg.silence_s)
+            reply = self._peers.request(
+                self._cfg.keeper, msg, self._cfg.silence_s
+            )
         except errors.PortError:
             return
-        if isinstance(reply, messages.HelloReply):
+        if isinstance(reply, messages.EntryHeartbeatReply):
             self._apply(reply, requested_at)
 
     def report_leaving(self, server: values.BackendServer) -> None:
         """Records that a backend server refused a request as it is leaving."""
-        key = members.key_of(server)
+        key = members.server_key(server)
         with self._lock:
             self._leaving[key] = None
             previous = self._snapshot
@@ -180,18 +182,20 @@
                 previous, listing=_mark_leaving(previous.listing, self._leaving)
             )
 
-    def goodbye(self) -> None:
+    def report_stop(self) -> None:
         """Notifies the keeper that this entry stops as planned."""
         try:
-            self._peers.ask(
+            self._peers.request(
                 self._cfg.keeper,
-                messages.Bye(incarnation=self._incarnation),
+                messages.StopNotice(incarnation=self._incarnation),
                 self._cfg.silence_s,
             )
         except errors.PortError:
             return
 
-    def _apply(self, reply: messages.HelloReply, requested_at: float) -> None:
+    def _apply(
+        self, reply: messages.EntryHeartbeatReply, requested_at: float
+    ) -> None:
         with self._lock:
             previous = self._snapshot
             in_force = reply.in_force
@@ -203,7 +207,7 @@
             listing = reply.listing or previous.listing
             if listing.version < previous.listing.version:
                 listing = previous.listing
-            listed = {members.key_of(s) for s in listing.backend_servers}
+            listed = {members.server_key(s) for s in listing.backend_servers}
             self._leaving = {k: None for k in self._leaving if k in listed}
             self._snapshot = Snapshot(
                 in_force=in_force,
@@ -252,7 +256,7 @@
         listing,
         backend_servers=tuple(
             msgspec.structs.replace(server, state='leaving')
-            if members.key_of(server) in leaving
+            if members.server_key(server) in leaving
             else server
             for server in listing.backend_servers
         ),
--- a/packages/daemon/foxtaildaled/fitness.py
+++ b/packages/daemon/foxtaildaled/vm_eligibility.py
@@ -12,28 +12,28 @@
 import threading
 from typing import Final
 
-from foxtaildale import homes
+from foxtaildale import coordinator_choice
 from foxtaildale import messages
 from foxtaildale import ports
 from foxtaildaled import actors
-from foxtaildaled import beliefs
+from foxtaildaled import router_state
 
 # Time after its start during which a process leaves the coordinator role to
 # older processes, seconds. If VMs are replaced every two seconds, each is down
 # for four seconds, so one of eight has been up for ten seconds at any moment.
-GROWN_S: Final = 10.0
+MATURITY_DELAY_S: Final = 10.0
 # Interval between checks for older processes, and timeout for the replies,
 # seconds.
-LOOK_S: Final = 0.5
-ANSWER_S: Final = 0.25
+POLL_S: Final = 0.5
+REPLY_TIMEOUT_S: Final = 0.25
 # Number of VMs that are asked; they are always the same ones. It is large
 # enough that almost every VM asks an older one after half of all VMs were
 # killed at once. If many VMs started together and asked all others, they would
 # open a connection for each pair.
-SAMPLE: Final = 8
+SAMPLE_SIZE: Final = 8
 
 
-class Fitness:
+class Eligibility:
     """Tracks the fitness of this entry VM; `step` is called by a loop."""
 
     __slots__ = (
@@ -49,7 +49,7 @@
     def __init__(
         self,
         *,
-        owner: actors.Owner[beliefs.Beliefs],
+        owner: actors.StateOwner[router_state.RouterState],
         peers: ports.PeerGroup,
         stopping: threading.Event,
         clock: ports.Clock,
@@ -63,24 +63,25 @@
         self._clock = clock
         self._mature_at = clock()
         if not first_start:
-            self._mature_at += GROWN_S
+            self._mature_at += MATURITY_DELAY_S
         # Whether no other VM that replies has been up for longer.
         self._is_oldest = False
 
-    def reason(self) -> str:
+    def ineligibility_reason(self) -> str:
         """Returns the code why this VM is not fit; empty if it is fit."""
         if self._stopping.is_set():
             return 'stopping'
         return '' if self._is_mature or self._is_oldest else 'young'
 
-    def reply(self) -> messages.HomeReply:
+    def probe_reply(self) -> messages.EligibilityReply:
         """Returns the reply to a probe."""
         stopping = self._stopping.is_set()
-        return messages.HomeReply(
-            fit=not self.reason(), grown=self._is_mature and not stopping
+        return messages.EligibilityReply(
+            eligible=not self.ineligibility_reason(),
+            established=self._is_mature and not stopping,
         )
 
-    def step(self) -> None:
+    def check_older_vms(self) -> None:
         """Checks for older VMs until the delay has passed."""
         if self._is_mature:
             return
@@ -88,13 +89,15 @@
         if not addresses:
             return
         sample = heapq.nlargest(
-            SAMPLE,
+            SAMPLE_SIZE,
             addresses,
-            key=lambda peer: homes.score(self._entry_vm, peer),
+            key=lambda peer: coordinator_choice.score(self._entry_vm, peer),
+        )
+        replies = self._peers.request_all(
+            sample, messages.EligibilityRequest(), REPLY_TIMEOUT_S
         )
-        replies = self._peers.ask_all(sample, messages.AskHome(), ANSWER_S)
         self._is_oldest = not any(
-            isinstance(reply, messages.HomeReply) and reply.grown
+            isinstance(reply, messages.EligibilityReply) and reply.established
             for reply in replies.values()
         )
 
--- a/packages/daemon/foxtaildaled/wiring.py
+++ b/packages/daemon/foxtaildaled/wiring.py
@@ -12,10 +12,10 @@
 
 from absl import logging as absl_logging
 
+from foxtaildale import abandoned_holdings
 from foxtaildale import incarnations
 from foxtaildale import messages
 from foxtaildale import options
-from foxtaildale import reaper
 from foxtaildale import tickets
 from foxtaildale import values
 from foxtaildale_adapters import admin
@@ -28,26 +28,26 @@
 from foxtaildale_adapters import pump
 from foxtaildale_adapters import services
 from foxtaildale_adapters import wire
+from foxtaildaled import account_limits
 from foxtaildaled import actors
-from foxtaildaled import answers
-from foxtaildaled import calls
 from foxtaildaled import cancels
-from foxtaildaled import chats
-from foxtaildaled import claiming
-from foxtaildaled import desk
+from foxtaildaled import chat_requests
+from foxtaildaled import claim_client
+from foxtaildaled import completions
 from foxtaildaled import entry
-from foxtaildaled import follow
-from foxtaildaled import gate
-from foxtaildaled import gossip
+from foxtaildaled import entry_retry_budgets
 from foxtaildaled import keeper
-from foxtaildaled import limits
-from foxtaildaled import plain
+from foxtaildaled import outcome_records
+from foxtaildaled import peer_loops
+from foxtaildaled import plain_requests
+from foxtaildaled import plain_services
+from foxtaildaled import platform_loops
 from foxtaildaled import process
-from foxtaildaled import records
-from foxtaildaled import retries
-from foxtaildaled import slots
+from foxtaildaled import request_checks
+from foxtaildaled import request_context
+from foxtaildaled import slot_acquisition
+from foxtaildaled import ticket_handler
 from foxtaildaled import view
-from foxtaildaled import visit
 
 # Number of threads that reply to other processes. A claim occupies a thread
 # until the log has settled the claim; a forwarded ticket occupies a thread
@@ -72,7 +72,7 @@
         """Stops gracefully: does not abort requests in progress."""
 
 
-def make(cfg: options.Options) -> Daemon:
+def make_daemon(cfg: options.Options) -> Daemon:
     """Returns the daemon for the role in the settings."""
     return KeeperDaemon(cfg) if cfg.role == 'keeper' else EntryDaemon(cfg)
 
@@ -96,8 +96,8 @@
     _peers: peers.Peers
     _responder: wire.Responder
     _metrics: metrics.Metrics
-    _owner: actors.Owner[keeper.Keeper]
-    _gossip: gossip.Gossip
+    _owner: actors.StateOwner[keeper.Keeper]
+    _gossip: peer_loops.GossipLoop
     _settle_loop: process.Loop
     _loops: list[process.Loop]
     _admin: admin.Admin
@@ -119,35 +119,51 @@
             address=address,
             data_centre=cfg.data_centre,
         )
-        self._owner = actors.Owner(keeper.Keeper(me, cfg), time.monotonic)
+        self._owner = actors.StateOwner(keeper.Keeper(me, cfg), time.monotonic)
         self._metrics = metrics.Metrics()
         store = platform.Platform(cfg.platform, cfg.platform_timeout_s)
         claims_store = platform.Platform(cfg.platform, cfg.platform_timeout_s)
         workers = engines.Engines()
-        self._gossip = gossip.Gossip(self._owner, self._peers, cfg.silence_s)
+        self._gossip = peer_loops.GossipLoop(
+            self._owner, self._peers, cfg.silence_s
+        )
         self._settle_loop = process.Loop(
-            'settle', cfg.poll_s, follow.Settle(self._owner, claims_store).step
+            'settle',
+            cfg.poll_s,
+            platform_loops.ClaimSettler(
+                self._owner, claims_store
+            ).settle_waiting,
         )
         self._loops = [
             self._settle_loop,
             process.Loop(
                 'follow',
                 cfg.poll_s,
-                follow.Follow(self._owner, store, store).step,
+                platform_loops.PlatformFollower(
+                    self._owner, store, store
+                ).read_once,
+            ),
+            process.Loop(
+                'gossip', cfg.heartbeat_s, self._gossip.send_heartbeats
             ),
-            process.Loop('gossip', cfg.heartbeat_s, self._gossip.step),
             process.Loop(
-                'watch', cfg.poll_s, gossip.Watch(self._owner, workers).step
+                'watch',
+                cfg.poll_s,
+                peer_loops.LoadLoop(self._owner, workers).read_loads,
             ),
             process.Loop(
-                'steer', cfg.poll_s, gossip.Steer(self._owner, workers).step
+                'steer',
+                cfg.poll_s,
+                peer_loops.OrderLoop(self._owner, workers).send_orders,
             ),
             process.Loop(
                 'reap',
                 cfg.heartbeat_s,
-                gossip.Reap(
-                    self._owner, workers, reaper.Reaper(cfg.grace_s)
-                ).step,
+                peer_loops.ReapLoop(
+                    self._owner,
+                    workers,
+                    abandoned_holdings.AbandonedHoldings(cfg.grace_s),
+                ).reap_workers,
             ),
         ]
         self._admin = admin.Admin(
@@ -169,7 +185,7 @@
             if not self._owner.run(_has_unfinished_work):
                 break
             time.sleep(_POLL_S)
-        self._gossip.goodbye()
+        self._gossip.announce_stop()
         for loop in self._loops:
             loop.stop()
         self._admin.close()
@@ -177,12 +193,14 @@
         self._peers.close()
         self._owner.stop()
 
-    def _handle(self, msg: messages.Any) -> messages.Any:
-        if isinstance(msg, messages.AskClaim):
-            fut = self._owner.run(lambda state, now: state.claim(now, msg))
+    def _handle(self, msg: messages.Message) -> messages.Message:
+        if isinstance(msg, messages.ClaimRequest):
+            fut = self._owner.run(
+                lambda state, now: state.handle_claim(now, msg)
+            )
             self._settle_loop.wake()
-            return fut.get(timeout=keeper.CLAIM_WAIT_S)
-        if isinstance(msg, messages.Dump):
+            return fut.get(timeout=keeper.CLAIM_TIMEOUT_S)
+        if isinstance(msg, messages.DumpRequest):
             return messages.DumpReply(state=self._state())
         return self._owner.run(lambda state, now: state.handle(now, msg))
 
@@ -225,11 +243,11 @@
     _responder: wire.Responder
     _metrics: metrics.Metrics
     _view: view.View
-    _desk: desk.Desk
+    _desk: ticket_handler.TicketHandler
     _pump: pump.Pump
-    _records: records.Records
-    _cancels: cancels.Cancels
-    _gate: gate.Gate
+    _records: outcome_records.OutcomeRecords
+    _cancels: cancels.CancelQueue
+    _gate: request_checks.RequestChecks
     _server: callers.Server
     _admin: admin.Admin
     _loops: list[process.Loop]
@@ -271,11 +289,11 @@
         self._server.stop_accepting()
         drained = self._server.drain(self._cfg.drain_s)
         logs.event(absl_logging.INFO, 'drained', whole=drained)
-        self._cancels.step()
+        self._cancels.send_due()
         self._records.flush()
         for loop in self._loops:
             loop.stop()
-        self._view.goodbye()
+        self._view.report_stop()
         self._server.close()
         self._pump.close()
         self._admin.close()
@@ -287,30 +305,30 @@
         clock = time.monotonic
         store = platform.Platform(cfg.platform, cfg.platform_timeout_s)
         workers = engines.Engines()
-        budgets = retries.Retries(clock)
+        budgets = entry_retry_budgets.RetryBudgets(clock)
         self._pump = pump.Pump()
         self._pump.start()
         self._view = view.View(
             cfg, self._incarnation, address, self._peers, clock
         )
-        self._records = records.Records(store, counts)
-        replies = visit.Replies(cfg.entry_vm, self._records)
-        self._cancels = cancels.Cancels(workers, clock)
-        plain_calls = plain.Plain(services.Services(), budgets)
-        slot_client = slots.Slots(
+        self._records = outcome_records.OutcomeRecords(store, counts)
+        replies = request_context.Replies(cfg.entry_vm, self._records)
+        self._cancels = cancels.CancelQueue(workers, clock)
+        plain_calls = plain_services.PlainServices(services.Services(), budgets)
+        slot_client = slot_acquisition.SlotClient(
             self._peers, self._view, cfg.entry_vm, self._incarnation, clock
         )
-        model = answers.Answers(
+        model = completions.Completions(
             cfg=cfg,
             engines=workers,
-            seen=self._view,
-            carrier=self._pump,
-            getter=slot_client,
-            budget=budgets,
-            counts=counts,
+            current_view=self._view,
+            stream_pump=self._pump,
+            slot_client=slot_client,
+            budgets=budgets,
+            request_metrics=counts,
             clock=clock,
         )
-        executor = actors.Owner(
+        executor = actors.StateOwner(
             tickets.Executor(
                 self._incarnation,
                 address,
@@ -319,35 +337,39 @@
             ),
             clock,
         )
-        self._desk = desk.Desk(
+        self._desk = ticket_handler.TicketHandler(
             cfg=cfg,
             incarnation=self._incarnation,
             owner=executor,
             peers=self._peers,
-            calls=plain_calls,
-            seen=self._view,
-            stamp=replies.stamp,
+            service_client=plain_calls,
+            current_view=self._view,
+            make_outcome=replies.make_outcome,
         )
-        local_shares = limits.Shares(lambda: len(self._view.now.keepers), clock)
-        self._gate = gate.Gate(self._desk, replies, local_shares)
-        claim_desk = claiming.Claiming(
+        local_shares = account_limits.LocalShares(
+            lambda: len(self._view.snapshot.keepers), clock
+        )
+        self._gate = request_checks.RequestChecks(
+            self._desk, replies, local_shares
+        )
+        claim_desk = claim_client.ClaimClient(
             cfg, self._incarnation, self._peers, replies
         )
         handler = entry.Entry(
             entry_vm=cfg.entry_vm,
-            seen=self._view,
-            admission=self._gate,
-            model=chats.Chats(
+            current_view=self._view,
+            checks=self._gate,
+            chat_handler=chat_requests.ChatRequests(
                 cfg=cfg,
                 incarnation=self._incarnation,
-                admission=self._gate,
+                checks=self._gate,
                 replies=replies,
-                model=model,
+                completion_runner=model,
                 claim_desk=claim_desk,
                 cancel_queue=self._cancels,
                 clock=clock,
             ),
-            services=calls.Calls(
+            plain_handler=plain_requests.PlainRequests(
                 admission=self._gate,
                 replies=replies,
                 services=plain_calls,
@@ -355,7 +377,7 @@
                 claim_desk=claim_desk,
             ),
             replies=replies,
-            kept=self._records,
+            outcome_records=self._records,
         )
         self._server = callers.Server(
             cfg.caller_address,
@@ -366,30 +388,32 @@
             entry_vm=cfg.entry_vm,
         )
         cancel_loop = process.Loop('cancels', _POLL_S, self._send_due_cancels)
-        self._cancels.wake = cancel_loop.wake
+        self._cancels.on_added = cancel_loop.wake
         self._loops = [
-            process.Loop('view', cfg.heartbeat_s, self._view.step),
-            process.Loop('tickets', cfg.heartbeat_s, self._desk.step),
-            process.Loop('slots', cfg.heartbeat_s, slot_client.step),
-            process.Loop('records', _FLUSH_INTERVAL_S, self._records.step),
+            process.Loop('view', cfg.heartbeat_s, self._view.refresh),
+            process.Loop('tickets', cfg.heartbeat_s, self._desk.refresh_clock),
+            process.Loop('slots', cfg.heartbeat_s, slot_client.renew_grants),
+            process.Loop(
+                'records', _FLUSH_INTERVAL_S, self._records.flush_once
+            ),
             cancel_loop,
         ]
 
     def _send_due_cancels(self) -> None:
         """Sends the due cancels; drops those for engines that were removed."""
-        listing = self._view.now.listing
+        listing = self._view.snapshot.listing
         if listing.version:
-            self._cancels.forget(
+            self._cancels.remove_unlisted(
                 frozenset(s.address for s in listing.backend_servers)
             )
-        self._cancels.step()
+        self._cancels.send_due()
 
-    def _handle(self, msg: messages.Any) -> messages.Any:
-        if isinstance(msg, messages.RunTicket):
-            return self._desk.serve(msg)
-        if isinstance(msg, messages.Dump):
+    def _handle(self, msg: messages.Message) -> messages.Message:
+        if isinstance(msg, messages.RunRequest):
+            return self._desk.handle_forwarded(msg)
+        if isinstance(msg, messages.DumpRequest):
             return messages.DumpReply(state=self._state())
-        return messages.Fail(code='not-for-an-entry')
+        return messages.ErrorReply(code='not-for-an-entry')
 
     def _render(self) -> bytes:
         return _render(self._metrics, self._peers, self._responder)
@@ -397,12 +421,12 @@
     def _ready(self) -> str:
         if self._gate.stopping:
             return 'being stopped'
-        if self._view.now.in_force is None:
+        if self._view.snapshot.in_force is None:
             return 'no preset in force is known'
         return ''
 
     def _state(self) -> bytes:
-        snapshot = self._view.now
+        snapshot = self._view.snapshot
         state = {
             'role': 'entry',
             'incarnation': self._incarnation,
@@ -427,7 +451,7 @@
 
 
 def _has_unfinished_work(state: keeper.Keeper, _now: float) -> bool:
-    return bool(state.entries) or state.claims.unwritten() > 0
+    return bool(state.entries) or state.claims.pending_count() > 0
 
 
 def _render(
--- a/tests/bench/sender.py
+++ b/tests/bench/sender.py
@@ -27,13 +27,13 @@
 def blocks(request: str, tokens: int, *, chunked: bool = False) -> list[bytes]:
     """Returns the blocks of one stream."""
     events: list[msgspec.Struct] = [
-        backends.Piece(
+        backends.Chunk(
             request=request, attempt=1, stream='s', position=i, text=f'word{i} '
         )
         for i in range(tokens)
     ]
     events.append(
-        backends.Last(
+        backends.StreamEnd(
             request=request, attempt=1, stream='s', count=tokens, digest='0'
         )
     )
--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -40,9 +40,9 @@
 
     keeper: type[claims.Claims] = claims.Claims
     refusal: Callable[[messages.ClaimReply, bool], codes.Code | None] = (
-        claims.refusal
+        claims.refusal_of_reply
     )
-    covering: Callable[[codes.Code, bool], codes.Code] = claims.covering
+    covering: Callable[[codes.Code, bool], codes.Code] = claims.refusal_code
     key: str = 'c0.tower'
     attempts: tuple[Attempt, ...] = (Attempt('r1', 'x'), Attempt('r2', 'y'))
     # Maximum number of failures in one trace.
@@ -107,7 +107,7 @@
             self.reported_not_run |= {request}
 
 
-def read(world: World, keeper: claims.Claims) -> list[claims.Settled]:
+def read(world: World, keeper: claims.Claims) -> list[claims.SettledClaim]:
     """Makes a keeper read the log to its end."""
     start = max(keeper.next_offset(), world.first_offset)
     records = tuple(
@@ -197,7 +197,7 @@
     change(world, arg)
 
 
-def _settle(world: World, settled: list[claims.Settled]) -> None:
+def _settle(world: World, settled: list[claims.SettledClaim]) -> None:
     for request, reply in settled:
         if request not in world.waiting:
             continue
@@ -215,12 +215,12 @@
     if attempt.request not in world.submitted:
         world.submitted = (*world.submitted, attempt.request)
         world.waiting |= {attempt.request}
-    reply = world.keepers[attempt.keeper].ask(
+    reply = world.keepers[attempt.keeper].request_claim(
         NOW,
-        messages.AskClaim(
+        messages.ClaimRequest(
             service=SERVICE,
             key=world.rules.key,
-            body='b',
+            body_digest='b',
             request=attempt.request,
             holder='h',
         ),
@@ -238,10 +238,10 @@
         entry_vm='vm',
         at=0.0,
     )
-    msg = messages.EndClaim(
+    msg = messages.ClaimReport(
         service=SERVICE, key=world.rules.key, outcome=outcome
     )
-    world.keepers[attempt.keeper].end(NOW, msg)
+    world.keepers[attempt.keeper].record_outcome(NOW, msg)
 
 
 def _time_out(world: World, attempt: Attempt) -> None:
@@ -275,14 +275,14 @@
 
 
 def _append_slowly(world: World, name: str) -> None:
-    records = world.keepers[name].batch(NOW)
+    records = world.keepers[name].take_batch(NOW)
     if records:
         world.in_flight[name] = records[0]
         world.sent |= {records[0]}
 
 
 def _append(world: World, name: str) -> None:
-    for data in world.keepers[name].batch(NOW):
+    for data in world.keepers[name].take_batch(NOW):
         world.log = (*world.log, data)
         world.keepers[name].on_appended(NOW)
 
@@ -299,7 +299,7 @@
 
 
 def _fail_append(world: World, name: str) -> None:
-    if world.keepers[name].batch(NOW):
+    if world.keepers[name].take_batch(NOW):
         settled = world.keepers[name].on_append_failed(FAR_PAST, sent=False)
         _settle(world, settled)
 
--- a/tests/config_world.py
+++ b/tests/config_world.py
@@ -17,10 +17,10 @@
 import msgspec
 
 from foxtaildale import changes
+from foxtaildale import config_follower
 from foxtaildale import errors
 from foxtaildale import messages
 from foxtaildale import ports
-from foxtaildale import spread
 from foxtaildale import values
 from foxtaildale_client import submit
 
@@ -48,22 +48,24 @@
         self.data: list[bytes] = []
         self.first = 0
         self.down = False
-        self.fates: list[AppendOutcome] = []
+        self.append_outcomes: list[AppendOutcome] = []
         self.delayed_records: list[bytes] = []
 
     def append(self, stream: str, records: Sequence[bytes]) -> int:
         assert stream == changes.STREAM
         if self.down:
             raise errors.RejectedError('down')
-        outcome = self.fates.pop(0) if self.fates else 'answered'
+        outcome = (
+            self.append_outcomes.pop(0) if self.append_outcomes else 'answered'
+        )
         if outcome == 'late':
             self.delayed_records += records
         if outcome in ('late', 'dropped'):
-            raise errors.AnswerLostError('silence')
+            raise errors.NoReplyError('silence')
         first = len(self.data)
         self.data += records
         if outcome == 'lost':
-            raise errors.AnswerLostError('silence')
+            raise errors.NoReplyError('silence')
         return first
 
     def read(self, stream: str, offset: int, limit: int = 1000) -> ports.Batch:
@@ -71,7 +73,7 @@
         if self.down:
             raise errors.RejectedError('down')
         if offset < self.first:
-            raise errors.LapsedError(self.first)
+            raise errors.RecordsExpiredError(self.first)
         selected = self.data[offset : offset + limit]
         return ports.Batch(
             self.first,
@@ -82,7 +84,7 @@
             ),
         )
 
-    def land(self) -> None:
+    def apply_delayed(self) -> None:
         """Makes delayed appends, whose replies were lost, take effect now."""
         self.data += self.delayed_records
         self.delayed_records = []
@@ -103,8 +105,8 @@
 
     def restart(self) -> None:
         self.start_count += 1
-        self.follower = spread.Follower(
-            self.name, freshness_s=FRESHNESS_S, checkpoint_s=20.0
+        self.follower = config_follower.Follower(
+            self.name, freshness_s=FRESHNESS_S, checkpoint_interval_s=20.0
         )
 
     def poll(self, now: float) -> None:
@@ -113,22 +115,22 @@
             return
         try:
             batch = self.log.read(changes.STREAM, self.follower.next_offset, 8)
-        except errors.LapsedError as exc:
+        except errors.RecordsExpiredError as exc:
             self.follower.on_lapsed(now, exc.first)
             return
         except errors.PortError:
             self.follower.on_log_failed(now)
             return
         self.follower.on_batch(now, batch)
-        record = self.follower.checkpoint_due(now, batch.first, keepers=0)
+        record = self.follower.due_checkpoint(now, batch.first, keepers=0)
         if record is not None:
             try:
                 self.log.append(changes.STREAM, [record])
             except errors.PortError:
                 pass
 
-    def beat(self) -> messages.Beat:
-        return messages.Beat(
+    def heartbeat(self) -> messages.KeeperHeartbeat:
+        return messages.KeeperHeartbeat(
             entry_vm=self.name,
             incarnation=f'{self.name}-{self.start_count}',
             data_centre='halle-nord',
@@ -138,20 +140,20 @@
             listing_version=1,
         )
 
-    def meet(self, now: float, other: 'Keeper') -> None:
+    def exchange_heartbeats(self, now: float, other: 'Keeper') -> None:
         """Exchanges heartbeats; the keeper that is behind pulls the state."""
         if self.peers_unreachable or other.peers_unreachable:
             return
-        mine, theirs = self.beat(), other.beat()
+        mine, theirs = self.heartbeat(), other.heartbeat()
         for receiver, sender, heartbeat in (
             (other, self, mine),
             (self, other, theirs),
         ):
             self.sent_bytes += len(messages.encode(heartbeat))
-            if receiver.follower.on_peer(now, heartbeat):
+            if receiver.follower.on_heartbeat(now, heartbeat):
                 reply = sender.follower.pull_reply()
                 self.sent_bytes += len(messages.encode(reply))
-                receiver.follower.on_pull(now, reply)
+                receiver.follower.on_pull_reply(now, reply)
 
 
 class Operator:
@@ -219,7 +221,7 @@
         return self.change_ids[-1]
 
 
-def preset(number: int) -> values.Preset:
+def make_preset(number: int) -> values.Preset:
     return values.Preset(
         name=('ordinary', 'peak')[number % 2],
         services={'queue-app': values.Service(kind='plain')},
@@ -227,8 +229,8 @@
     )
 
 
-def digest(number: int) -> str:
-    return changes.digest_of(changes.canonical(preset(number)))
+def preset_digest(number: int) -> str:
+    return changes.digest_of(changes.canonical_form(make_preset(number)))
 
 
 class World:
@@ -242,15 +244,17 @@
 
     def publish(self, number: int, patience_s: float) -> None:
         self._start_operator(
-            lambda submitter: submitter.publish(preset(number)), patience_s
+            lambda submitter: submitter.publish(make_preset(number)), patience_s
         )
 
     def switch(
         self, number: int, expects: int | None, patience_s: float
     ) -> None:
-        name = preset(number).name
+        name = make_preset(number).name
         self._start_operator(
-            lambda submitter: submitter.switch(name, digest(number), expects),
+            lambda submitter: submitter.switch(
+                name, preset_digest(number), expects
+            ),
             patience_s,
         )
 
@@ -269,7 +273,7 @@
         if running:
             running[number % len(running)].run_to_next_call()
 
-    def finish(self) -> None:
+    def finish_operators(self) -> None:
         """Runs every operator until it is done."""
         for operator in self.operators:
             while not operator.is_done:
@@ -318,7 +322,7 @@
     max_published: int,
 ) -> None:
     if isinstance(change, changes.Publish):
-        key = (changes.preset_of(change.preset).name, change.digest)
+        key = (changes.decode_preset(change.preset).name, change.digest)
         if key in published:
             published.remove(key)
         published.append(key)
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -210,7 +210,7 @@
         """Publishes a preset and switches to it."""
         log = platform.Platform(self.platform.address, WAIT_S)
         base = log.read(changes.STREAM, 0, 1).end
-        record = changes.publish(uuid.uuid4().hex, base, preset)
+        record = changes.make_publish(uuid.uuid4().hex, base, preset)
         switch = changes.Switch(
             id=uuid.uuid4().hex,
             base=base,
@@ -323,7 +323,7 @@
             'address_file': str(addresses),
         }
         text = json.dumps(cfg | differing)
-        settings.options(text, name)
+        settings.parse_options(text, name)
         path = self._dir / f'{name}.json'
         path.write_text(text, encoding='utf-8')
         command = [sys.executable, '-m', 'foxtaildaled', str(path)]
--- a/tests/tallies.py
+++ b/tests/engine_states.py
@@ -5,10 +5,12 @@
 from foxtaildale import messages
 
 
-def make(stage: forwarding.Stage, count: int) -> list[fleet.Tally]:
+def make_engines(
+    stage: forwarding.Stage, count: int
+) -> list[fleet.ServerState]:
     """Returns engines of one stage, with ids such as `decode-0`."""
     return [
-        fleet.Tally(
+        fleet.ServerState(
             forwarding.Backend(
                 id=f'{stage}-{number}',
                 service='s',
@@ -20,15 +22,17 @@
     ]
 
 
-def ask(request: str, prompt: int) -> messages.AskPlace:
+def placement_request(
+    request: str, prompt_tokens: int
+) -> messages.PlacementRequest:
     """Returns a VM's placement request for a request of ordinary size."""
-    return messages.AskPlace(
+    return messages.PlacementRequest(
         service='s',
         request=request,
         holder='vm-1',
-        prompt=prompt,
-        hinted=500,
-        longest=1000,
+        prompt_tokens=prompt_tokens,
+        hinted_tokens=500,
+        max_output_tokens=1000,
         waited_ms=0,
         target_ms=900,
         priority=1,
--- a/tests/fakelog.py
+++ b/tests/fakelog.py
@@ -10,13 +10,13 @@
     def __init__(self) -> None:
         self.records: list[bytes] = []
         self.first = 0
-        self.appends = 0
+        self.append_count = 0
 
     def append(self, records: list[bytes]) -> None:
         self.records += records
-        self.appends += 1
+        self.append_count += 1
 
-    def keep(self, count: int) -> None:
+    def expire_all_but(self, count: int) -> None:
         self.first = max(self.first, len(self.records) - count)
 
     def read(self, offset: int) -> ports.Batch:
@@ -28,11 +28,11 @@
         return ports.Batch(self.first, len(self.records), records)
 
 
-def step(
+def append_and_read(
     log: FakeLog, keeper: claims.Claims, now: float
-) -> list[claims.Settled]:
+) -> list[claims.SettledClaim]:
     """Appends the pending records of a `Claims` object and reads the log."""
-    records = keeper.batch(now)
+    records = keeper.take_batch(now)
     if records:
         log.append(records)
         keeper.on_appended(now)
--- a/tests/fakenet.py
+++ b/tests/fakenet.py
@@ -12,7 +12,7 @@
 
 from foxtaildale import messages
 
-Done = Callable[[messages.Any | None], None]
+Done = Callable[[messages.Message | None], None]
 
 
 class Clock:
@@ -60,7 +60,7 @@
     def start(self) -> None:
         """Makes the objects of a new incarnation."""
 
-    def handle(self, msg: messages.Any, done: Done) -> None:
+    def handle(self, msg: messages.Message, done: Done) -> None:
         """Serves a message; `done` takes the reply."""
 
     def kill(self) -> None:
@@ -123,18 +123,18 @@
         self,
         asker: Process,
         address: str,
-        msg: messages.Any,
+        msg: messages.Message,
         timeout_s: float,
         done: Done,
     ) -> None:
         """Sends a message; `done` gets its reply or, in time, None."""
         open_asks = [done]
 
-        def settle(reply: messages.Any | None) -> None:
+        def settle(reply: messages.Message | None) -> None:
             if open_asks:
                 open_asks.pop()(reply)
 
-        def answer(reply: messages.Any | None) -> None:
+        def answer(reply: messages.Message | None) -> None:
             self._carry(
                 address, asker.address, lambda: asker.act(lambda: settle(reply))
             )
--- a/tests/oncebench.py
+++ b/tests/oncebench.py
@@ -123,5 +123,5 @@
         if self.rng.random() < 0.3:
             self.log_is_down = not self.log_is_down
         if self.rng.random() < 0.1:
-            self.log.keep(self.rng.randint(0, 20))
+            self.log.expire_all_but(self.rng.randint(0, 20))
         self.clock.after(self.rules.fault_every_s, self.fail_somewhere)
--- a/tests/oncecost.py
+++ b/tests/oncecost.py
@@ -15,7 +15,7 @@
 from foxtaildale import claimlog
 from foxtaildale import claims
 from foxtaildale import codes
-from foxtaildale import keys
+from foxtaildale import idempotency_keys
 from foxtaildale import messages
 from foxtaildale import tickets
 from foxtaildale import values
@@ -55,34 +55,34 @@
         self.witness = witness.Witness(
             'hall-kok-1.d4c3b2a1', 2 * _LIFE_S, limit=2 * _SIZES[-1]
         )
-        ask = messages.AskReading(witness='hall-kok-1.d4c3b2a1')
-        reply = self.witness.read(0.0, ask)
-        self.executor.on_reading(0.0, 'hall-kok-1.d4c3b2a1', reply)
+        ask = messages.ClockRequest(witness='hall-kok-1.d4c3b2a1')
+        reply = self.witness.read_clock(0.0, ask)
+        self.executor.on_witness_clock(0.0, 'hall-kok-1.d4c3b2a1', reply)
 
-    def run(self, number: int) -> list[messages.Any]:
+    def run(self, number: int) -> list[messages.Message]:
         """Takes one check-in from its ticket to the witness's last reply."""
-        ticket = self.executor.mint(
+        ticket = self.executor.issue(
             0.0, 'dispatch-desk', 'hall-kok-1.d4c3b2a1', '10.20.31.41:7300'
         )
         assert ticket is not None
-        assert self.executor.check(ticket, 'dispatch-desk') is None
+        assert self.executor.verify(ticket, 'dispatch-desk') is None
         admission = self.executor.admit(0.0, ticket, _CALL, _BODY)
-        assert isinstance(admission, tickets.SendNote)
+        assert isinstance(admission, tickets.SendStart)
         note = _carry(admission.note)
-        assert isinstance(note, messages.Note)
-        noted = _carry(self.witness.note(0.0, note))
+        assert isinstance(note, messages.StartRequest)
+        noted = _carry(self.witness.record_start(0.0, note))
         assert isinstance(noted, messages.WitnessReply)
-        self.executor.on_witness(0.0, ticket.identity, noted)
+        self.executor.on_start_reply(0.0, ticket.identity, noted)
         outcome = _outcome(f'hall-doi-3-{number:08d}')
         tell = self.executor.finish(0.0, ticket.identity, outcome, _ANSWER)
         assert tell is not None
         last = _carry(tell)
-        assert isinstance(last, messages.Tell)
-        told = _carry(self.witness.tell(0.0, last))
+        assert isinstance(last, messages.OutcomeReport)
+        told = _carry(self.witness.record_outcome(0.0, last))
         return [note, noted, last, told]
 
 
-def _carry(msg: messages.Any) -> messages.Any:
+def _carry(msg: messages.Message) -> messages.Message:
     """Returns what the other process would decode."""
     return messages.decode(messages.encode(msg))
 
@@ -102,13 +102,13 @@
     count = 20_000
     cost = _us_each(bench.run, count)
     print(f'check-in, executor, witness and codec: {cost:.1f} us')
-    ticket = bench.executor.mint(
+    ticket = bench.executor.issue(
         0.0, 'dispatch-desk', 'hall-kok-1.d4c3b2a1', '10.20.31.41:7300'
     )
     assert ticket is not None
     checked = ticket
     cost = _us_each(
-        lambda _: bench.executor.check(checked, 'dispatch-desk'), count
+        lambda _: bench.executor.verify(checked, 'dispatch-desk'), count
     )
     print(f'checking a ticket: {cost:.1f} us')
 
@@ -145,12 +145,15 @@
 
 
 def _fill_claims(size: int) -> object:
-    fold = claimlog.Fold(0, limit=size)
+    fold = claimlog.ClaimFold(0, limit=size)
     for number in range(size):
         msg = _ask(number)
-        identity = keys.identity(msg.service, msg.key)
+        identity = idempotency_keys.key_digest(msg.service, msg.key)
         claim = claimlog.Claim(
-            identity=identity, stamp=0, request=msg.request, body=msg.body
+            identity=identity,
+            stamp=0,
+            request=msg.request,
+            body=msg.body_digest,
         )
         done = claimlog.Done(
             identity=identity,
@@ -168,18 +171,18 @@
     return fold
 
 
-def _ask(number: int) -> messages.AskClaim:
-    return messages.AskClaim(
+def _ask(number: int) -> messages.ClaimRequest:
+    return messages.ClaimRequest(
         service='patrol-reader',
         key=f'c0.tower-{number}',
-        body=f'{number:032x}',
+        body_digest=f'{number:032x}',
         request=f'hall-doi-3-{number:08d}',
         holder='hall-doi-3.a1b2c3d4',
     )
 
 
-def _end(number: int) -> messages.EndClaim:
-    return messages.EndClaim(
+def _end(number: int) -> messages.ClaimReport:
+    return messages.ClaimReport(
         service='patrol-reader',
         key=f'c0.tower-{number}',
         outcome=_outcome(f'hall-doi-3-{number:08d}'),
@@ -197,7 +200,7 @@
         for n in range(keepers)
     ]
     for keeper in members:
-        keeper.on_members(keepers)
+        keeper.set_keeper_count(keepers)
         keeper.on_records(0.0, log.read(0))
     number = 0
     asked: dict[str, float] = {}
@@ -208,21 +211,21 @@
         while number < now * per_s:
             keeper = rng.choice(members)
             msg = _ask(number)
-            keeper.ask(now, msg)
+            keeper.request_claim(now, msg)
             asked[msg.request] = now
             ending.append((now + 2.0, number, keeper))
             number += 1
         while ending and ending[0][0] <= now:
             _, ended, keeper = ending.pop(0)
-            keeper.end(now, _end(ended))
+            keeper.record_outcome(now, _end(ended))
         for keeper in members:
-            for request, _ in fakelog.step(log, keeper, now):
+            for request, _ in fakelog.append_and_read(log, keeper, now):
                 waits.append(now - asked[request])
     waits.sort()
     size = sum(len(data) for data in log.records)
     print(
         f'{per_s:g} summaries/s, {keepers} keepers, {interval_s * 1000:.0f} ms:'
-        f' {log.appends / 20:.0f} appends/s, {log.appends / number:.2f} a'
+        f' {log.append_count / 20:.0f} appends/s, {log.append_count / number:.2f} a'
         f' summary, {size / number:.0f} bytes a summary,'
         f' wait p99 {waits[len(waits) * 99 // 100] * 1000:.0f} ms'
     )
--- a/tests/oncenet.py
+++ b/tests/oncenet.py
@@ -108,8 +108,8 @@
         self, req: oncebench.Request, reply: messages.RunReply
     ) -> history.Response:
         answer = None
-        if reply.answer:
-            text = reply.answer.decode()
+        if reply.response:
+            text = reply.response.decode()
             answer = history.Answer(
                 request=reply.outcome.request,
                 positions=(0,),
