--- a/tests/oncevms.py
+++ b/tests/oncevms.py
@@ -36,26 +36,26 @@
         self._waiting: dict[str, fakenet.Done] = {}
         self.act(self._step)
 
-    def handle(self, msg: messages.Any, done: fakenet.Done) -> None:
+    def handle(self, msg: messages.Message, done: fakenet.Done) -> None:
         match msg:
-            case messages.AskReading():
-                done(self.witness.read(self.now, msg))
-            case messages.Note():
-                done(self.witness.note(self.now, msg))
-            case messages.Void():
+            case messages.ClockRequest():
+                done(self.witness.read_clock(self.now, msg))
+            case messages.StartRequest():
+                done(self.witness.record_start(self.now, msg))
+            case messages.VoidRequest():
                 done(self.witness.void(self.now, msg))
-            case messages.Tell():
-                done(self.witness.tell(self.now, msg))
-            case messages.AskClaim():
-                reply = self.claims.ask(self.now, msg)
+            case messages.OutcomeReport():
+                done(self.witness.record_outcome(self.now, msg))
+            case messages.ClaimRequest():
+                reply = self.claims.request_claim(self.now, msg)
                 if reply is None:
                     self._waiting[msg.request] = done
                 else:
                     done(reply)
-            case messages.EndClaim():
-                self.claims.end(self.now, msg)
+            case messages.ClaimReport():
+                self.claims.record_outcome(self.now, msg)
                 done(messages.Pong())
-            case messages.AskOutcome():
+            case messages.OutcomeRequest():
                 found = self.claims.outcome(msg)
                 if isinstance(found, codes.Code):
                     found = self._bench.outcome('', found)
@@ -63,7 +63,7 @@
 
     def _step(self) -> None:
         self._settle(self.claims.expire(self.now))
-        records = self.claims.batch(self.now)
+        records = self.claims.take_batch(self.now)
         if records:
             self._append(records)
         if not self._bench.log_is_down:
@@ -90,7 +90,7 @@
             lambda: self._settle(self.claims.on_append_failed(self.now, sent)),
         )
 
-    def _settle(self, settled: list[claims.Settled]) -> None:
+    def _settle(self, settled: list[claims.SettledClaim]) -> None:
         for request, reply in settled:
             done = self._waiting.pop(request, None)
             if done:
@@ -117,7 +117,7 @@
 
     def mint(self) -> messages.Ticket | None:
         chosen = self._bench.rng.choice(self._others)
-        return self.executor.mint(
+        return self.executor.issue(
             self.now, 'desk', chosen.incarnation, chosen.address
         )
 
@@ -125,29 +125,29 @@
         for keeper in self._others:
             name = keeper.incarnation
             take = functools.partial(self._on_reading, name)
-            msg = messages.AskReading(witness=name)
+            msg = messages.ClockRequest(witness=name)
             self._ask(keeper.address, msg, take)
         self.act_after(1.0, self._read_witnesses)
 
-    def _on_reading(self, name: str, reply: messages.Any | None) -> None:
+    def _on_reading(self, name: str, reply: messages.Message | None) -> None:
         if isinstance(reply, messages.WitnessReply):
-            self.executor.on_reading(self.now, name, reply)
+            self.executor.on_witness_clock(self.now, name, reply)
 
     def _ask(
         self,
         address: str,
-        msg: messages.Any,
+        msg: messages.Message,
         done: fakenet.Done,
         timeout_s: float = _ASK_S,
     ) -> None:
         self._bench.net.ask(self, address, msg, timeout_s, done)
 
     def _ask_twice(
-        self, address: str, msg: messages.Any, done: fakenet.Done
+        self, address: str, msg: messages.Message, done: fakenet.Done
     ) -> None:
         """Asks again if no reply comes; only for what may come twice."""
 
-        def again(got: messages.Any | None) -> None:
+        def again(got: messages.Message | None) -> None:
             if got is None and self._bench.rules.resend:
                 self._ask(address, msg, done)
             else:
@@ -162,7 +162,7 @@
         elif req.ticket.executor == self.incarnation:
             self._execute(req, reply)
         else:
-            msg = messages.RunTicket(
+            msg = messages.RunRequest(
                 ticket=req.ticket,
                 call=oncebench.CALL,
                 body=req.body,
@@ -175,11 +175,11 @@
                 _RUN_S,
             )
 
-    def handle(self, msg: messages.Any, done: fakenet.Done) -> None:
-        if isinstance(msg, messages.RunTicket):
+    def handle(self, msg: messages.Message, done: fakenet.Done) -> None:
+        if isinstance(msg, messages.RunRequest):
             req = oncebench.Request(msg.request, 'desk', msg.body, msg.ticket)
             if msg.ticket.executor != self.incarnation:
-                done(messages.Fail(code='stranger'))
+                done(messages.ErrorReply(code='stranger'))
             else:
                 self._execute(req, done)
 
@@ -193,19 +193,19 @@
         self,
         req: oncebench.Request,
         reply: oncebench.Reply,
-        got: messages.Any | None,
+        got: messages.Message | None,
     ) -> None:
         if isinstance(got, messages.RunReply):
             reply(got)
             return
         assert req.ticket is not None
-        void = tickets.void(req.ticket, oncebench.CALL, req.body)
+        void = tickets.void_request(req.ticket, oncebench.CALL, req.body)
         address = req.ticket.witness_address
 
-        def judge(got: messages.Any | None) -> None:
+        def judge(got: messages.Message | None) -> None:
             self._voided(req, reply, got)
 
-        def judge_first(got: messages.Any | None) -> None:
+        def judge_first(got: messages.Message | None) -> None:
             noted = (
                 isinstance(got, messages.WitnessReply) and got.status == 'noted'
             )
@@ -223,17 +223,17 @@
         self,
         req: oncebench.Request,
         reply: oncebench.Reply,
-        got: messages.Any | None,
+        got: messages.Message | None,
     ) -> None:
         if not isinstance(got, messages.WitnessReply):
             got = None
-        verdict = tickets.verdict(got)
+        verdict = tickets.verdict_on_void(got)
         if verdict.outcome is None:
             self._refuse(req, reply, verdict.code)
         else:
             reply(
                 messages.RunReply(
-                    outcome=verdict.outcome, answer=verdict.answer
+                    outcome=verdict.outcome, response=verdict.answer
                 )
             )
 
@@ -243,11 +243,11 @@
             self.now, req.ticket, oncebench.CALL, req.body
         )
         match admission:
-            case tickets.SendNote(note=note, address=address):
+            case tickets.SendStart(note=note, address=address):
                 decide = functools.partial(self._noted, req, reply)
                 self._ask_twice(address, note, decide)
-            case tickets.Known(outcome=outcome, answer=answer):
-                reply(messages.RunReply(outcome=outcome, answer=answer))
+            case tickets.AlreadyFinished(outcome=outcome, answer=answer):
+                reply(messages.RunReply(outcome=outcome, response=answer))
             case tickets.Refuse(code=code):
                 self._refuse(req, reply, code)
 
@@ -255,13 +255,13 @@
         self,
         req: oncebench.Request,
         reply: oncebench.Reply,
-        got: messages.Any | None,
+        got: messages.Message | None,
     ) -> None:
         assert req.ticket is not None
         if not isinstance(got, messages.WitnessReply):
             got = None
         identity = req.ticket.identity
-        match self.executor.on_witness(self.now, identity, got):
+        match self.executor.on_start_reply(self.now, identity, got):
             case tickets.Run():
                 self._bench.execute(
                     req,
@@ -270,9 +270,9 @@
                         lambda: self._ended(req, reply, answer)
                     ),
                 )
-            case tickets.GiveUp(code=code) if code is codes.UNKNOWN:
+            case tickets.Abandon(code=code) if code is codes.UNKNOWN:
                 self._refuse(req, reply, code)
-            case tickets.GiveUp(code=code):
+            case tickets.Abandon(code=code):
                 self._finish(req, reply, code, b'')
 
     def _ended(
@@ -295,13 +295,13 @@
         )
         if tell and self._bench.rules.tell:
             self._ask_twice(req.ticket.witness_address, tell, lambda _: None)
-        reply(messages.RunReply(outcome=outcome, answer=answer))
+        reply(messages.RunReply(outcome=outcome, response=answer))
 
     def _claim(self, req: oncebench.Request, reply: oncebench.Reply) -> None:
-        msg = messages.AskClaim(
+        msg = messages.ClaimRequest(
             service=req.service,
             key=req.key,
-            body=req.body.hex(),
+            body_digest=req.body.hex(),
             request=req.request,
             holder=self.incarnation,
         )
@@ -316,12 +316,12 @@
         self,
         req: oncebench.Request,
         reply: oncebench.Reply,
-        got: messages.Any | None,
+        got: messages.Message | None,
     ) -> None:
         if not isinstance(got, messages.ClaimReply):
             got = messages.ClaimReply(status='log-down')
             self._end_claim(req, codes.LOG_DOWN)
-        code = claims.refusal(got, req.alone)
+        code = claims.refusal_of_reply(got, req.alone)
         if code is not None:
             self._refuse(req, reply, code)
         elif got.status == 'won':
@@ -332,7 +332,7 @@
         elif got.outcome is not None:
             reply(messages.RunReply(outcome=got.outcome))
         else:
-            question = messages.AskOutcome(service=req.service, key=req.key)
+            question = messages.OutcomeRequest(service=req.service, key=req.key)
             self._ask_twice(
                 got.owner_address,
                 question,
@@ -343,7 +343,7 @@
         self,
         req: oncebench.Request,
         reply: oncebench.Reply,
-        got: messages.Any | None,
+        got: messages.Message | None,
     ) -> None:
         if isinstance(got, messages.RunReply):
             reply(got)
@@ -355,13 +355,13 @@
     ) -> None:
         code = codes.OK if answer else codes.FAILED
         outcome = self._end_claim(req, code)
-        reply(messages.RunReply(outcome=outcome, answer=answer))
+        reply(messages.RunReply(outcome=outcome, response=answer))
 
     def _end_claim(
         self, req: oncebench.Request, code: codes.Code
     ) -> values.Outcome:
         outcome = self._bench.outcome(req.request, code)
-        msg = messages.EndClaim(
+        msg = messages.ClaimReport(
             service=req.service, key=req.key, outcome=outcome
         )
         self._ask_twice(self._keeper.address, msg, lambda _: None)
--- a/tests/site.py
+++ b/tests/site.py
@@ -17,7 +17,7 @@
 from foxtaildale_platform import records
 from foxtaildale_platform import store
 from foxtaildale_platform import workers
-from foxtaildaled import routing
+from foxtaildaled import router_daemon
 from tests.standins import keyedstore
 from tests.standins import wireworker
 
@@ -87,7 +87,7 @@
     def __init__(self) -> None:
         self.store = keyedstore.KeyedStore()
         self.workers: dict[str, wireworker.WireWorker] = {}
-        self.routers: list[routing.RouterDaemon] = []
+        self.routers: list[router_daemon.RouterDaemon] = []
         self.peers: list[str] = []
         self._number = 0
 
@@ -106,7 +106,7 @@
         seeds: tuple[str, ...] = (),
         retry_burst: float = 20.0,
         first_start: bool = True,
-    ) -> routing.RouterDaemon:
+    ) -> router_daemon.RouterDaemon:
         """Starts a router."""
         self._number += 1
         peer = f'127.0.0.1:{free_port()}'
@@ -124,13 +124,13 @@
             first_start=first_start,
             threads=8,
         )
-        made = routing.Adapters(
+        made = router_daemon.Adapters(
             codec=records.Codec(),
-            store=store.Store,
+            make_store=store.Store,
             decode=calls.decode,
             workers=workers.Workers(),
         )
-        router = routing.RouterDaemon(cfg, made, 0)
+        router = router_daemon.RouterDaemon(cfg, made, 0)
         router.start()
         self.routers.append(router)
         return router
--- a/tests/spread_bench.py
+++ b/tests/spread_bench.py
@@ -44,7 +44,7 @@
 
 def run(keepers: int, fanout: int | None = None) -> Spread:
     """Spreads one switch from the first keeper to all."""
-    fanout = fanout or gossip.fanout_of(keepers)
+    fanout = fanout or gossip.fanout_for(keepers)
     world = _world(keepers)
     beat = len(messages.encode(_beat(world.keepers[0])))
     # Beats and their answers, those of this keeper and those of others.
@@ -63,9 +63,9 @@
     """Returns keepers of which the first has read a switch."""
     world = config_world.World(keepers)
     world.publish(1, 1.0)
-    world.finish()
+    world.finish_operators()
     world.switch(1, None, 1.0)
-    world.finish()
+    world.finish_operators()
     world.keepers[0].poll(world.now)
     world.log.down = True
     return world
@@ -73,7 +73,7 @@
 
 def _beats(world: config_world.World, fanout: int, *, in_step: bool) -> int:
     keepers = {one.name: one for one in world.keepers}
-    turns = {name: gossip.Gossip(name, fanout) for name in keepers}
+    turns = {name: gossip.PeerSelector(name, fanout) for name in keepers}
     order = random.Random(1)
     for beats in range(_LIMIT):
         ahead = {
@@ -86,16 +86,18 @@
         order.shuffle(names)
         for name in names:
             others = [other for other in keepers if other != name]
-            for target in turns[name].targets(others):
+            for target in turns[name].next_targets(others):
                 if not in_step or ahead & {name, target}:
-                    keepers[name].meet(world.now, keepers[target])
+                    keepers[name].exchange_heartbeats(
+                        world.now, keepers[target]
+                    )
     raise AssertionError(f'not spread after {_LIMIT} beats')
 
 
-def _beat(keeper: config_world.Keeper) -> messages.Beat:
+def _beat(keeper: config_world.Keeper) -> messages.KeeperHeartbeat:
     """Returns a beat as large as those of the daemon."""
     return msgspec.structs.replace(
-        keeper.beat(),
+        keeper.heartbeat(),
         entry_vm='vm-halle-nord-123',
         incarnation='keeper@vm-halle-nord-123#0123456789ab',
         address='10.123.123.123:17000',
@@ -124,7 +126,7 @@
     one, two = world.keepers
     began = time.process_time()
     for _ in range(rounds):
-        one.meet(world.now, two)
+        one.exchange_heartbeats(world.now, two)
     meeting = (time.process_time() - began) / rounds
     folded = fold.Fold()
     began = time.process_time()
@@ -151,7 +153,9 @@
         name='ordinary', services=services, retry_burst=offset % 1000
     )
     if offset % 2 == 0:
-        return changes.encode(changes.publish(f'p{offset}', offset, preset))
+        return changes.encode(
+            changes.make_publish(f'p{offset}', offset, preset)
+        )
     return changes.encode(
         changes.Switch(
             id=f's{offset}',
--- a/tests/standins/decoder.py
+++ b/tests/standins/decoder.py
@@ -81,9 +81,9 @@
             self.readers.remove(reader)
             self.since = now
 
-    def piece(self, position: int) -> backends.Piece:
+    def piece(self, position: int) -> backends.Chunk:
         """Returns one piece of the answer."""
-        return backends.Piece(
+        return backends.Chunk(
             request=self.request,
             attempt=self.attempt,
             stream=self.stream,
@@ -91,9 +91,9 @@
             text=self.texts[position],
         )
 
-    def last(self) -> backends.Last:
+    def last(self) -> backends.StreamEnd:
         """Returns the end of the answer."""
-        return backends.Last(
+        return backends.StreamEnd(
             request=self.request,
             attempt=self.attempt,
             stream=self.stream,
@@ -198,7 +198,7 @@
 
     def read(
         self, slot: Slot, position: int, hung_up: Callable[[], bool]
-    ) -> Iterator[backends.Piece | backends.Last | None]:
+    ) -> Iterator[backends.Chunk | backends.StreamEnd | None]:
         """Yields the stream from a position; None while there is nothing.
 
         It ends early when the stream is cancelled or the reader has gone.
@@ -225,13 +225,13 @@
             with self.changed:
                 slot.leave(hung_up, time.monotonic())
 
-    def other(self, slot: Slot) -> backends.Piece:
+    def other(self, slot: Slot) -> backends.Chunk:
         """Returns a piece that belongs to another request."""
         with self.changed:
             for found in self._slots:
                 if found is not slot and found.made:
                     return found.piece(0)
-        return backends.Piece(
+        return backends.Chunk(
             request='elsewhere',
             attempt=1,
             stream='elsewhere',
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -272,11 +272,11 @@
 
 
 def _fault(code: str, message: str = '') -> serving.Response:
-    return serving.as_json(backends.Fault(code, message), _STATUS[code])
+    return serving.as_json(backends.BackendError(code, message), _STATUS[code])
 
 
 def _answer(found: msgspec.Struct) -> serving.Response:
-    if isinstance(found, backends.Fault):
+    if isinstance(found, backends.BackendError):
         return _fault(found.code, found.message)
     return serving.as_json(found)
 
--- a/tests/standins/prefiller.py
+++ b/tests/standins/prefiller.py
@@ -166,7 +166,7 @@
 
     def prefill(
         self, req: backends.PrefillReq, hung_up: Callable[[], bool]
-    ) -> backends.PrefillReply | backends.Fault:
+    ) -> backends.PrefillReply | backends.BackendError:
         """Queues a prompt and waits for its result."""
         with self.changed:
             self._turn += 1
@@ -176,7 +176,7 @@
             while job.kind != 'kv' and not job.cancelled:
                 self.changed.wait()
         if job.cancelled:
-            return backends.Fault('cancelled')
+            return backends.BackendError('cancelled')
         return backends.PrefillReply(
             request=req.request,
             attempt=req.attempt,
--- a/tests/standins/settings.py
+++ b/tests/standins/settings.py
@@ -28,13 +28,13 @@
 
     def take(
         self, order: backends.Order
-    ) -> backends.OrderReply | backends.Fault:
+    ) -> backends.OrderReply | backends.BackendError:
         """Does what an order says, unless it is refused as old."""
         time.sleep(self._order_ms / 1000)
         with self._lock:
             fence = self._set[order.kind][1]
             if self._fenced and order.fence < fence:
-                return backends.Fault(
+                return backends.BackendError(
                     'stale-order', f'the fence stands at {fence}'
                 )
             self._set[order.kind] = (order.value, order.fence)
--- a/tests/standins/spoiler.py
+++ b/tests/standins/spoiler.py
@@ -56,7 +56,7 @@
     def spoil(
         self,
         slot: decoder.Slot,
-        events: Iterator[backends.Piece | backends.Last | None],
+        events: Iterator[backends.Chunk | backends.StreamEnd | None],
     ) -> Iterator[bytes]:
         """Encodes events and does to them what the faults say."""
         sent = 0
@@ -81,8 +81,8 @@
             if sent == faults.cut_after:
                 raise serving.Cut
 
-    def _encode(self, event: backends.Piece | backends.Last) -> bytes:
-        if isinstance(event, backends.Piece):
+    def _encode(self, event: backends.Chunk | backends.StreamEnd) -> bytes:
+        if isinstance(event, backends.Chunk):
             position = event.position
         else:
             position = event.count
--- a/tests/test_reaper.py
+++ b/tests/test_abandoned_holdings.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
+from foxtaildale import abandoned_holdings
 from foxtaildale import backends
-from foxtaildale import reaper
 
 _HOLDER = 'entry@vm-1#a'
 _GRACE_S = 5.0
@@ -42,7 +42,7 @@
     If missing heartbeats alone counted, streams that a live holder still
     serves would be ended.
     """
-    holding_reaper = reaper.Reaper(_GRACE_S)
+    holding_reaper = abandoned_holdings.AbandonedHoldings(_GRACE_S)
     holding = backends.Holding(
         request='r',
         attempt=1,
@@ -53,12 +53,12 @@
     )
 
     def is_abandoned(at: float) -> bool:
-        census = reaper.Census(
+        census = abandoned_holdings.LivenessSnapshot(
             alive=frozenset({_HOLDER} if case.alive else ()),
             heard=frozenset({'vm-1'} if case.heard else ()),
             at=at,
         )
-        return holding_reaper.abandoned(holding, census)
+        return holding_reaper.is_abandoned(holding, census)
 
     assert not is_abandoned(0.0)
     assert is_abandoned(case.missing_s) is case.abandoned
@@ -69,13 +69,19 @@
 
     The grace period must start anew when the holder is missing again.
     """
-    holding_reaper = reaper.Reaper(_GRACE_S)
+    holding_reaper = abandoned_holdings.AbandonedHoldings(_GRACE_S)
     holding = backends.Holding(
         request='r', attempt=1, holder=_HOLDER, kind='stream', age_ms=99_000
     )
     heard = frozenset({'vm-1'})
-    missing = reaper.Census(alive=frozenset(), heard=heard, at=0.0)
-    present = reaper.Census(alive=frozenset({_HOLDER}), heard=heard, at=4.0)
-    missing_again = reaper.Census(alive=frozenset(), heard=heard, at=8.0)
+    missing = abandoned_holdings.LivenessSnapshot(
+        alive=frozenset(), heard=heard, at=0.0
+    )
+    present = abandoned_holdings.LivenessSnapshot(
+        alive=frozenset({_HOLDER}), heard=heard, at=4.0
+    )
+    missing_again = abandoned_holdings.LivenessSnapshot(
+        alive=frozenset(), heard=heard, at=8.0
+    )
     for census in (missing, present, missing_again):
-        assert not holding_reaper.abandoned(holding, census)
+        assert not holding_reaper.is_abandoned(holding, census)
--- a/tests/test_account_path.py
+++ b/tests/test_account_path.py
@@ -64,7 +64,7 @@
 
 
 def _version(site: sites.Site) -> int:
-    versions = [router.version() for router in site.routers]
+    versions = [router.config_version() for router in site.routers]
     return min(version or 0 for version in versions)
 
 
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -19,7 +19,7 @@
 from foxtaildale_platform import calls
 from foxtaildale_platform import names
 from foxtaildale_platform import records
-from foxtaildaled import beliefs
+from foxtaildaled import router_state
 from tests import exchanges
 
 _SECRET = 'k9m68k7b2ex5wa5xwyhk'
@@ -38,16 +38,16 @@
     return json.dumps({'version': version, 'tenants': tenants}).encode()
 
 
-def _state() -> beliefs.Beliefs:
-    return beliefs.Beliefs(
+def _state() -> router_state.RouterState:
+    return router_state.RouterState(
         records.Codec(), '10.0.0.1:1', (), 'here', random.Random(1)
     )
 
 
-def _apply(state: beliefs.Beliefs, offset: int, value: bytes) -> None:
+def _apply(state: router_state.RouterState, offset: int, value: bytes) -> None:
     entry = mirror.Entry(names.CONFIG_KEY, offset, value)
-    keyed = ports.Keyed(offset + 1, (entry,))
-    state.take(names.CONFIG_TOPIC, keyed, 1.0, whole=False)
+    keyed = ports.KeyedRecords(offset + 1, (entry,))
+    state.apply_store_reply(names.CONFIG_TOPIC, keyed, 1.0, is_snapshot=False)
 
 
 def test_an_account_is_decoded_with_its_limit() -> None:
@@ -63,11 +63,11 @@
         ),
     )
     known = routes.Matcher(table).client_accounts
-    account = known.holder(accounts.digest(_SECRET))
+    account = known.by_key(accounts.digest(_SECRET))
     assert account is not None
     assert account.name == 'huka270'
-    assert known.holder(accounts.digest('other')) is None
-    assert known.holder(None) is None
+    assert known.by_key(accounts.digest('other')) is None
+    assert known.by_key(None) is None
 
 
 def test_account_without_limit_fields_has_no_limit() -> None:
@@ -132,16 +132,16 @@
     """
     state = _state()
     _apply(state, 0, _config(3, _TENANT))
-    request = messages.AskRecords(ends={})
-    encoded = messages.encode(state.reply(request, 1.0))
+    request = messages.RecordsRequest(positions={})
+    encoded = messages.encode(state.build_reply(request, 1.0))
     assert b'huka270' in encoded
     other = _state()
     reply = messages.decode(encoded)
     assert isinstance(reply, messages.RecordsReply)
-    other.take_reply(reply, 1.0)
+    other.apply_peer_reply(reply, 1.0)
     for known in (state, other):
         assert known.matcher is not None
-        holder = known.matcher.client_accounts.holder
+        holder = known.matcher.client_accounts.by_key
         assert holder(accounts.digest(_SECRET)) is not None
     assert not any(key.encode() in encoded for key in _TENANT['api_keys'])
 
@@ -161,7 +161,9 @@
     assert records.seal(names.CONFIG_TOPIC, value) == b''
 
 
-def _decode(headers: dict[str, str], *, keyed: bool = True) -> forwarding.Call:
+def _decode(
+    headers: dict[str, str], *, keyed: bool = True
+) -> forwarding.CallerRequest:
     sent = {names.ATTEMPT: 'a1', 'host': 'h'} | headers
     return calls.decode(exchanges.make(headers=sent), keyed=keyed)
 
--- a/tests/test_cancels.py
+++ b/tests/test_cancels.py
@@ -38,10 +38,10 @@
 
 def _make(
     *failures: errors.PortError,
-) -> tuple[cancels.Cancels, Engines, Clock]:
+) -> tuple[cancels.CancelQueue, Engines, Clock]:
     engines: Any = Engines(list(failures))
     clock = Clock()
-    return cancels.Cancels(engines, clock), engines, clock
+    return cancels.CancelQueue(engines, clock), engines, clock
 
 
 def test_a_lost_cancel_is_sent_again() -> None:
@@ -50,11 +50,11 @@
     Its entry is alive, so no reaper comes: the stream would be kept for good.
     """
     queue, engines, clock = _make(
-        errors.AnswerLostError('cut'), errors.UnreachableError('refused')
+        errors.NoReplyError('cut'), errors.UnreachableError('refused')
     )
     queue.add('e:1', _REQ)
     for _ in range(4):
-        queue.step()
+        queue.send_due()
         clock.now += 1.0
     assert engines.asked == ['e:1'] * 3
     assert len(queue) == 0
@@ -63,28 +63,28 @@
 def test_an_engine_that_knows_nothing_of_it_is_not_asked_again() -> None:
     queue, engines, _clock = _make(errors.RejectedError('gone'))
     queue.add('e:1', _REQ)
-    queue.step()
-    queue.step()
+    queue.send_due()
+    queue.send_due()
     assert engines.asked == ['e:1']
 
 
 def test_a_callers_return_in_time_keeps_its_stream() -> None:
     """A connection is lost and the caller comes back within the grace time."""
     queue, engines, clock = _make()
-    queue.add('e:1', _REQ, after_s=5.0)
+    queue.add('e:1', _REQ, delay_s=5.0)
     clock.now = 4.0
-    queue.step()
-    queue.drop('r')
+    queue.send_due()
+    queue.remove_request('r')
     clock.now = 6.0
-    queue.step()
+    queue.send_due()
     assert engines.asked == []
 
 
 def test_a_caller_that_does_not_return_frees_the_engine() -> None:
     queue, engines, clock = _make()
-    queue.add('e:1', _REQ, after_s=5.0)
+    queue.add('e:1', _REQ, delay_s=5.0)
     clock.now = 5.0
-    queue.step()
+    queue.send_due()
     assert engines.asked == ['e:1']
 
 
@@ -92,10 +92,10 @@
     """An engine died for good; asking it for ever would fill the queue."""
     queue, engines, clock = _make(errors.UnreachableError('refused'))
     queue.add('e:1', _REQ)
-    queue.step()
-    queue.forget(frozenset({'e:2'}))
+    queue.send_due()
+    queue.remove_unlisted(frozenset({'e:2'}))
     clock.now += 1.0
-    queue.step()
+    queue.send_due()
     assert engines.asked == ['e:1']
 
 
@@ -105,12 +105,12 @@
     Each cancel for the first would wait for a time-out of its own before the
     other engine hears of its caller.
     """
-    queue, engines, clock = _make(errors.AnswerLostError('hangs'))
+    queue, engines, clock = _make(errors.NoReplyError('hangs'))
     for _ in range(10):
         queue.add('e:1', _REQ)
     queue.add('e:2', _REQ)
-    queue.step()
+    queue.send_due()
     assert engines.asked == ['e:1', 'e:2']
     clock.now += 1.0
-    queue.step()
+    queue.send_due()
     assert len(queue) == 0
--- a/tests/test_claimsearch.py
+++ b/tests/test_claimsearch.py
@@ -25,20 +25,20 @@
 )
 
 
-def _won(request: str) -> claims.Settled:
+def _won(request: str) -> claims.SettledClaim:
     return request, messages.ClaimReply(status='won', request=request)
 
 
-class _RunUnread(claims.Claims):
+class _WinWithoutReadBack(claims.Claims):
     """Wins a claim without reading its record back from the log."""
 
     __slots__ = ()
 
-    def ask(
-        self, now: float, msg: messages.AskClaim
+    def request_claim(
+        self, now: float, msg: messages.ClaimRequest
     ) -> messages.ClaimReply | None:
-        reply = super().ask(now, msg)
-        if reply is None and self._appends.take(now):
+        reply = super().request_claim(now, msg)
+        if reply is None and self._appends.start_append(now):
             return _won(msg.request)[1]
         return reply
 
@@ -48,7 +48,9 @@
 
     __slots__ = ()
 
-    def on_append_failed(self, now: float, sent: bool) -> list[claims.Settled]:
+    def on_append_failed(
+        self, now: float, sent: bool
+    ) -> list[claims.SettledClaim]:
         waiting = list(self._waiting)
         settled = super().on_append_failed(now, sent)
         return [_won(request) for request in waiting] if sent else settled
@@ -61,27 +63,27 @@
 
     def _start(self, first: int) -> None:
         super()._start(first)
-        self._fold = claimlog.Fold(0)
+        self._fold = claimlog.ClaimFold(0)
 
 
-class _AcceptFutureKeys(claimlog.Fold):
+class _AcceptFutureKeys(claimlog.ClaimFold):
     """Accepts a key that carries an offset beyond the end of the log."""
 
     __slots__ = ()
 
     def apply(
         self, offset: int, record: claimlog.Record, item: claimlog.Item
-    ) -> claimlog.Result:
+    ) -> claimlog.ClaimResult:
         return super().apply(max(offset, item.stamp), record, item)
 
 
-class _ReleaseByAnyRequest(claimlog.Fold):
+class _ReleaseByAnyRequest(claimlog.ClaimFold):
     """Releases the key even if another request holds it."""
 
     __slots__ = ()
 
     def _release(
-        self, holding: claimlog.Holding, item: claimlog.Release
+        self, holding: claimlog.KeyState, item: claimlog.Release
     ) -> None:
         own = msgspec.structs.replace(item, request=holding.request)
         super()._release(holding, own)
@@ -113,7 +115,7 @@
     ('rules', 'fault', 'steps'),
     [
         (
-            claimworld.Rules(keeper=_RunUnread, failures=0),
+            claimworld.Rules(keeper=_WinWithoutReadBack, failures=0),
             _STARTED_TWICE,
             4,
         ),
@@ -157,7 +159,7 @@
     ],
 )
 def test_the_search_detects_an_incorrect_fold(
-    fold: type[claimlog.Fold],
+    fold: type[claimlog.ClaimFold],
     rules: claimworld.Rules,
     fault: str,
     steps: int,
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -136,16 +136,16 @@
 
 def test_a_lost_answer_is_followed_up(deck: Deck) -> None:
     """The log appends the record and dies before it answers."""
-    deck.log.fates = ['lost']
-    learnt = deck.submitter().publish(config_world.preset(1))
+    deck.log.append_outcomes = ['lost']
+    learnt = deck.submitter().publish(config_world.make_preset(1))
     assert learnt.result == 'accepted'
     assert len(deck.log.data) == 1
 
 
 def test_an_append_that_never_arrived_is_made_again(deck: Deck) -> None:
     """The connection breaks before the record reaches the log."""
-    deck.log.fates = ['dropped']
-    learnt = deck.submitter().publish(config_world.preset(1))
+    deck.log.append_outcomes = ['dropped']
+    learnt = deck.submitter().publish(config_world.make_preset(1))
     assert learnt.result == 'accepted'
 
 
@@ -157,28 +157,28 @@
     Said to have failed, the operator would be surprised by the switch; said
     to be done, they would rely on one that may never come.
     """
-    deck.submitter().publish(config_world.preset(1))
-    deck.log.fates = ['late'] * 100
+    deck.submitter().publish(config_world.make_preset(1))
+    deck.log.append_outcomes = ['late'] * 100
     before = deck.run('preset', 'switch', 'peak')
     ask = ('preset', 'outcome', 'id-2', '--base', '1')
     still = deck.run(*ask)
-    deck.log.land()
+    deck.log.apply_delayed()
     assert '\n'.join([before, still, deck.run(*ask)]) == snapshot
 
 
 def test_what_never_landed_is_rejected_in_the_end(deck: Deck) -> None:
     """The record is lost for good; asking again must come to an end."""
     sub = deck.submitter()
-    sub.publish(config_world.preset(1))
-    deck.log.fates = ['late'] * 100
-    learnt = sub.switch('peak', config_world.digest(1), None)
+    sub.publish(config_world.make_preset(1))
+    deck.log.append_outcomes = ['late'] * 100
+    learnt = sub.switch('peak', config_world.preset_digest(1), None)
     assert learnt.result == 'not-known'
-    deck.log.data += [b''] * (fold.WINDOW - 1)
+    deck.log.data += [b''] * (fold.VERDICT_WINDOW - 1)
     assert deck.submitter().ask(learnt.id, learnt.base).result == 'not-known'
     deck.log.data += [b'']
     asked = deck.submitter().ask(learnt.id, learnt.base)
     assert (asked.result, asked.reason) == ('rejected', 'never-landed')
-    deck.log.land()
+    deck.log.apply_delayed()
     sub.reader.catch_up()
     assert sub.reader.state.in_force is None
 
@@ -189,8 +189,8 @@
     Its record was accepted; `never landed` would be false.
     """
     sub = deck.submitter()
-    learnt = sub.publish(config_world.preset(1))
-    deck.log.data += [b''] * (fold.WINDOW + 10)
+    learnt = sub.publish(config_world.make_preset(1))
+    deck.log.data += [b''] * (fold.VERDICT_WINDOW + 10)
     sub.reader.catch_up()
     state = sub.reader.state
     deck.log.data.append(
@@ -210,7 +210,7 @@
 
 def test_without_a_checkpoint_nothing_is_claimed(deck: Deck) -> None:
     """All keepers were lost for longer than records are kept."""
-    deck.submitter().publish(config_world.preset(1))
+    deck.submitter().publish(config_world.make_preset(1))
     deck.log.first = 1
     assert 'this command changed nothing' in deck.run(
         'preset', 'switch', 'peak'
@@ -230,7 +230,7 @@
     def read(self, stream: str, offset: int, limit: int = 1000) -> ports.Batch:
         assert stream == explain.STREAM
         if offset < self.first:
-            raise errors.LapsedError(self.first)
+            raise errors.RecordsExpiredError(self.first)
         shown = self.records[offset : offset + limit]
         return ports.Batch(
             self.first,
@@ -307,9 +307,9 @@
 class Keepers:
     """Keepers 1 to 3 answer; 2 is behind and 3 has diverged."""
 
-    def ask(
-        self, address: str, msg: messages.Any, timeout_s: float
-    ) -> messages.Any:
+    def request(
+        self, address: str, msg: messages.Message, timeout_s: float
+    ) -> messages.Message:
         number = int(address.split('.')[3].split(':', maxsplit=1)[0])
         if number > 3:
             raise errors.UnreachableError(address)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -128,7 +128,7 @@
     """
     raw.reply = b'nonsense'
     for call in _calls(raw.address):
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             call()
 
 
@@ -196,7 +196,7 @@
     A client that repeats the call by itself logs the lineman twice.
     """
     control.faults(desk, lose_answers=1)
-    with pytest.raises(errors.AnswerLostError):
+    with pytest.raises(errors.NoReplyError):
         services.Services().call(desk.address, 'check-in', b'{}', 'lost', 5.0)
     ran = [e for e in control.record(desk, 'executions') if e.request == 'lost']
     assert len(ran) == 1
@@ -209,7 +209,7 @@
     """
     control.faults(desk, late_ms=400)
     try:
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             services.Services().call(
                 desk.address, 'check-in', b'{}', 'late', 0.1
             )
@@ -223,7 +223,7 @@
 def test_a_cut_before_the_answer_is_lost_not_unsent(desk: fleet.Proc) -> None:
     with relay.Relay(desk.address) as middle:
         middle.cut()
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             services.Services().call(middle.address, 'c', b'', 'cut', 5.0)
 
 
--- a/tests/test_spread.py
+++ b/tests/test_config_follower.py
@@ -3,10 +3,10 @@
 import pytest
 
 from foxtaildale import changes
+from foxtaildale import config_follower
 from foxtaildale import fold
 from foxtaildale import messages
 from foxtaildale import ports
-from foxtaildale import spread
 from tests import spread_bench
 from tests import test_fold
 
@@ -22,7 +22,7 @@
         self.data.append(changes.encode(change))
 
     def publish(self, name: str) -> str:
-        change = changes.publish(
+        change = changes.make_publish(
             f'p{len(self.data)}', len(self.data), test_fold.make_preset(name)
         )
         self.append(change)
@@ -30,7 +30,7 @@
 
     def switch(self, name: str, expects: int) -> None:
         digest = changes.digest_of(
-            changes.canonical(test_fold.make_preset(name))
+            changes.canonical_form(test_fold.make_preset(name))
         )
         self.append(
             changes.Switch(
@@ -57,8 +57,10 @@
     return stream
 
 
-def make_heartbeat(follower: spread.Follower) -> messages.Beat:
-    return messages.Beat(
+def make_heartbeat(
+    follower: config_follower.Follower,
+) -> messages.KeeperHeartbeat:
+    return messages.KeeperHeartbeat(
         entry_vm=follower.entry_vm,
         incarnation='i',
         data_centre='d',
@@ -69,18 +71,20 @@
     )
 
 
-def poll(now: float, follower: spread.Follower, stream: Stream) -> bool:
+def poll(
+    now: float, follower: config_follower.Follower, stream: Stream
+) -> bool:
     if follower.next_offset < stream.first:
         follower.on_lapsed(now, stream.first)
     return follower.on_batch(now, stream.read(follower.next_offset))
 
 
-def preset_name_in_force(follower: spread.Follower) -> str | None:
+def preset_name_in_force(follower: config_follower.Follower) -> str | None:
     return follower.in_force.preset.name if follower.in_force else None
 
 
 def test_the_preset_in_force_is_read_from_the_log() -> None:
-    follower = spread.Follower('a')
+    follower = config_follower.Follower('a')
     assert not follower.vouched(0)
     assert poll(0, follower, peak_stream())
     assert preset_name_in_force(follower) == 'peak'
@@ -93,7 +97,7 @@
     The VM loses its connections to the log and to all peers, and a switch is
     made meanwhile.
     """
-    follower = spread.Follower('a', freshness_s=30)
+    follower = config_follower.Follower('a', freshness_s=30)
     poll(0, follower, peak_stream())
     assert follower.vouched(30)
     assert not follower.vouched(31)
@@ -106,10 +110,10 @@
     Nothing can be switched during the outage, so an up-to-date peer is
     sufficient confirmation.
     """
-    first, second = spread.Follower('a'), spread.Follower('b')
+    first, second = config_follower.Follower('a'), config_follower.Follower('b')
     for follower in (first, second):
         poll(0, follower, peak_stream())
-    assert not first.on_peer(7200, make_heartbeat(second))
+    assert not first.on_heartbeat(7200, make_heartbeat(second))
     assert first.vouched(7200)
 
 
@@ -118,20 +122,20 @@
 
     The keeper is isolated from the log.
     """
-    first, second = spread.Follower('a'), spread.Follower('b')
+    first, second = config_follower.Follower('a'), config_follower.Follower('b')
     poll(0, first, peak_stream())
-    first.on_peer(100, make_heartbeat(second))
+    first.on_heartbeat(100, make_heartbeat(second))
     assert not first.vouched(100)
     assert not first.divergences
 
 
 def test_a_keeper_started_in_an_outage_pulls_from_a_peer() -> None:
     """Guards against a VM replaced in a log outage that has no preset."""
-    old, new = spread.Follower('a'), spread.Follower('b')
+    old, new = config_follower.Follower('a'), config_follower.Follower('b')
     poll(0, old, peak_stream())
     new.on_log_failed(5)
-    assert new.on_peer(5, make_heartbeat(old))
-    assert new.on_pull(5, old.pull_reply())
+    assert new.on_heartbeat(5, make_heartbeat(old))
+    assert new.on_pull_reply(5, old.pull_reply())
     assert preset_name_in_force(new) == 'peak'
     assert new.vouched(5)
 
@@ -143,13 +147,16 @@
     the last switch; the entries of the keeper's VM already use the new preset.
     """
     stream = peak_stream()
-    behind, restarted = spread.Follower('a'), spread.Follower('b')
+    behind, restarted = (
+        config_follower.Follower('a'),
+        config_follower.Follower('b'),
+    )
     poll(0, behind, stream)
     stream.publish('calm')
     stream.switch('calm', 1)
-    restarted.on_revision(2)
-    restarted.on_peer(1, make_heartbeat(behind))
-    restarted.on_pull(1, behind.pull_reply())
+    restarted.on_entry_revision(2)
+    restarted.on_heartbeat(1, make_heartbeat(behind))
+    restarted.on_pull_reply(1, behind.pull_reply())
     assert preset_name_in_force(restarted) == 'peak'
     assert not restarted.vouched(1)
     poll(2, restarted, stream)
@@ -159,31 +166,31 @@
 def test_an_older_state_is_ignored() -> None:
     """Guards against reverting to the state in a peer's late pull reply."""
     stream = peak_stream()
-    old, new = spread.Follower('a'), spread.Follower('b')
+    old, new = config_follower.Follower('a'), config_follower.Follower('b')
     poll(0, old, stream)
     stale = old.pull_reply()
     stream.publish('calm')
     stream.switch('calm', 1)
     poll(0, new, stream)
-    assert not new.on_pull(1, stale)
+    assert not new.on_pull_reply(1, stale)
     assert preset_name_in_force(new) == 'calm'
     # This state has the same revision but precedes another publication.
     stale = new.pull_reply()
     stream.publish('more')
     poll(2, new, stream)
-    new.on_pull(2, stale)
+    new.on_pull_reply(2, stale)
     assert new.offset == 5
 
 
 def test_a_state_damaged_in_transit_is_ignored() -> None:
     """Guards against a damaged message that still decodes."""
-    old, new = spread.Follower('a'), spread.Follower('b')
+    old, new = config_follower.Follower('a'), config_follower.Follower('b')
     poll(0, old, peak_stream())
     reply = old.pull_reply()
-    bad = messages.PullReply(
+    bad = messages.StateReply(
         offset=reply.offset, digest='x', state=reply.state, listing=None
     )
-    assert not new.on_pull(0, bad)
+    assert not new.on_pull_reply(0, bad)
     assert new.offset == 0
 
 
@@ -192,7 +199,7 @@
 
     The platform loses the stream and restarts it at offset 0.
     """
-    follower = spread.Follower('a', freshness_s=30)
+    follower = config_follower.Follower('a', freshness_s=30)
     poll(0, follower, peak_stream())
     poll(20, follower, Stream())
     assert follower.log_behind
@@ -201,10 +208,10 @@
 
 
 def wait_for_checkpoint(
-    now: float, follower: spread.Follower, stream: Stream
+    now: float, follower: config_follower.Follower, stream: Stream
 ) -> bytes:
     for second in range(60):
-        data = follower.checkpoint_due(now + second / 10, stream.first)
+        data = follower.due_checkpoint(now + second / 10, stream.first)
         if data is not None:
             return data
         poll(now + second / 10, follower, stream)
@@ -214,7 +221,7 @@
 def test_a_keeper_started_late_finds_a_checkpoint() -> None:
     """Guards against a replaced VM that cannot start from expired records."""
     stream = peak_stream()
-    old, new = spread.Follower('a'), spread.Follower('b')
+    old, new = config_follower.Follower('a'), config_follower.Follower('b')
     poll(0, old, stream)
     stream.first = 1
     stream.data.append(wait_for_checkpoint(0, old, stream))
@@ -238,15 +245,15 @@
     stream = peak_stream()
     stream.publish('calm')
     stream.switch('calm', 1)
-    old, new = spread.Follower('a'), spread.Follower('b')
+    old, new = config_follower.Follower('a'), config_follower.Follower('b')
     poll(0, old, stream)
     stream.first = 2
     for now in range(3):
         poll(now, new, stream)
     assert new.in_force is None
     assert not new.vouched(2)
-    assert new.on_peer(2, make_heartbeat(old))
-    assert new.on_pull(2, old.pull_reply())
+    assert new.on_heartbeat(2, make_heartbeat(old))
+    assert new.on_pull_reply(2, old.pull_reply())
     assert preset_name_in_force(new) == 'calm'
     assert new.vouched(2)
 
@@ -257,10 +264,10 @@
     All VMs are replaced together after all records have expired. Both keepers
     then have the same offset and digest.
     """
-    first, second = spread.Follower('a'), spread.Follower('b')
+    first, second = config_follower.Follower('a'), config_follower.Follower('b')
     for follower in (first, second):
         follower.on_batch(0, ports.Batch(5, 5, ()))
-    assert not first.on_peer(0, make_heartbeat(second))
+    assert not first.on_heartbeat(0, make_heartbeat(second))
     assert not first.vouched(0)
     assert first.next_offset == 5
 
@@ -271,7 +278,10 @@
     The VM loses the log for longer than the retention time.
     """
     stream = peak_stream()
-    old, reconnected = spread.Follower('a'), spread.Follower('b')
+    old, reconnected = (
+        config_follower.Follower('a'),
+        config_follower.Follower('b'),
+    )
     poll(0, reconnected, stream)
     stream.publish('calm')
     stream.switch('calm', 1)
@@ -293,21 +303,23 @@
     Nothing is published for days, and records are retained for one day.
     """
     stream = peak_stream()
-    follower = spread.Follower('a', checkpoint_s=600)
+    follower = config_follower.Follower('a', checkpoint_interval_s=600)
     poll(0, follower, stream)
-    assert follower.checkpoint_due(0, 0) is None
+    assert follower.due_checkpoint(0, 0) is None
     poll(599, follower, stream)
-    assert follower.checkpoint_due(599, 0) is None
+    assert follower.due_checkpoint(599, 0) is None
     poll(600, follower, stream)
     stream.data.append(wait_for_checkpoint(600, follower, stream))
     poll(610, follower, stream)
-    assert follower.checkpoint_due(610, 0) is None
+    assert follower.due_checkpoint(610, 0) is None
 
 
 def test_of_many_keepers_few_write_a_due_checkpoint() -> None:
     """Guards against a checkpoint from every keeper after the same poll."""
     stream = peak_stream()
-    followers = [spread.Follower(f'vm-{number}') for number in range(60)]
+    followers = [
+        config_follower.Follower(f'vm-{number}') for number in range(60)
+    ]
     for follower in followers:
         poll(0, follower, stream)
     stream.first = 1
@@ -316,7 +328,7 @@
         for follower in followers:
             poll(now, follower, stream)
         for follower in followers:
-            data = follower.checkpoint_due(now, stream.first, len(followers))
+            data = follower.due_checkpoint(now, stream.first, len(followers))
             if data is not None:
                 stream.data.append(data)
     assert 1 <= len(stream.data) - 2 <= 3
@@ -331,18 +343,20 @@
     stream, other = peak_stream(), Stream()
     other.publish('calm')
     other.switch('calm', 0)
-    good, bad = spread.Follower('a'), spread.Follower('b')
+    good, bad = config_follower.Follower('a'), config_follower.Follower('b')
     poll(0, good, stream)
     poll(0, bad, other)
-    assert not good.on_peer(0, make_heartbeat(bad))
-    assert [divergence.source for divergence in good.divergences.all] == ['b']
-    assert good.dump(0)['divergences'] == good.divergences.all
+    assert not good.on_heartbeat(0, make_heartbeat(bad))
+    assert [divergence.source for divergence in good.divergences.recent] == [
+        'b'
+    ]
+    assert good.dump(0)['divergences'] == good.divergences.recent
     for second in range(30):
         poll(second, good, stream)
-        assert good.checkpoint_due(second, 1) is None
+        assert good.due_checkpoint(second, 1) is None
     other.publish('more')
     poll(1, bad, other)
-    assert not good.on_peer(100, make_heartbeat(bad))
+    assert not good.on_heartbeat(100, make_heartbeat(bad))
     assert preset_name_in_force(good) == 'peak'
 
 
@@ -352,7 +366,7 @@
     other = test_fold.Writer()
     for _ in range(2):
         other.append(b'')
-    good = spread.Follower('a')
+    good = config_follower.Follower('a')
     poll(0, good, stream)
     stream.append(
         changes.Checkpoint(
@@ -371,7 +385,7 @@
         )
     )
     stream.first = 2
-    new = spread.Follower('b')
+    new = config_follower.Follower('b')
     poll(0, new, stream)
     poll(0, new, stream)
     assert not new.vouched(0)
@@ -386,7 +400,7 @@
         changes.Checkpoint(id='x', offset=2, digest='', state=b'\x93\x01')
     )
     stream.first = 2
-    new = spread.Follower('b')
+    new = config_follower.Follower('b')
     poll(0, new, stream)
     assert new.offset == 0
     assert not new.vouched(0)
--- a/tests/test_config_histories.py
+++ b/tests/test_config_histories.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies
 
 from foxtaildale import changes
+from foxtaildale import config_follower
 from foxtaildale import fold
-from foxtaildale import spread
 from foxtaildale_client import reading
 from tests import config_world
 
@@ -95,9 +95,9 @@
         self.highest: dict[tuple[str, int], tuple[int, int]] = {}
         for number in range(_MAX_PUBLISHED):
             self.world.publish(number, 0.0)
-            self.world.finish()
+            self.world.finish_operators()
         self.world.switch(0, None, 0.0)
-        self.world.finish()
+        self.world.finish_operators()
 
     def run(self, event: tuple[Any, ...]) -> None:
         """Runs one event by the method that is named after its kind."""
@@ -123,16 +123,16 @@
     def on_exchange_heartbeats(self, first: int, second: int) -> None:
         if first != second:
             keepers = self.world.keepers
-            keepers[first].meet(self.world.now, keepers[second])
+            keepers[first].exchange_heartbeats(self.world.now, keepers[second])
 
     def on_down(self, down: bool) -> None:
         self.world.log.down = down
 
     def on_append_outcome(self, outcome: config_world.AppendOutcome) -> None:
-        self.world.log.fates.append(outcome)
+        self.world.log.append_outcomes.append(outcome)
 
     def on_apply_delayed(self) -> None:
-        self.world.log.land()
+        self.world.log.apply_delayed()
 
     def on_expire(self, count: int, past_checkpoints: bool) -> None:
         """Expires records; rarely also those that a late reader needs."""
@@ -192,9 +192,9 @@
         """Ends all faults and runs every operator until it has its outcome."""
         log = self.world.log
         log.down = False
-        log.fates.clear()
-        self.world.finish()
-        log.land()
+        log.append_outcomes.clear()
+        self.world.finish_operators()
+        log.apply_delayed()
         for keeper in self.world.keepers:
             keeper.log_unreachable = keeper.peers_unreachable = False
 
@@ -295,7 +295,7 @@
         for first in world.keepers:
             for second in world.keepers:
                 if first is not second:
-                    first.meet(world.now, second)
+                    first.exchange_heartbeats(world.now, second)
 
 
 def _round_count(world: config_world.World) -> int:
@@ -311,9 +311,9 @@
     """
     world = config_world.World(8)
     world.publish(1, 3.0)
-    world.finish()
+    world.finish_operators()
     world.switch(1, None, 3.0)
-    world.finish()
+    world.finish_operators()
     first, *others = world.keepers
     first.poll(world.now)
     world.log.down = True
@@ -321,7 +321,7 @@
         for keeper in world.keepers:
             for peer in world.keepers:
                 if keeper is not peer:
-                    keeper.meet(world.now, peer)
+                    keeper.exchange_heartbeats(world.now, peer)
     assert {keeper.follower.state.revision for keeper in others} == {1}
     assert all(keeper.follower.vouched(world.now) for keeper in others)
-    assert isinstance(first.follower, spread.Follower)
+    assert isinstance(first.follower, config_follower.Follower)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -19,7 +19,7 @@
 ) -> messages.Crash:
     return messages.Crash(
         server=server,
-        born=0,
+        started_at=0,
         fingerprint=fingerprint,
         ran_ms=ran_ms,
         age_ms=age_ms,
@@ -29,73 +29,73 @@
 def _tracker(*reports: messages.Crash) -> crashes.Crashes:
     tracker = crashes.Crashes()
     for crash in reports:
-        tracker.note(0.0, crash)
+        tracker.record(0.0, crash)
     return tracker
 
 
 def test_request_present_at_each_crash_is_blamed() -> None:
     tracker = _tracker(*(_crash(name, _BAD) for name in 'abc'))
-    assert tracker.blamed(crashes.SETTLE_S, ()) == [_BAD]
+    assert tracker.newly_blamed(crashes.SETTLE_S, ()) == [_BAD]
 
 
 def test_two_crashes_blame_no_request() -> None:
     tracker = _tracker(*(_crash(name, _BAD) for name in 'ab'))
-    assert tracker.blamed(10.0, ()) == []
+    assert tracker.newly_blamed(10.0, ()) == []
 
 
 def test_crash_reported_repeatedly_counts_once() -> None:
     """Guards against counting each attempt on a server, or each VM's report."""
     tracker = _tracker(*(_crash('a', _BAD) for _ in range(9)))
-    assert tracker.blamed(10.0, ()) == []
+    assert tracker.newly_blamed(10.0, ()) == []
 
 
 def test_request_lost_beside_the_cause_is_not_blamed() -> None:
     """Guards against blaming a request that was retried beside the cause."""
     beside = [_crash(name, 2, ran_ms=20) for name in 'abc']
     tracker = _tracker(*beside, *(_crash(name, _BAD) for name in 'abcd'))
-    assert tracker.blamed(1.0, ()) == [_BAD]
+    assert tracker.newly_blamed(1.0, ()) == [_BAD]
 
 
 def test_crashes_of_quarantined_request_blame_no_other() -> None:
     """Guards against blaming others while quarantined attempts still run."""
     tracker = _tracker(*(_crash(name, 2) for name in 'abc'))
     for name in 'abc':
-        tracker.note(0.1, _crash(name, _BAD, age_ms=100))
-    assert tracker.blamed(1.0, (_BAD,)) == []
+        tracker.record(0.1, _crash(name, _BAD, age_ms=100))
+    assert tracker.newly_blamed(1.0, (_BAD,)) == []
 
 
 def test_two_simultaneous_causes_are_both_blamed() -> None:
     reports = [_crash(name, _BAD) for name in 'abcd']
     reports += [_crash(name, 2) for name in 'efg']
     reports += [_crash(name, 3, ran_ms=3000) for name in 'abefg']
-    assert sorted(_tracker(*reports).blamed(1.0, ())) == [_BAD, 2]
+    assert sorted(_tracker(*reports).newly_blamed(1.0, ())) == [_BAD, 2]
 
 
 def test_long_responses_on_crashing_servers_are_not_blamed() -> None:
     """Guards against blaming streams that are resumed on crashing servers."""
     tracker = _tracker(*(_crash(name, 2, ran_ms=1500) for name in 'abcde'))
-    assert tracker.blamed(1.0, ()) == []
+    assert tracker.newly_blamed(1.0, ()) == []
 
 
 def test_request_that_crashes_late_is_blamed_after_more_crashes() -> None:
     tracker = _tracker(*(_crash(name, _BAD, ran_ms=4000) for name in 'abcdef'))
-    assert tracker.blamed(1.0, ()) == [_BAD]
+    assert tracker.newly_blamed(1.0, ()) == [_BAD]
 
 
 def test_request_that_waited_is_hardly_suspected() -> None:
     """Guards against blaming requests that were queued on crashing servers."""
     tracker = _tracker(*(_crash(name, 2, ran_ms=700) for name in 'abcde'))
-    assert tracker.blamed(1.0, ()) == []
+    assert tracker.newly_blamed(1.0, ()) == []
 
 
 def test_blame_waits_for_reports_of_other_vms() -> None:
     """Guards against blame before the reports about the cause arrive."""
     tracker = _tracker(*(_crash(name, 2) for name in 'abc'))
-    assert tracker.blamed(crashes.SETTLE_S / 2, ()) == []
+    assert tracker.newly_blamed(crashes.SETTLE_S / 2, ()) == []
     for name in 'abcd':
         crash = _crash(name, _BAD, ran_ms=10, age_ms=250)
-        tracker.note(crashes.SETTLE_S / 2, crash)
-    assert tracker.blamed(crashes.SETTLE_S, ()) == [_BAD]
+        tracker.record(crashes.SETTLE_S / 2, crash)
+    assert tracker.newly_blamed(crashes.SETTLE_S, ()) == [_BAD]
 
 
 def test_request_sent_after_the_crash_is_not_suspected() -> None:
@@ -104,41 +104,41 @@
     for name in 'abc':
         for request in range(100, 300):
             late = _crash(name, request, ran_ms=2)
-            tracker.note(0.25, late)
-        tracker.note(0.26, _crash(name, _BAD, ran_ms=90, age_ms=200))
-    assert tracker.blamed(1.0, ()) == [_BAD]
+            tracker.record(0.25, late)
+        tracker.record(0.26, _crash(name, _BAD, ran_ms=90, age_ms=200))
+    assert tracker.newly_blamed(1.0, ()) == [_BAD]
 
 
 def test_old_crashes_expire() -> None:
     tracker = _tracker(*(_crash(name, _BAD) for name in 'ab'))
-    later = crashes.COUNTS_S + 1.0
-    tracker.note(later, _crash('c', _BAD))
-    assert tracker.blamed(later + 1.0, ()) == []
+    later = crashes.CRASH_TTL_S + 1.0
+    tracker.record(later, _crash('c', _BAD))
+    assert tracker.newly_blamed(later + 1.0, ()) == []
 
 
 def test_completed_request_is_acquitted() -> None:
     tracker = _tracker(*(_crash(name, _BAD) for name in 'abc'))
-    tracker.acquit(_BAD)
-    assert tracker.blamed(1.0, ()) == []
+    tracker.remove_request(_BAD)
+    assert tracker.newly_blamed(1.0, ()) == []
 
 
 def test_memory_is_bounded() -> None:
     tracker = crashes.Crashes()
-    for number in range(2 * crashes.MOST_ENDS):
-        for request in range(2 * crashes.MOST_REQUESTS):
-            tracker.note(0.0, _crash(f's{number}', request))
-    assert len(tracker._ends) == crashes.MOST_ENDS
-    sizes = {len(crash.ran) for crash in tracker._ends.values()}
-    assert sizes == {crashes.MOST_REQUESTS}
+    for number in range(2 * crashes.MAX_CRASHES):
+        for request in range(2 * crashes.MAX_REQUESTS):
+            tracker.record(0.0, _crash(f's{number}', request))
+    assert len(tracker._crashes) == crashes.MAX_CRASHES
+    sizes = {len(crash.requests) for crash in tracker._crashes.values()}
+    assert sizes == {crashes.MAX_REQUESTS}
 
 
 def test_latest_requests_of_busy_server_are_remembered() -> None:
     tracker = crashes.Crashes()
     for name in 'abc':
-        tracker.note(0.0, _crash(name, _BAD, ran_ms=40))
+        tracker.record(0.0, _crash(name, _BAD, ran_ms=40))
         for request in range(2, 200):
-            tracker.note(0.0, _crash(name, request, ran_ms=100 + request))
-    assert tracker.blamed(1.0, ())[0] == _BAD
+            tracker.record(0.0, _crash(name, request, ran_ms=100 + request))
+    assert tracker.newly_blamed(1.0, ())[0] == _BAD
 
 
 class _CrashingServers:
@@ -177,7 +177,7 @@
         while self.events[0][0] < end_s:
             now, _, event = heapq.heappop(self.events)
             event(now)
-            self.blamed += self.tracker.blamed(now, self.blamed)
+            self.blamed += self.tracker.newly_blamed(now, self.blamed)
 
     def arrive(self, now: float) -> None:
         self.request_count += 1
@@ -194,7 +194,7 @@
         def finish(_: float) -> None:
             # A crashed server has no running requests.
             if running.pop(request, None) is not None:
-                self.tracker.acquit(request)
+                self.tracker.remove_request(request)
 
         self.schedule(now + self.rng.expovariate(1 / self._RESPONSE_S), finish)
 
@@ -211,7 +211,7 @@
         self.running[server] = None
         for request, (began, _) in lost.items():
             ran_ms = int((now - began) * 1000)
-            self.tracker.note(now, _crash(f'{server}/{now}', request, ran_ms))
+            self.tracker.record(now, _crash(f'{server}/{now}', request, ran_ms))
         for request, (_, retries) in lost.items():
             if retries:
                 self.send(now, request, retries - 1)
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -46,8 +46,8 @@
     return b'id: w/s/%d\ndata: %s\n\n' % (position, data)
 
 
-def _piece(position: int, request: str = 'r') -> backends.Piece:
-    return backends.Piece(
+def _piece(position: int, request: str = 'r') -> backends.Chunk:
+    return backends.Chunk(
         request=request,
         attempt=1,
         stream='s',
@@ -56,14 +56,16 @@
     )
 
 
-_LAST = backends.Last(request='r', attempt=1, stream='s', count=12, digest='0')
+_LAST = backends.StreamEnd(
+    request='r', attempt=1, stream='s', count=12, digest='0'
+)
 _WHOLE = [*[_piece(i) for i in range(12)], _LAST]
 _BYTES = b''.join(_event(event, i) for i, event in enumerate(_WHOLE))
 
 
 def _read(
     blocks: Sequence[bytes], error: Exception | None = None
-) -> list[backends.Piece | backends.Last]:
+) -> list[backends.Chunk | backends.StreamEnd]:
     return list(events.Stream(_Body(blocks, error), 60.0))
 
 
@@ -94,7 +96,7 @@
     the whole.
     """
     stream = events.Stream(_Body([_BYTES[:length]] if length else []), 60.0)
-    with pytest.raises(errors.AnswerLostError):
+    with pytest.raises(errors.NoReplyError):
         for event in stream:
             assert event in _WHOLE[:-1]
 
@@ -107,7 +109,7 @@
     Any other error would end the entry's thread, and the caller would wait
     for an answer that nobody sends.
     """
-    with pytest.raises(errors.AnswerLostError):
+    with pytest.raises(errors.NoReplyError):
         _read([b'data: ', *[block for block in blocks if block], b'\n\n'])
 
 
@@ -136,10 +138,10 @@
 
     They were generated and paid for; a resume starts behind them.
     """
-    cut = errors.AnswerLostError('cut')
+    cut = errors.NoReplyError('cut')
     stream = events.Stream(_Body([_BYTES[: len(_BYTES) // 2]], cut), 60.0)
-    got: list[backends.Piece | backends.Last] = []
-    with pytest.raises(errors.AnswerLostError):
+    got: list[backends.Chunk | backends.StreamEnd] = []
+    with pytest.raises(errors.NoReplyError):
         for event in stream:
             got.append(event)
     assert got == _WHOLE[: len(got)]
@@ -155,7 +157,7 @@
     stream = events.Stream(
         _Body([b': still here\n\n'] * 50), 3.0, lambda: float(next(ticks))
     )
-    with pytest.raises(errors.AnswerLostError, match='in time'):
+    with pytest.raises(errors.NoReplyError, match='in time'):
         next(stream)
 
 
@@ -165,5 +167,5 @@
     Kept as they come they would fill the entry's memory.
     """
     block = b'x' * 65536
-    with pytest.raises(errors.AnswerLostError, match='above'):
+    with pytest.raises(errors.NoReplyError, match='above'):
         _read([block] * 1000)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -18,14 +18,14 @@
 
 def _preset(deployment: str, name: str) -> values.Preset:
     path = _EXAMPLES / deployment / f'{name}.json5'
-    return settings.preset(path.read_text(encoding='utf-8'), path.name)
+    return settings.parse_preset(path.read_text(encoding='utf-8'), path.name)
 
 
 @pytest.mark.parametrize(
     'path', _example_files('*/vm-*.json5'), ids=lambda p: p.name
 )
 def test_daemon_settings_match_their_file_names(path: pathlib.Path) -> None:
-    cfg = settings.options(path.read_text(encoding='utf-8'), path.name)
+    cfg = settings.parse_options(path.read_text(encoding='utf-8'), path.name)
     assert isinstance(cfg, options.Options)
     assert path.stem == f'{cfg.entry_vm}-{cfg.role}'
 
@@ -34,7 +34,7 @@
 def test_entry_and_keeper_settings_of_a_vm_agree(deployment: str) -> None:
     """An entry with a wrong keeper address receives no configuration."""
     entry, keeper = (
-        settings.options(path.read_text(encoding='utf-8'), path.name)
+        settings.parse_options(path.read_text(encoding='utf-8'), path.name)
         for path in _example_files(f'{deployment}/vm-*.json5')
     )
     assert (entry.role, keeper.role) == ('entry', 'keeper')
--- a/tests/test_experience.py
+++ b/tests/test_failure_rates.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from foxtaildale import experience
+from foxtaildale import failure_rates
 from foxtaildale import fleet
 from foxtaildale import forwarding
 
@@ -26,9 +26,9 @@
     def __init__(self, vms: int, *, shared: bool) -> None:
         self.rng = random.Random(5)
         self.shared = shared
-        self.reader = experience.Experience()
+        self.reader = failure_rates.FailureRates()
         self.vms = [
-            (fleet.Fleet('here', self.rng), experience.Experience())
+            (fleet.Fleet('here', self.rng), failure_rates.FailureRates())
             for _ in range(vms)
         ]
         for servers, _ in self.vms:
@@ -61,8 +61,8 @@
     def _exchange_rates(self, number: int, now: float) -> None:
         servers, results = self.vms[number]
         if self.shared:
-            self.reader.told(now, results.news())
-            servers.told_failing(self.reader.rates(now), now)
+            self.reader.merge(now, results.take_unsent())
+            servers.update_failure_rates(self.reader.rates(now), now)
 
     def _request(self, now: float) -> None:
         servers, results = self.rng.choice(self.vms)
@@ -70,11 +70,11 @@
         server = servers.candidates('s', now, repeatable=not once)[0].backend.id
         in_fault = _FAULT_PERIOD_S[0] <= now < _FAULT_PERIOD_S[1]
         lost = in_fault and server != 'c' and self.rng.random() < _LOST_PART
-        results.note(server, failed=lost)
+        results.record(server, failed=lost)
         if lost:
-            servers.failed(server, now)
+            servers.record_failure(server, now)
         else:
-            servers.answered(server, now, _REQUEST_S)
+            servers.record_success(server, now, _REQUEST_S)
         if in_fault and once:
             self.sent += 1
             self.lost += lost
@@ -99,9 +99,12 @@
     servers = fleet.Fleet('here', random.Random(1))
     for name in 'ab':
         servers.put(forwarding.Backend(id=name, service='s', address='x:1'))
-    servers.told_failing({'a': 0.14, 'b': 0.14}, 1.0)
-    assert all(tally.failing_now(1.0) == 0.0 for tally in servers.known())
-    servers.told_failing({'a': 0.14, 'b': 0.5}, 2.0)
+    servers.update_failure_rates({'a': 0.14, 'b': 0.14}, 1.0)
+    assert all(
+        tally.current_failure_rate(1.0) == 0.0
+        for tally in servers.server_states()
+    )
+    servers.update_failure_rates({'a': 0.14, 'b': 0.5}, 2.0)
     assert servers.candidates('s', 2.0)[0].backend.id == 'a'
 
 
@@ -111,8 +114,11 @@
         servers.put(
             forwarding.Backend(id=name, service=f's{name}', address='x:1')
         )
-    servers.told_failing({'a': 0.0, 'b': 0.5, 'gone': 0.2}, 1.0)
-    assert all(tally.failing_now(1.0) == 0.0 for tally in servers.known())
+    servers.update_failure_rates({'a': 0.0, 'b': 0.5, 'gone': 0.2}, 1.0)
+    assert all(
+        tally.current_failure_rate(1.0) == 0.0
+        for tally in servers.server_states()
+    )
 
 
 def test_old_failure_rates_expire() -> None:
@@ -120,26 +126,26 @@
     servers = fleet.Fleet('here', random.Random(1))
     for name in 'ab':
         servers.put(forwarding.Backend(id=name, service='s', address='x:1'))
-    servers.told_failing({'a': 0.0, 'b': 0.5}, 1.0)
+    servers.update_failure_rates({'a': 0.0, 'b': 0.5}, 1.0)
     first = [
-        servers.candidates('s', 1.0 + fleet.FAILING_S)[0].backend.id
+        servers.candidates('s', 1.0 + fleet.FAILURE_RATE_TTL_S)[0].backend.id
         for _ in range(40)
     ]
     assert set(first) == {'a', 'b'}
 
 
 def test_a_few_requests_give_no_failure_rate() -> None:
-    results = experience.Experience()
-    results.told(0.0, {'a': (2.0, 2.0)})
+    results = failure_rates.FailureRates()
+    results.merge(0.0, {'a': (2.0, 2.0)})
     assert results.rates(0.0) == {}
-    results.told(0.0, {'a': (3.0, 2.0)})
+    results.merge(0.0, {'a': (3.0, 2.0)})
     assert results.rates(0.0) == {'a': pytest.approx(0.8)}
-    assert results.rates(10 * experience.HALF_S) == {}
+    assert results.rates(10 * failure_rates.HALF_LIFE_S) == {}
 
 
 def test_each_result_is_reported_once() -> None:
-    results = experience.Experience()
-    results.note('a', failed=True)
-    results.note('a', failed=False)
-    assert results.news() == {'a': (2.0, 1.0)}
-    assert results.news() == {}
+    results = failure_rates.FailureRates()
+    results.record('a', failed=True)
+    results.record('a', failed=False)
+    assert results.take_unsent() == {'a': (2.0, 1.0)}
+    assert results.take_unsent() == {}
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -5,7 +5,7 @@
 from foxtaildale import fingerprint
 from foxtaildale import forwarding
 
-_CALL = forwarding.Call(
+_CALL = forwarding.CallerRequest(
     id='a1',
     method='POST',
     target='/chat/x',
@@ -18,13 +18,13 @@
 
 
 def _fingerprint(**changed: object) -> int:
-    return fingerprint.of(msgspec.structs.replace(_CALL, **changed))
+    return fingerprint.compute(msgspec.structs.replace(_CALL, **changed))
 
 
 def test_attempts_of_one_request_share_a_fingerprint() -> None:
     same = {'id': 'b2', 'headers': (('x', 'y'),), 'prompt_tokens': 7}
     assert _fingerprint(**same) == _fingerprint()
-    assert len(fingerprint.text(_fingerprint())) == 16
+    assert len(fingerprint.to_text(_fingerprint())) == 16
 
 
 def test_different_requests_have_different_fingerprints() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,13 +36,15 @@
 def test_least_loaded_server_is_first() -> None:
     servers = _fleet('a', 'b', 'c')
     for name in ('a', 'a', 'b'):
-        servers.sent(name)
+        servers.record_sent(name)
     assert _order(servers) == ['c', 'b', 'a']
 
 
 def test_fresh_report_counts_requests_of_other_vms() -> None:
     servers = _fleet('a', 'b')
-    servers.loaded('a', 0.0, forwarding.Load(running=5, waiting=0, slots=6))
+    servers.record_load(
+        'a', 0.0, forwarding.Load(running=5, waiting=0, slots=6)
+    )
     assert _order(servers, 0.1) == ['b', 'a']
 
 
@@ -52,8 +54,10 @@
     Skipping it for longer would put needless load on the others.
     """
     servers = _fleet('a', 'b')
-    servers.loaded('a', 0.0, forwarding.Load(running=5, waiting=0, slots=6))
-    servers.sent('b')
+    servers.record_load(
+        'a', 0.0, forwarding.Load(running=5, waiting=0, slots=6)
+    )
+    servers.record_sent('b')
     assert _order(servers, fleet.LOAD_FRESH_S + 0.1) == ['a', 'b']
 
 
@@ -63,21 +67,21 @@
     Callers receive errors for as long as it gets its full share.
     """
     servers = _fleet('a', 'b')
-    servers.failed('a', 0.0)
+    servers.record_failure('a', 0.0)
     for _ in range(3):
-        servers.sent('b')
+        servers.record_sent('b')
     assert _order(servers, 0.1) == ['b', 'a']
-    assert _order(servers, 4 * fleet.FAULT_HALF_S) == ['a', 'b']
+    assert _order(servers, 4 * fleet.FAILURE_HALF_LIFE_S) == ['a', 'b']
 
 
 def test_slow_server_gets_fewer_requests() -> None:
     servers = _fleet('a', 'b', 'c')
     for name, took_s in (('a', 0.5), ('b', 0.06), ('c', 0.06)):
         for _ in range(20):
-            servers.answered(name, 0.0, took_s)
+            servers.record_success(name, 0.0, took_s)
     for name in ('b', 'c'):
         for _ in range(3):
-            servers.sent(name)
+            servers.record_sent(name)
     assert _order(servers)[-1] == 'a'
 
 
@@ -99,14 +103,14 @@
     available, an expired entry means that the server crashed.
     """
     servers = _fleet('a')
-    servers.remove('a', 10.0, store_well=well)
+    servers.remove('a', 10.0, store_healthy=well)
     assert _order(servers, 10.5) == left
-    assert _order(servers, 10.0 + fleet.VANISHED_S + 0.1) == []
+    assert _order(servers, 10.0 + fleet.VANISHED_GRACE_S + 0.1) == []
 
 
 def test_entry_that_was_registered_again_stays() -> None:
     servers = _fleet('a')
-    servers.remove('a', 10.0, store_well=False)
+    servers.remove('a', 10.0, store_healthy=False)
     servers.put(_backend('a'))
     assert _order(servers, 20.0) == ['a']
 
@@ -114,8 +118,8 @@
 def test_announced_departure_removes_server_at_once() -> None:
     servers = _fleet('a')
     servers.put(_backend('a', leaving=True))
-    servers.remove('a', 10.0, store_well=False)
-    assert servers.tally('a') is None
+    servers.remove('a', 10.0, store_healthy=False)
+    assert servers.server_state('a') is None
 
 
 def test_stage_never_loses_all_workers() -> None:
@@ -126,21 +130,21 @@
     servers = fleet.Fleet('here', random.Random(1))
     for name in ('d1', 'd2'):
         servers.put(_backend(name, 'decode'))
-        servers.failed(name, 0.0)
+        servers.record_failure(name, 0.0)
     for name in ('p1', 'p2'):
         servers.put(_backend(name, 'prefill'))
-    servers.failed('p1', 0.0)
+    servers.record_failure('p1', 0.0)
     assert servers.faulty('s', 0.1) == ('p1',)
-    assert servers.faulty('s', 10 * fleet.FAULT_HALF_S) == ()
+    assert servers.faulty('s', 10 * fleet.FAILURE_HALF_LIFE_S) == ()
 
 
 def test_counts_of_unknown_servers_are_ignored() -> None:
     servers = _fleet('a')
-    for call in (servers.sent, servers.ended):
+    for call in (servers.record_sent, servers.record_finished):
         call('x')
-    servers.failed('x', 0.0)
-    servers.full('x', 0.0)
-    servers.answered('x', 0.0)
+    servers.record_failure('x', 0.0)
+    servers.record_full('x', 0.0)
+    servers.record_success('x', 0.0)
     assert _order(servers) == ['a']
 
 
@@ -150,6 +154,6 @@
 ) -> None:
     """Another server has its address, or it had no capacity for a moment."""
     servers = _fleet('a', 'b')
-    head = forwarding.Head(status=status, headers=(), ran='no')
-    servers.not_run('a', 0.0, misdirected=head.misdirected)
+    head = forwarding.ResponseHead(status=status, headers=(), ran='no')
+    servers.record_not_run('a', 0.0, misdirected=head.misdirected)
     assert _order(servers, 0.01) == left
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -90,7 +90,7 @@
 
     Passed on as whole, a caller would take a part of it for the answer.
     """
-    with pytest.raises(errors.AnswerLostError):
+    with pytest.raises(errors.NoReplyError):
         _whole(data)
 
 
@@ -105,7 +105,7 @@
     with _server(lambda _sock: None) as address:
         req = _request(address)
         req.send(1.0)
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             req.answer(1.0)
 
 
@@ -114,7 +114,7 @@
         req = _request(address)
         req.send(1.0)
         began = time.monotonic()
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             req.answer(0.1)
         assert time.monotonic() - began < 0.8
 
@@ -135,7 +135,7 @@
         req = _request(address)
         req.send(1.0)
         threading.Timer(0.1, req.cancel).start()
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             req.answer(5.0)
         assert closed.wait(2)
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -41,7 +41,7 @@
 
 
 def piece(position: int, text: str, request: str = 'r') -> bytes:
-    found = backends.Piece(
+    found = backends.Chunk(
         request=request, attempt=1, stream='s', position=position, text=text
     )
     return b'id: x\ndata: %b\n\n' % msgspec.json.encode(found)
@@ -50,7 +50,7 @@
 def answer(texts: list[str]) -> bytes:
     """Returns the events of a whole answer."""
     digest = xxhash.xxh64_hexdigest(''.join(texts).encode())
-    last = backends.Last(
+    last = backends.StreamEnd(
         request='r', attempt=1, stream='s', count=len(texts), digest=digest
     )
     pieces = [piece(position, text) for position, text in enumerate(texts)]
@@ -114,7 +114,7 @@
 def test_an_event_without_an_end_is_not_kept() -> None:
     """An engine gone wrong sends one event for ever."""
     found = make(Kept())
-    with pytest.raises(errors.AnswerLostError):
+    with pytest.raises(errors.NoReplyError):
         for _ in range(40):
             found.feed(b'x' * 65536)
 
@@ -149,7 +149,7 @@
     far.sendall(piece(0, 'a'))
     far.close()
     found = make(Kept())
-    with near, pytest.raises(errors.AnswerLostError, match='ended'):
+    with near, pytest.raises(errors.NoReplyError, match='ended'):
         found.run(carrier, near, PATIENCE_S)
     assert found.last is None
 
@@ -157,7 +157,7 @@
 def test_a_silent_stream_is_lost(carrier: pump.Pump) -> None:
     """Something between forgot the connection; no end will ever come."""
     near, far = socket.socketpair()
-    with near, far, pytest.raises(errors.AnswerLostError, match='silent'):
+    with near, far, pytest.raises(errors.NoReplyError, match='silent'):
         make(Kept()).run(carrier, near, 0.1)
 
 
@@ -169,7 +169,7 @@
         fut = pool.submit(make(Kept()).run, carrier, handle, PATIENCE_S)
         near.shutdown(socket.SHUT_RDWR)
         near.close()
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             fut.result(PATIENCE_S)
         handle.close()
 
@@ -183,7 +183,7 @@
         bad = pool.submit(make(Kept()).run, carrier, near, PATIENCE_S)
         good = pool.submit(make(kept).run, carrier, other_near, PATIENCE_S)
         far.sendall(b'data: {garbage\n\n')
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             bad.result(PATIENCE_S)
         other_far.sendall(answer(['a', 'b']))
         good.result(PATIENCE_S)
@@ -199,9 +199,9 @@
     with near, far, concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(make(Kept()).run, carrier, near, PATIENCE_S)
         carrier.close()
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             fut.result(PATIENCE_S)
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             carrier.carry(near, make(Kept()), PATIENCE_S)
 
 
@@ -294,7 +294,7 @@
         stream = engines.Engines().decode(address, req, PATIENCE_S)
         next(stream)
         stream.close()
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             flow.take_over(stream)
         engine.join()
 
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -28,7 +28,9 @@
 
     def publish(self, name: str, burst: int = 3) -> str:
         base = self.fold.offset
-        change = changes.publish(f'p{base}', base, make_preset(name, burst))
+        change = changes.make_publish(
+            f'p{base}', base, make_preset(name, burst)
+        )
         self.append(change)
         return change.digest
 
@@ -96,7 +98,7 @@
     )
     writer.append(late_switch)
     assert writer.switch('b', 'calm', calm_digest, 0) == ''
-    for _ in range(fold.WINDOW):
+    for _ in range(fold.VERDICT_WINDOW):
         writer.append(b'')
     assert writer.fold.verdict('late') is None
     writer.append(late_switch)
@@ -106,7 +108,7 @@
 @pytest.mark.parametrize(
     ('digest', 'data'),
     [
-        ('', changes.canonical(make_preset('a'))),
+        ('', changes.canonical_form(make_preset('a'))),
         (changes.digest_of(b'{}'), b'{}'),
         (changes.digest_of(b'\xff'), b'\xff'),
         (changes.digest_of(b' ' * 40_000), b' ' * 40_000),
@@ -150,7 +152,10 @@
 _CHANGES = strategies.one_of(
     strategies.binary(max_size=12),
     strategies.builds(
-        changes.publish, _IDS, _SMALL_INTS, strategies.sampled_from(_PRESETS)
+        changes.make_publish,
+        _IDS,
+        _SMALL_INTS,
+        strategies.sampled_from(_PRESETS),
     ),
     strategies.builds(
         changes.Switch,
@@ -158,7 +163,7 @@
         base=_SMALL_INTS,
         name=strategies.sampled_from(['x', 'y']),
         digest=strategies.sampled_from(
-            [changes.digest_of(changes.canonical(p)) for p in _PRESETS]
+            [changes.digest_of(changes.canonical_form(p)) for p in _PRESETS]
         ),
         expects=_SMALL_INTS,
     ),
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,15 +10,17 @@
 from bench import quota
 from foxtaildale import accounts
 from foxtaildale import allowances
-from foxtaildale import bucket
 from foxtaildale import shares
+from foxtaildale import token_bucket
 
 _LIMIT = accounts.Limit(unit='token', rate=1000.0, burst=2000.0)
 _ACCOUNT = accounts.Account(name='a', limit=_LIMIT)
 
 
-def _full(limit: accounts.Limit = _LIMIT, now: float = 0.0) -> bucket.Bucket:
-    return bucket.Bucket(limit, now, limit.burst)
+def _full(
+    limit: accounts.Limit = _LIMIT, now: float = 0.0
+) -> token_bucket.Bucket:
+    return token_bucket.Bucket(limit, now, limit.burst)
 
 
 @pytest.mark.parametrize(
@@ -42,11 +44,11 @@
     the delay is wasted.
     """
     account_bucket = _full()
-    assert account_bucket.take(0.0, 1800.0) == 0.0
-    wait_s = account_bucket.take(0.0, 900.0)
+    assert account_bucket.try_spend(0.0, 1800.0) == 0.0
+    wait_s = account_bucket.try_spend(0.0, 900.0)
     assert wait_s == pytest.approx(0.7)
-    assert account_bucket.take(wait_s - 0.01, 900.0) > 0
-    assert account_bucket.take(wait_s + 0.01, 900.0) == 0.0
+    assert account_bucket.try_spend(wait_s - 0.01, 900.0) > 0
+    assert account_bucket.try_spend(wait_s + 0.01, 900.0) == 0.0
 
 
 def test_requests_refused_together_get_successive_waits() -> None:
@@ -56,19 +58,19 @@
     good.
     """
     account_bucket = _full()
-    assert account_bucket.take(0.0, 2000.0) == 0.0
-    waits = [account_bucket.take(0.0, 400.0) for _ in range(6)]
+    assert account_bucket.try_spend(0.0, 2000.0) == 0.0
+    waits = [account_bucket.try_spend(0.0, 400.0) for _ in range(6)]
     assert sorted(set(waits)) == waits
     for wait_s in waits:
-        assert account_bucket.take(wait_s + 0.001, 400.0) == 0.0
+        assert account_bucket.try_spend(wait_s + 0.001, 400.0) == 0.0
 
 
 def test_cost_of_request_that_did_not_run_is_refunded() -> None:
     account_bucket = _full()
-    assert account_bucket.take(0.0, 2000.0) == 0.0
-    account_bucket.give_back(0.0, 2000.0)
-    assert account_bucket.take(0.0, 2000.0) == 0.0
-    account_bucket.give_back(5.0, 2000.0)
+    assert account_bucket.try_spend(0.0, 2000.0) == 0.0
+    account_bucket.refund(0.0, 2000.0)
+    assert account_bucket.try_spend(0.0, 2000.0) == 0.0
+    account_bucket.refund(5.0, 2000.0)
     assert account_bucket.level(5.0) == 2000.0
 
 
@@ -79,26 +81,26 @@
     again; if they were always admitted, it would exceed its limit.
     """
     account_bucket = _full()
-    assert account_bucket.take(0.0, 5000.0) == 0.0
+    assert account_bucket.try_spend(0.0, 5000.0) == 0.0
     assert account_bucket.level(0.0) == -3000.0
-    assert account_bucket.take(0.0, 5000.0) == pytest.approx(5.0)
-    assert account_bucket.take(2.9, 1.0) > 0
+    assert account_bucket.try_spend(0.0, 5000.0) == pytest.approx(5.0)
+    assert account_bucket.try_spend(2.9, 1.0) > 0
 
 
 def test_raised_and_lowered_limits_apply_at_once() -> None:
     account_bucket = _full()
-    account_bucket.take(0.0, 2000.0)
-    account_bucket.on_limit(0.0, accounts.Limit(rate=1000.0, burst=5000.0))
-    assert account_bucket.take(0.0, 3000.0) == 0.0
+    account_bucket.try_spend(0.0, 2000.0)
+    account_bucket.set_limit(0.0, accounts.Limit(rate=1000.0, burst=5000.0))
+    assert account_bucket.try_spend(0.0, 3000.0) == 0.0
     full = _full()
-    full.on_limit(0.0, accounts.Limit(rate=10.0, burst=100.0))
-    assert full.take(0.0, 100.0) == 0.0
-    assert full.take(0.0, 100.0) == pytest.approx(10.0)
+    full.set_limit(0.0, accounts.Limit(rate=10.0, burst=100.0))
+    assert full.try_spend(0.0, 100.0) == 0.0
+    assert full.try_spend(0.0, 100.0) == pytest.approx(10.0)
 
 
 def test_limit_without_a_burst_still_admits() -> None:
-    account_bucket = bucket.Bucket(accounts.Limit(rate=100.0), 0.0, 1e9)
-    assert account_bucket.take(0.0, 20.0) == 0.0
+    account_bucket = token_bucket.Bucket(accounts.Limit(rate=100.0), 0.0, 1e9)
+    assert account_bucket.try_spend(0.0, 20.0) == 0.0
 
 
 def test_large_requests_are_not_starved_by_smaller_ones() -> None:
@@ -116,7 +118,7 @@
         now += rng.expovariate(20.0)
         cost = 8000 if rng.random() < 0.3 else 2000
         asked[cost] += 1
-        served[cost] += not account_bucket.take(now, cost)
+        served[cost] += not account_bucket.try_spend(now, cost)
     share = {cost: served[cost] / asked[cost] for cost in asked}
     assert share[8000] >= 0.5 * share[2000], share
 
@@ -128,19 +130,19 @@
     for it.
     """
     account_bucket = _full()
-    assert account_bucket.take(0.0, 1000.0) == 0.0
-    assert account_bucket.take(0.0, 1500.0) > 0
-    assert account_bucket.take(0.0, 100.0) == 0.0
-    assert account_bucket.take(0.0, 500.0) > 0
+    assert account_bucket.try_spend(0.0, 1000.0) == 0.0
+    assert account_bucket.try_spend(0.0, 1500.0) > 0
+    assert account_bucket.try_spend(0.0, 100.0) == 0.0
+    assert account_bucket.try_spend(0.0, 500.0) > 0
 
 
 def test_room_is_reserved_for_large_request_for_limited_time() -> None:
     account_bucket = _full(accounts.Limit(rate=100.0, burst=2000.0))
-    assert account_bucket.take(0.0, 1000.0) == 0.0
-    assert account_bucket.take(0.0, 2000.0) > 0
+    assert account_bucket.try_spend(0.0, 1000.0) == 0.0
+    assert account_bucket.try_spend(0.0, 2000.0) > 0
     for now in (0.5, 1.0, 1.5):
-        assert account_bucket.take(now, 300.0) > 0
-    assert account_bucket.take(bucket.ROOM_S, 300.0) == 0.0
+        assert account_bucket.try_spend(now, 300.0) > 0
+    assert account_bucket.try_spend(token_bucket.HEADROOM_S, 300.0) == 0.0
 
 
 _requests = strategies.lists(
@@ -164,10 +166,10 @@
     for after_s, cost, kind in requests:
         now += after_s
         if kind == 'take':
-            if not account_bucket.take(now, cost):
+            if not account_bucket.try_spend(now, cost):
                 admitted.append((now, cost))
         elif admitted and admitted[-1][0] > now - 0.5:
-            account_bucket.give_back(now, admitted.pop()[1])
+            account_bucket.refund(now, admitted.pop()[1])
     for number, (begin, _) in enumerate(admitted):
         passed = 0.0
         for at, size in admitted[number:]:
@@ -189,12 +191,12 @@
     for after_s, size, _ in requests:
         now += after_s
         cost = min(size, 2000)
-        if not account_bucket.take(now, cost):
+        if not account_bucket.try_spend(now, cost):
             admitted.append((now, cost))
             continue
         spans = [
             sum(c for at, c in admitted if at >= begin)
-            + max(cost, account_bucket._room)
+            + max(cost, account_bucket._headroom)
             > 2000.0 + 1000.0 * (now - begin) - 1e-6
             for begin, _ in admitted
         ]
@@ -215,18 +217,18 @@
         self.admitted: list[tuple[float, float]] = []
 
     def request(self, now: float, number: int, cost: float) -> bool:
-        answer = self.coordinators[number].ask(now, _ACCOUNT, cost)
+        answer = self.coordinators[number].admit(now, _ACCOUNT, cost)
         if not answer.wait_s:
             self.admitted.append((now, cost))
         return not answer.wait_s
 
     def send_updates(self, now: float) -> None:
         for number, coordinator in enumerate(self.coordinators):
-            for cost in coordinator.news().values():
+            for cost in coordinator.drain_admitted().values():
                 for other in (
                     self.coordinators[:number] + self.coordinators[number + 1 :]
                 ):
-                    other.told(now, _ACCOUNT, cost)
+                    other.count_remote(now, _ACCOUNT, cost)
 
     def max_cost(self, window_s: float) -> float:
         return max(
@@ -238,7 +240,7 @@
 def _allowed(tolerance: allowances.Tolerance) -> float:
     limit = _ACCOUNT.limit
     bound = limit.rate * tolerance.window_s + limit.burst
-    return bound + tolerance.units(limit)
+    return bound + tolerance.allowed_excess(limit)
 
 
 _TOLERANCE = allowances.Tolerance(window_s=8.0, overage=0.1, slack=1500.0)
@@ -289,7 +291,7 @@
         if not number % 12:
             site.send_updates(now)
     site.send_updates(4.0)
-    level = site.coordinators[1].ask(4.0, _ACCOUNT, 1.0).level
+    level = site.coordinators[1].admit(4.0, _ACCOUNT, 1.0).level
     assert level < 500.0
 
 
@@ -297,7 +299,7 @@
     site = _Coordinators(2, _TOLERANCE, first=True)
     site.request(0.0, 0, 2000.0)
     site.send_updates(0.0)
-    site.coordinators[0].give_back(0.0, _ACCOUNT, 2000.0)
+    site.coordinators[0].refund(0.0, _ACCOUNT, 2000.0)
     site.send_updates(0.0)
     assert site.request(0.0, 1, 2000.0)
 
@@ -306,7 +308,7 @@
     site = _Coordinators(1, _TOLERANCE, first=True)
     site.request(0.0, 0, 2000.0)
     assert set(site.coordinators[0].levels(0.0)) == {'a'}
-    site.coordinators[0].keep(frozenset())
+    site.coordinators[0].retain(frozenset())
     assert not site.coordinators[0].levels(0.0)
 
 
@@ -320,7 +322,7 @@
     admitted = 0.0
     for now in _times(60.0, 0.05):
         for vm in vms:
-            admitted += 500.0 * (not vm.ask(now, _ACCOUNT, 500.0, 20).wait_s)
+            admitted += 500.0 * (not vm.admit(now, _ACCOUNT, 500.0, 20).wait_s)
     assert 0.9 * 60_000 <= admitted <= 62_000 + 20 * 500.0
 
 
@@ -375,11 +377,11 @@
             if self.rng.random() > 0.1
             else (self.coordinator - 1) % 3
         )
-        answer = self.coordinators[target].ask(now, _ACCOUNT, cost)
+        answer = self.coordinators[target].admit(now, _ACCOUNT, cost)
         if self.rng.random() < 0.05:
             # The reply is lost, and the next coordinator gets the request.
             target = (target + 1) % 3
-            answer = self.coordinators[target].ask(now, _ACCOUNT, cost)
+            answer = self.coordinators[target].admit(now, _ACCOUNT, cost)
         if answer.wait_s:
             return
         if self.rng.random() < 0.1:
@@ -390,7 +392,7 @@
 
     def _send_updates(self, now: float) -> None:
         for number, coordinator in enumerate(self.coordinators):
-            for cost in coordinator.news().values():
+            for cost in coordinator.drain_admitted().values():
                 for other in {0, 1, 2} - {number}:
                     self._send(now, other, 'update', cost)
 
@@ -411,9 +413,9 @@
         ]
         for _, to, kind, cost in due:
             if kind == 'update':
-                self.coordinators[to].told(now, _ACCOUNT, cost)
+                self.coordinators[to].count_remote(now, _ACCOUNT, cost)
             else:
-                self.coordinators[to].give_back(now, _ACCOUNT, cost)
+                self.coordinators[to].refund(now, _ACCOUNT, cost)
 
 
 @pytest.mark.parametrize('seed', range(20))
--- a/tests/test_ownreads.py
+++ b/tests/test_local_prefills.py
@@ -4,11 +4,11 @@
 import random
 
 from foxtaildale import fleet
+from foxtaildale import local_prefills
 from foxtaildale import messages
-from foxtaildale import ownreads
-from foxtaildale import placing
+from foxtaildale import placement_plan
 from foxtaildale import routes
-from tests import tallies
+from tests import engine_states
 
 _SERVICE = routes.Service(
     name='s',
@@ -29,8 +29,8 @@
     def __init__(self, gap_ms: int) -> None:
         self._rng = random.Random(3)
         self._gap_ms = gap_ms
-        self.plan = placing.Plan()
-        self.waiting: dict[str, messages.AskPlace] = {}
+        self.plan = placement_plan.Plan()
+        self.waiting: dict[str, messages.PlacementRequest] = {}
         self.arrived_at: dict[str, float] = {}
         # Time of the first event, by request.
         self.first_event_at: dict[str, float] = {}
@@ -41,7 +41,10 @@
 
     def play(self) -> None:
         now, next_at = 0.0, 0.0
-        engines = tallies.make('decode', 7), tallies.make('prefill', 1)
+        engines = (
+            engine_states.make_engines('decode', 7),
+            engine_states.make_engines('prefill', 1),
+        )
         while now < 12.0:
             now += 0.01
             if now < 9.0 and now >= next_at:
@@ -54,47 +57,51 @@
     def _arrive(self, now: float) -> None:
         name = f'r{len(self.arrived_at)}'
         self.arrived_at[name] = now
-        self.waiting[name] = messages.AskPlace(
+        self.waiting[name] = messages.PlacementRequest(
             service='s',
             request=name,
             holder='vm',
-            prompt=int(min(6600, 3000 * self._rng.lognormvariate(0.0, 0.4))),
-            hinted=400,
-            longest=800,
+            prompt_tokens=int(
+                min(6600, 3000 * self._rng.lognormvariate(0.0, 0.4))
+            ),
+            hinted_tokens=400,
+            max_output_tokens=800,
             waited_ms=0,
             target_ms=900,
             priority=1,
-            gap_ms=self._gap_ms,
+            max_gap_ms=self._gap_ms,
         )
 
     def _request_placement(
         self,
         now: float,
         name: str,
-        engines: tuple[list[fleet.Tally], list[fleet.Tally]],
+        engines: tuple[list[fleet.ServerState], list[fleet.ServerState]],
     ) -> None:
         msg = self.waiting[name]
-        place = self.plan.ask(now, msg, _SERVICE, lambda: engines)
-        if not isinstance(place, messages.Place):
+        place = self.plan.request_placement(now, msg, _SERVICE, lambda: engines)
+        if not isinstance(place, messages.PlacementGrant):
             return
         del self.waiting[name]
-        if place.reads_itself:
-            prefill_s = ownreads.read_s(msg.prompt, _PREFILL_TOKENS_PER_S)
+        if place.local_prefill:
+            prefill_s = local_prefills.local_prefill_s(
+                msg.prompt_tokens, _PREFILL_TOKENS_PER_S
+            )
             first_event_at = now + prefill_s
-            self.local_prefills.setdefault(place.worker, []).append(
+            self.local_prefills.setdefault(place.decode_worker, []).append(
                 (now, first_event_at)
             )
         else:
             self.prefiller_free_at = (
                 max(self.prefiller_free_at, now)
-                + msg.prompt / _PREFILL_TOKENS_PER_S
+                + msg.prompt_tokens / _PREFILL_TOKENS_PER_S
             )
             first_event_at = self.prefiller_free_at
         self.first_event_at[name] = first_event_at
         self.running[name] = (
             first_event_at + 400 * _TOKEN_S,
             first_event_at - now,
-            msg.prompt,
+            msg.prompt_tokens,
         )
 
     def _release_completed(self, now: float) -> None:
@@ -102,15 +109,15 @@
             if now < ends_at:
                 continue
             del self.running[name]
-            self.plan.end(
+            self.plan.release(
                 now,
-                messages.EndPlace(
+                messages.PlacementRelease(
                     service='s',
                     request=name,
                     prefill_ms=int(prefill_s * 1000),
                     decode_ms=int(400 * _TOKEN_S * 1000),
-                    tokens=400,
-                    whole=True,
+                    output_tokens=400,
+                    complete=True,
                 ),
             )
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -36,8 +36,8 @@
 
 def make_heartbeat(
     name: str, incarnation: str = '1', leaving: tuple[str, ...] = ()
-) -> messages.Beat:
-    return messages.Beat(
+) -> messages.KeeperHeartbeat:
+    return messages.KeeperHeartbeat(
         entry_vm=name,
         incarnation=incarnation,
         data_centre='d',
@@ -50,7 +50,9 @@
 
 
 def server_names(view: members.Members) -> list[str]:
-    return [server.name for server in view.servers('queue-app', 'plain')]
+    return [
+        server.name for server in view.available_servers('queue-app', 'plain')
+    ]
 
 
 def test_an_older_listing_does_not_restore_a_leaving_server() -> None:
@@ -101,24 +103,24 @@
     for view in (first, second):
         view.on_listing(0, make_listing(1, make_server('x'), make_server('y')))
     first.on_leaving('x@127.0.0.1:7')
-    second.on_beat(0, make_heartbeat('a', leaving=first.leaving))
+    second.on_heartbeat(0, make_heartbeat('a', leaving=first.reported_leaving))
     assert server_names(second) == ['y']
-    merged = second.merged()
+    merged = second.merged_listing()
     assert merged and merged.backend_servers[0].state == 'leaving'
     second.on_listing(
         0, make_listing(2, make_server('x', 'leaving'), make_server('y'))
     )
-    assert second.leaving == ()
+    assert second.reported_leaving == ()
 
 
 def test_a_silent_keeper_is_excluded() -> None:
     """Guards against a crashed VM that still counts as a coordinator."""
     view = members.Members('a', 3)
     view.on_listing(0, make_listing(1))
-    view.on_beat(0, make_heartbeat('b'))
-    view.on_beat(2, make_heartbeat('c'))
-    assert [peer.entry_vm for peer in view.keepers(3)] == ['b', 'c']
-    assert [peer.entry_vm for peer in view.keepers(4)] == ['c']
+    view.on_heartbeat(0, make_heartbeat('b'))
+    view.on_heartbeat(2, make_heartbeat('c'))
+    assert [peer.entry_vm for peer in view.keeper_heartbeats(3)] == ['b', 'c']
+    assert [peer.entry_vm for peer in view.keeper_heartbeats(4)] == ['c']
 
 
 def test_a_leaving_entry_vm_accepts_no_new_work() -> None:
@@ -132,10 +134,10 @@
     leaving_vm = msgspec.structs.replace(current.entry_vms[1], state='leaving')
     vms = (current.entry_vms[0], leaving_vm, current.entry_vms[2])
     view.on_listing(0, msgspec.structs.replace(current, entry_vms=vms))
-    view.on_beat(0, make_heartbeat('b'))
-    assert view.keepers(0) == ()
+    view.on_heartbeat(0, make_heartbeat('b'))
+    assert view.keeper_heartbeats(0) == ()
     view.on_listing(0, make_listing(6))
-    assert view.keepers(0) == ()
+    assert view.keeper_heartbeats(0) == ()
     assert [vm.name for vm in view.peers()] == ['b', 'c']
 
 
@@ -145,7 +147,7 @@
     While the platform is down, the VM cannot obtain the listing.
     """
     view = members.Members('a', 3)
-    view.on_beat(0, make_heartbeat('b'))
+    view.on_heartbeat(0, make_heartbeat('b'))
     assert [vm.keeper for vm in view.peers()] == ['127.0.0.1:2']
     view.on_listing(1, make_listing(1))
     assert [vm.name for vm in view.peers()] == ['b', 'c']
@@ -156,30 +158,30 @@
     view = members.Members('a', 3)
     view.on_listing(0, make_listing(1))
     for incarnation in ('1', '2', '1'):
-        view.on_beat(0, make_heartbeat('b', incarnation))
-    assert [peer.incarnation for peer in view.keepers(0)] == ['2']
+        view.on_heartbeat(0, make_heartbeat('b', incarnation))
+    assert [peer.incarnation for peer in view.keeper_heartbeats(0)] == ['2']
 
 
 def test_heartbeats_of_removed_vms_are_deleted() -> None:
     """Guards against unbounded memory when VMs are replaced for years."""
     view = members.Members('a', 3)
-    view.on_beat(0, make_heartbeat('b'))
-    view.forget(30)
-    assert view.keepers(0)
-    view.forget(31)
-    assert not view.keepers(0)
+    view.on_heartbeat(0, make_heartbeat('b'))
+    view.remove_silent_peers(30)
+    assert view.keeper_heartbeats(0)
+    view.remove_silent_peers(31)
+    assert not view.keeper_heartbeats(0)
 
 
 def test_each_round_of_heartbeats_reaches_every_peer() -> None:
     peers = [f'127.0.0.1:{port}' for port in range(50)]
-    selector = gossip.Gossip('a')
-    heartbeats = gossip.round_beats(51)
+    selector = gossip.PeerSelector('a')
+    heartbeats = gossip.heartbeats_per_round(51)
     reached = {
         address
         for _ in range(heartbeats)
-        for address in selector.targets(peers)
+        for address in selector.next_targets(peers)
     }
     assert reached == set(peers)
-    assert set(selector.targets(peers[:8])) == set(peers[:8])
-    assert len(selector.targets(peers[:9])) == gossip.FANOUT
-    assert selector.targets([]) == ()
+    assert set(selector.next_targets(peers[:8])) == set(peers[:8])
+    assert len(selector.next_targets(peers[:9])) == gossip.FANOUT
+    assert selector.next_targets([]) == ()
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -9,7 +9,9 @@
 
 
 def test_decode_returns_the_encoded_message() -> None:
-    msg = messages.Note(identity='i', witness='w', body='b', witness_at=1.5)
+    msg = messages.StartRequest(
+        identity='i', witness='w', body_digest='b', witness_clock=1.5
+    )
     assert messages.decode(messages.encode(msg)) == msg
 
 
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -64,9 +64,9 @@
 
 def test_the_number_of_remembered_removals_is_limited() -> None:
     topic_mirror = mirror.Mirror()
-    count = mirror.MAX_REMOVED + 10
+    count = mirror.MAX_REMOVED_KEYS + 10
     topic_mirror.apply([_entry(f'k{n}', n, b'') for n in range(count)], count)
-    assert len(topic_mirror.since(0)) == mirror.MAX_REMOVED
+    assert len(topic_mirror.entries_since(0)) == mirror.MAX_REMOVED_KEYS
 
 
 @hypothesis.given(
@@ -95,7 +95,7 @@
     ahead, behind = mirror.Mirror(), mirror.Mirror()
     ahead.apply([_entry('a', 1), _entry('b', 2), _entry('a', 6, b'')], 7)
     behind.apply([_entry('a', 1), _entry('b', 2)], 3)
-    behind.apply(ahead.since(behind.end), ahead.end)
+    behind.apply(ahead.entries_since(behind.end), ahead.end)
     assert behind.values() == ahead.values()
     assert behind.end == ahead.end
 
@@ -112,7 +112,7 @@
 
 def _restored_mirror(retain_carried: bool = False) -> mirror.Mirror:
     """Returns a mirror whose store was restored from an older copy."""
-    topic_mirror = mirror.Mirror(_rank, keeps=retain_carried)
+    topic_mirror = mirror.Mirror(_rank, retain_carried=retain_carried)
     topic_mirror.apply([_ranked_entry(95, 7)], positions.make(1, 100))
     topic_mirror.snapshot(
         [_ranked_entry(40, 4, epoch=2)], positions.make(2, 90)
@@ -133,13 +133,13 @@
     topic_mirror = _restored_mirror()
     peer = mirror.Mirror(_rank)
     peer.snapshot([_ranked_entry(40, 4, epoch=2)], positions.make(2, 90))
-    peer.apply(topic_mirror.since(peer.end), topic_mirror.end)
+    peer.apply(topic_mirror.entries_since(peer.end), topic_mirror.end)
     assert peer.values() == {'s': b'7'}
     changed = topic_mirror.apply(
         [_ranked_entry(91, 8, epoch=2)], positions.make(2, 92)
     )
     assert [entry.value for entry in changed] == [b'8']
-    assert not topic_mirror.since(positions.make(2, 92))
+    assert not topic_mirror.entries_since(positions.make(2, 92))
 
 
 def test_a_mirror_of_the_old_epoch_does_not_revert_a_newer_one() -> None:
@@ -148,10 +148,10 @@
     behind.apply([_ranked_entry(95, 7)], positions.make(1, 100))
     ahead = mirror.Mirror(_rank)
     ahead.apply([_ranked_entry(93, 9, epoch=2)], positions.make(2, 94))
-    assert not behind.since(ahead.end)
-    ahead.apply(behind.since(0), behind.end)
+    assert not behind.entries_since(ahead.end)
+    ahead.apply(behind.entries_since(0), behind.end)
     assert ahead.values() == {'s': b'9'}
-    behind.apply(ahead.since(behind.end), ahead.end)
+    behind.apply(ahead.entries_since(behind.end), ahead.end)
     assert behind.values() == {'s': b'9'}
     assert behind.end == ahead.end
 
@@ -161,12 +161,12 @@
     topic_mirror = mirror.Mirror(_rank)
     newest = _ranked_entry(95, 7)
     topic_mirror.apply([newest], positions.make(1, 100))
-    topic_mirror.repeats(newest, positions.make(1, 30))
+    topic_mirror.mark_repeated(newest, positions.make(1, 30))
     topic_mirror.snapshot(
         [_ranked_entry(40, 4, epoch=2)], positions.make(2, 90)
     )
     assert topic_mirror.values() == {'s': b'7'}
-    assert not topic_mirror.since(topic_mirror.end)
+    assert not topic_mirror.entries_since(topic_mirror.end)
 
 
 @pytest.mark.parametrize('retain_carried', [True, False])
@@ -174,11 +174,11 @@
     retain_carried: bool,
 ) -> None:
     """Guards against records that stay forever since nobody removes them."""
-    topic_mirror = mirror.Mirror(_rank, keeps=retain_carried)
+    topic_mirror = mirror.Mirror(_rank, retain_carried=retain_carried)
     topic_mirror.apply([_ranked_entry(95, 7)], positions.make(1, 100))
     topic_mirror.snapshot([], positions.make(2, 90))
     assert bool(topic_mirror.values()) == retain_carried
-    topic_mirror.drop_carried()
+    topic_mirror.remove_carried()
     assert not topic_mirror.values()
     assert topic_mirror.apply(
         [_ranked_entry(91, 7, epoch=2)], positions.make(2, 92)
@@ -209,9 +209,9 @@
     previous_position = positions.make(1, 20)
     rewritten = _ranked_entry(91, 8, epoch=2)
     topic_mirror.apply([rewritten], positions.make(2, 92))
-    topic_mirror.repeats(rewritten, previous_position)
-    assert not topic_mirror.since(positions.make(1, 100))
-    assert topic_mirror.since(positions.make(2, 90))
+    topic_mirror.mark_repeated(rewritten, previous_position)
+    assert not topic_mirror.entries_since(positions.make(1, 100))
+    assert topic_mirror.entries_since(positions.make(2, 90))
 
 
 @hypothesis.given(
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -29,14 +29,16 @@
 
     def __init__(self, order: backends.Order, folded: int) -> None:
         self.orders = orders.Orders()
-        self.orders.want('w', order.kind, order.value, order.fence)
+        self.orders.set_wanted('w', order.kind, order.value, order.fence)
         self._folded = folded
         self.sent_count = 0
 
     def observe_and_order(self, address: str, now: float) -> None:
-        for _ in self.orders.due(now):
+        for _ in self.orders.due_servers(now):
             observed = _ENGINES.observe(address)
-            for order in self.orders.seen('w', observed, self._folded, now):
+            for order in self.orders.on_observed(
+                'w', observed, self._folded, now
+            ):
                 self.sent_count += 1
                 try:
                     _ENGINES.order(address, order)
@@ -119,23 +121,25 @@
     weight store.
     """
     holder = orders.Orders()
-    holder.want('w', 'load', 'b', 9)
+    holder.set_wanted('w', 'load', 'b', 9)
     sent_at = []
     now = 0.0
     while now < 60.0:
-        if holder.due(now) and holder.seen('w', _observed('a', 5), 10, now):
+        if holder.due_servers(now) and holder.on_observed(
+            'w', _observed('a', 5), 10, now
+        ):
             sent_at.append(now)
         now += 0.25
     assert sent_at == [0.0, 0.5, 1.5, 3.5, 7.5, 15.5, 31.5, 47.5]
-    assert holder.seen('w', _observed('b', 9), 10, 60.0) == ()
+    assert holder.on_observed('w', _observed('b', 9), 10, 60.0) == ()
     assert holder.status()[0].given == 0
-    assert len(holder.seen('w', _observed('a', 5), 10, 61.0)) == 1
+    assert len(holder.on_observed('w', _observed('a', 5), 10, 61.0)) == 1
 
 
 def test_an_older_record_changes_nothing() -> None:
     holder = orders.Orders()
-    holder.want('w', 'load', 'b', 9)
-    holder.want('w', 'load', 'a', 5)
+    holder.set_wanted('w', 'load', 'b', 9)
+    holder.set_wanted('w', 'load', 'a', 5)
     assert holder.status()[0].wanted == 'b'
 
 
@@ -146,20 +150,20 @@
     requested the order, and sends its own order again.
     """
     holder = orders.Orders()
-    holder.want('w', 'load', 'b', 9)
-    assert holder.seen('w', _observed('x', 30), 20, 0.0) == ()
-    assert holder.seen('w', _observed('x', 30), 31, 2.0) != ()
+    holder.set_wanted('w', 'load', 'b', 9)
+    assert holder.on_observed('w', _observed('x', 30), 20, 0.0) == ()
+    assert holder.on_observed('w', _observed('x', 30), 31, 2.0) != ()
 
 
 def test_a_server_of_another_coordinator_gets_no_orders() -> None:
     holder = orders.Orders()
-    holder.want('w', 'load', 'b', 9)
-    holder.unseen('w', 0.0)
-    assert holder.due(1.0) == ()
-    assert holder.due(2.0) == ('w',)
-    holder.forget('w')
-    assert holder.due(9.0) == ()
-    assert holder.seen('w', _observed('a', 1), 10, 9.0) == ()
+    holder.set_wanted('w', 'load', 'b', 9)
+    holder.on_poll_failed('w', 0.0)
+    assert holder.due_servers(1.0) == ()
+    assert holder.due_servers(2.0) == ('w',)
+    holder.remove('w')
+    assert holder.due_servers(9.0) == ()
+    assert holder.on_observed('w', _observed('a', 1), 10, 9.0) == ()
 
 
 @hypothesis.settings(derandomize=True, deadline=None)
@@ -194,7 +198,7 @@
     for holder, (value, fence) in zip(
         holders, [('a', 3), ('b', 5), ('c', 9)], strict=True
     ):
-        holder.want('w', 'load', value, fence)
+        holder.set_wanted('w', 'load', value, fence)
     state = ('', 0)
     sent: list[backends.Order] = []
     now = 0.0
@@ -205,12 +209,14 @@
         return (order.value, order.fence)
 
     def observe(index: int) -> tuple[backends.Order, ...]:
-        return holders[index].seen('w', _observed(*state), folded[index], now)
+        return holders[index].on_observed(
+            'w', _observed(*state), folded[index], now
+        )
 
     for action, index in schedule:
         now += 20.0
         if action == 'read':
-            holders[index].want('w', 'load', 'c', 9)
+            holders[index].set_wanted('w', 'load', 'c', 9)
             folded[index] = 10
         elif action == 'late' and index < len(sent):
             state = apply_order(sent[index])
--- a/tests/test_placing.py
+++ b/tests/test_placement_plan.py
@@ -7,23 +7,23 @@
 
 from foxtaildale import fleet
 from foxtaildale import forwarding
-from foxtaildale import growth
+from foxtaildale import memory_growth
 from foxtaildale import messages
-from foxtaildale import placing
+from foxtaildale import placement_plan
+from foxtaildale import prefill_speed
 from foxtaildale import prefills
 from foxtaildale import queues
-from foxtaildale import reading
 from foxtaildale import routes
 
 _SERVICE = routes.Service(name='s', kv_tokens=100_000, slots=64)
-_TOKEN_S = placing.TOKEN_S
+_TOKEN_S = placement_plan.INITIAL_TOKEN_S
 
 
 def _server_states(
     stage: forwarding.Stage, *names: str
-) -> tuple[fleet.Tally, ...]:
+) -> tuple[fleet.ServerState, ...]:
     return tuple(
-        fleet.Tally(
+        fleet.ServerState(
             forwarding.Backend(
                 id=name, service='s', address='127.0.0.1:1', stage=stage
             )
@@ -39,7 +39,7 @@
 
 
 def _request_placement(
-    plan: placing.Plan,
+    plan: placement_plan.Plan,
     now: float,
     request: str,
     *,
@@ -52,37 +52,39 @@
     avoid: tuple[str, ...] = (),
     digest: int = 0,
     started: bool = False,
-    decoders: tuple[fleet.Tally, ...] = _DECODERS,
-    prefillers: tuple[fleet.Tally, ...] = _PREFILLERS,
-) -> messages.Place | messages.Queued | messages.TooLate:
-    msg = messages.AskPlace(
+    decoders: tuple[fleet.ServerState, ...] = _DECODERS,
+    prefillers: tuple[fleet.ServerState, ...] = _PREFILLERS,
+) -> messages.PlacementGrant | messages.Queued | messages.DeadlineUnreachable:
+    msg = messages.PlacementRequest(
         service='s',
         request=request,
         holder='vm-1',
-        prompt=prompt,
-        hinted=hinted,
-        longest=longest,
-        left_ms=left_ms,
+        prompt_tokens=prompt,
+        hinted_tokens=hinted,
+        max_output_tokens=longest,
+        remaining_ms=left_ms,
         waited_ms=waited_ms,
         target_ms=900,
         priority=priority,
-        avoid=avoid,
-        digest=digest,
-        started=started,
+        excluded_servers=avoid,
+        request_digest=digest,
+        response_started=started,
+    )
+    return plan.request_placement(
+        now, msg, _SERVICE, lambda: (decoders, prefillers)
     )
-    return plan.ask(now, msg, _SERVICE, lambda: (decoders, prefillers))
 
 
-def _release(plan: placing.Plan, now: float, request: str) -> None:
-    plan.end(now, messages.EndPlace(service='s', request=request))
+def _release(plan: placement_plan.Plan, now: float, request: str) -> None:
+    plan.release(now, messages.PlacementRelease(service='s', request=request))
 
 
-def _fill(plan: placing.Plan, now: float = 0.0) -> int:
+def _fill(plan: placement_plan.Plan, now: float = 0.0) -> int:
     """Fills the plan with placements and returns their number."""
     count = 0
     while isinstance(
         _request_placement(plan, now, f'fill-{count}', prefillers=_MANY),
-        messages.Place,
+        messages.PlacementGrant,
     ):
         count += 1
     _release(plan, now, f'fill-{count}')
@@ -90,13 +92,21 @@
 
 
 def test_placements_are_spread_over_the_workers() -> None:
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     places = [_request_placement(plan, 0.0, f'r{n}') for n in range(4)]
-    assert {p.worker for p in places if isinstance(p, messages.Place)} == {
+    assert {
+        p.decode_worker
+        for p in places
+        if isinstance(p, messages.PlacementGrant)
+    } == {
         'd1',
         'd2',
     }
-    assert {p.prefiller for p in places if isinstance(p, messages.Place)} == {
+    assert {
+        p.prefill_worker
+        for p in places
+        if isinstance(p, messages.PlacementGrant)
+    } == {
         'p1',
         'p2',
     }
@@ -105,7 +115,7 @@
 def test_more_is_granted_than_maximum_outputs_would_allow() -> None:
     """Reserving the maximum output of each leaves half of the memory unused."""
     count_at_maximum = 2 * _SERVICE.kv_tokens // (5000 + 8320)
-    assert _fill(placing.Plan()) > count_at_maximum
+    assert _fill(placement_plan.Plan()) > count_at_maximum
 
 
 def test_granted_requests_fit_into_memory_while_they_grow() -> None:
@@ -113,16 +123,21 @@
 
     The stream of a preempted request pauses during its second prefill.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     started_at: dict[str, list[float]] = {'d1': [], 'd2': []}
     prefilled_until = {'p1': 0.0, 'p2': 0.0}
     number = 0
     while isinstance(
-        place := _request_placement(plan, 0.0, f'r{number}'), messages.Place
+        place := _request_placement(plan, 0.0, f'r{number}'),
+        messages.PlacementGrant,
     ):
         number += 1
-        prefilled_until[place.prefiller] += 5000 / reading.PER_S
-        started_at[place.worker].append(prefilled_until[place.prefiller])
+        prefilled_until[place.prefill_worker] += (
+            5000 / prefill_speed.INITIAL_TOKENS_PER_S
+        )
+        started_at[place.decode_worker].append(
+            prefilled_until[place.prefill_worker]
+        )
     for start_times in started_at.values():
         for step in range(600):
             now = step / 100
@@ -136,7 +151,7 @@
 
 
 def test_the_oldest_request_gets_the_next_placement() -> None:
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     _fill(plan)
     assert isinstance(
         _request_placement(plan, 0.1, 'first', waited_ms=50), messages.Queued
@@ -144,12 +159,14 @@
     assert isinstance(_request_placement(plan, 0.1, 'second'), messages.Queued)
     _release(plan, 0.2, 'fill-0')
     assert isinstance(_request_placement(plan, 0.2, 'second'), messages.Queued)
-    assert isinstance(_request_placement(plan, 0.2, 'first'), messages.Place)
+    assert isinstance(
+        _request_placement(plan, 0.2, 'first'), messages.PlacementGrant
+    )
 
 
 def test_a_small_request_does_not_overtake_a_large_one() -> None:
     """Small requests fit into each gap and would starve a large one."""
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     _fill(plan)
     _request_placement(plan, 0.1, 'large', prompt=11_000, waited_ms=10)
     assert isinstance(
@@ -164,24 +181,26 @@
     Each request that could still meet its target would wait behind those that
     can't, and become late as well.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     _fill(plan)
     _request_placement(plan, 0.1, 'late', waited_ms=1500)
     _request_placement(plan, 0.1, 'fresh', waited_ms=100)
     _release(plan, 0.2, 'fill-0')
     assert isinstance(
-        _request_placement(plan, 0.2, 'fresh', waited_ms=200), messages.Place
+        _request_placement(plan, 0.2, 'fresh', waited_ms=200),
+        messages.PlacementGrant,
     )
 
 
 def test_the_more_urgent_request_is_placed_first() -> None:
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     _fill(plan)
     _request_placement(plan, 0.1, 'calm', waited_ms=100, priority=3)
     _request_placement(plan, 0.1, 'urgent', priority=0)
     _release(plan, 0.2, 'fill-0')
     assert isinstance(
-        _request_placement(plan, 0.2, 'urgent', priority=0), messages.Place
+        _request_placement(plan, 0.2, 'urgent', priority=0),
+        messages.PlacementGrant,
     )
 
 
@@ -190,23 +209,25 @@
 
     The memory set aside for its placement would stay unused.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     _fill(plan)
     _request_placement(plan, 0.1, 'gone', waited_ms=50)
     _request_placement(plan, 0.1, 'here')
     for number in range(3):
         _release(plan, 0.2, f'fill-{number}')
-    now = 0.2 + queues.WAITER_S + 0.1
+    now = 0.2 + queues.WAITER_TTL_S + 0.1
     _request_placement(plan, now, 'here')
-    assert isinstance(_request_placement(plan, now, 'here'), messages.Place)
+    assert isinstance(
+        _request_placement(plan, now, 'here'), messages.PlacementGrant
+    )
 
 
 def test_a_repeated_request_gets_no_second_placement() -> None:
     """The reply to a placement request is lost, and the VM repeats it."""
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     _request_placement(plan, 0.0, 'r')
     _request_placement(plan, 0.1, 'r')
-    assert sum(plan.planned().values()) == 1
+    assert sum(plan.planned_counts().values()) == 1
 
 
 def test_placements_of_a_crashed_vm_are_released() -> None:
@@ -214,9 +235,9 @@
 
     If these still counted, others would wait for memory that is free.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     full = _fill(plan)
-    now = placing.KEEP_S + 0.1
+    now = placement_plan.RENEWAL_TIMEOUT_S + 0.1
     assert _fill(plan, now) == full
 
 
@@ -225,47 +246,51 @@
 
     Unless the holders renew their placements, it grants all memory again.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     places = tuple(
-        messages.KeptPlace(
+        messages.ActivePlacement(
             request=f'r{n}',
-            worker='d1',
-            prompt=5000,
-            hinted=4000,
-            longest=8320,
+            decode_worker='d1',
+            prompt_tokens=5000,
+            hinted_tokens=4000,
+            max_output_tokens=8320,
             age_ms=100,
         )
         for n in range(8)
     )
-    msg = messages.KeepPlaces(service='s', holder='vm-2', places=places)
-    plan.keep(1.0, msg)
-    assert plan.planned() == {'d1': 8}
+    msg = messages.PlacementRenewal(service='s', holder='vm-2', places=places)
+    plan.renew(1.0, msg)
+    assert plan.planned_counts() == {'d1': 8}
     place = _request_placement(plan, 1.0, 'next')
-    assert isinstance(place, messages.Place)
-    assert place.worker == 'd2'
+    assert isinstance(place, messages.PlacementGrant)
+    assert place.decode_worker == 'd2'
 
 
 def test_a_lost_release_is_corrected_by_the_next_renewal() -> None:
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     _request_placement(plan, 0.0, 'r')
-    empty = messages.KeepPlaces(service='s', holder='vm-1', places=())
-    plan.keep(0.1, empty)
-    assert plan.planned(), 'the reply may not have reached the holder yet'
-    plan.keep(queues.WAITER_S + 0.2, empty)
-    assert not plan.planned()
+    empty = messages.PlacementRenewal(service='s', holder='vm-1', places=())
+    plan.renew(0.1, empty)
+    assert plan.planned_counts(), (
+        'the reply may not have reached the holder yet'
+    )
+    plan.renew(queues.WAITER_TTL_S + 0.2, empty)
+    assert not plan.planned_counts()
 
 
 def test_an_excluded_worker_gets_no_placement() -> None:
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     for number in range(3):
         place = _request_placement(plan, 0.0, f'r{number}', avoid=('d1', 'p1'))
-        assert place == messages.Place(worker='d2', prefiller='p2')
+        assert place == messages.PlacementGrant(
+            decode_worker='d2', prefill_worker='p2'
+        )
 
 
 def test_without_prefill_workers_the_decode_worker_prefills() -> None:
-    place = _request_placement(placing.Plan(), 0.0, 'r', prefillers=())
-    assert isinstance(place, messages.Place)
-    assert place.prefiller == ''
+    place = _request_placement(placement_plan.Plan(), 0.0, 'r', prefillers=())
+    assert isinstance(place, messages.PlacementGrant)
+    assert place.prefill_worker == ''
 
 
 def test_a_request_larger_than_the_plan_gets_an_empty_worker() -> None:
@@ -273,8 +298,8 @@
 
     It would wait for memory that never becomes free, and always be refused.
     """
-    place = _request_placement(placing.Plan(), 0.0, 'r', prompt=95_000)
-    assert isinstance(place, messages.Place)
+    place = _request_placement(placement_plan.Plan(), 0.0, 'r', prompt=95_000)
+    assert isinstance(place, messages.PlacementGrant)
 
 
 class _Burst:
@@ -282,10 +307,10 @@
 
     def __init__(self, reserve_maximum: bool) -> None:
         self.rng = random.Random(7)
-        self.plan = placing.Plan()
+        self.plan = placement_plan.Plan()
         # Whether the maximum output is reserved for each request.
         self.reserve_maximum = reserve_maximum
-        self.running: list[tuple[float, str, str, growth.Running]] = []
+        self.running: list[tuple[float, str, str, memory_growth.Running]] = []
         self.on_time = 0
         self.overfull = 0
 
@@ -314,31 +339,31 @@
         place = _request_placement(
             self.plan, now, request, waited_ms=waited_ms, hinted=hint
         )
-        if not isinstance(place, messages.Place):
+        if not isinstance(place, messages.PlacementGrant):
             return False
         self.on_time += now - arrived_at < 0.7
-        running = growth.Running(
+        running = memory_growth.Running(
             prompt=5000,
             expected=output_tokens,
             longest=output_tokens,
             started_at=now + 0.1,
         )
         end_at = now + 0.1 + output_tokens * _TOKEN_S
-        self.running.append((end_at, request, place.worker, running))
+        self.running.append((end_at, request, place.decode_worker, running))
         return True
 
     def _release_completed(self, now: float) -> None:
         for item in [item for item in self.running if item[0] <= now]:
             self.running.remove(item)
             _, request, _, running = item
-            msg = messages.EndPlace(
+            msg = messages.PlacementRelease(
                 service='s',
                 request=request,
                 decode_ms=int(running.longest * _TOKEN_S * 1000),
-                tokens=running.longest,
-                whole=not self.reserve_maximum,
+                output_tokens=running.longest,
+                complete=not self.reserve_maximum,
             )
-            self.plan.end(now, msg)
+            self.plan.release(now, msg)
 
     def _check(self, now: float) -> None:
         for worker in ('d1', 'd2'):
@@ -374,14 +399,16 @@
     It then has the most free memory in the plan, so each of many VMs would
     lose a request there although two VMs already reported the crash.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     for holder in ('vm-1', 'vm-2'):
-        msg = messages.ServerFailed(service='s', server='d1', holder=holder)
-        plan.failed(1.0, msg)
+        msg = messages.ServerFailureReport(
+            service='s', server='d1', holder=holder
+        )
+        plan.record_failure(1.0, msg)
     for number in range(6):
         place = _request_placement(plan, 1.1, f'r{number}')
-        assert isinstance(place, messages.Place)
-        assert place.worker == 'd2'
+        assert isinstance(place, messages.PlacementGrant)
+        assert place.decode_worker == 'd2'
 
 
 def test_workers_are_used_if_all_of_them_failed() -> None:
@@ -390,16 +417,16 @@
     If all were excluded, decode workers would prefill the prompts and delay the
     tokens of all their requests.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     for server in ('p1', 'p2'):
         for holder in ('vm-1', 'vm-2'):
-            msg = messages.ServerFailed(
+            msg = messages.ServerFailureReport(
                 service='s', server=server, holder=holder
             )
-            plan.failed(1.0, msg)
+            plan.record_failure(1.0, msg)
     place = _request_placement(plan, 1.1, 'r', prefillers=_PREFILLERS)
-    assert isinstance(place, messages.Place)
-    assert place.prefiller
+    assert isinstance(place, messages.PlacementGrant)
+    assert place.prefill_worker
 
 
 def test_a_slow_prefill_worker_gets_fewer_prompts() -> None:
@@ -408,18 +435,20 @@
     With half of the prompts it would delay a third of the callers past their
     targets.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     for number in range(24):
         name = f'warm-{number}'
         # Two at a time, so that each worker gets one.
         place = _request_placement(
             plan, float(number // 2), name, prefillers=_PREFILLERS
         )
-        assert isinstance(place, messages.Place)
-        prefill_ms = 400 if place.prefiller == 'p1' else 100
-        plan.end(
+        assert isinstance(place, messages.PlacementGrant)
+        prefill_ms = 400 if place.prefill_worker == 'p1' else 100
+        plan.release(
             number // 2 + 0.9,
-            messages.EndPlace(service='s', request=name, prefill_ms=prefill_ms),
+            messages.PlacementRelease(
+                service='s', request=name, prefill_ms=prefill_ms
+            ),
         )
     prefiller_ids = []
     for number in range(10):
@@ -431,8 +460,8 @@
             hinted=100,
             prefillers=_PREFILLERS,
         )
-        assert isinstance(place, messages.Place)
-        prefiller_ids.append(place.prefiller)
+        assert isinstance(place, messages.PlacementGrant)
+        prefiller_ids.append(place.prefill_worker)
     assert prefiller_ids.count('p1') <= 3
 
 
@@ -442,14 +471,17 @@
     A request that is placed 0.1 s before its target is late anyway, and makes
     the next one late, which could have met its target.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     name = 'warm'
     for number in range(40):
         assert isinstance(
-            _request_placement(plan, float(number), name), messages.Place
+            _request_placement(plan, float(number), name),
+            messages.PlacementGrant,
+        )
+        end = messages.PlacementRelease(
+            service='s', request=name, prefill_ms=300
         )
-        end = messages.EndPlace(service='s', request=name, prefill_ms=300)
-        plan.end(float(number), end)
+        plan.release(float(number), end)
     _fill(plan, 50.0)
     for request, waited_ms in (('late', 450), ('fresh', 100)):
         assert isinstance(
@@ -457,7 +489,9 @@
             messages.Queued,
         )
     _release(plan, 50.2, 'fill-0')
-    assert isinstance(_request_placement(plan, 50.3, 'fresh'), messages.Place)
+    assert isinstance(
+        _request_placement(plan, 50.3, 'fresh'), messages.PlacementGrant
+    )
 
 
 def test_no_placement_is_granted_long_before_its_prefill() -> None:
@@ -466,22 +500,22 @@
     Placed all at once, requests would occupy memory while they wait, be refused
     by the engine, and an urgent one could not overtake them.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     granted = 0
     while isinstance(
         _request_placement(
             plan, 0.0, f'r{granted}', prefillers=_PREFILLERS[:1]
         ),
-        messages.Place,
+        messages.PlacementGrant,
     ):
         granted += 1
-    prefill_s = 5000 / reading.PER_S
-    assert granted == int(prefills.AHEAD_S / prefill_s) + 1
+    prefill_s = 5000 / prefill_speed.INITIAL_TOKENS_PER_S
+    assert granted == int(prefills.MAX_PREFILL_WAIT_S / prefill_s) + 1
     _release(plan, 0.0, f'r{granted}')
     urgent = _request_placement(
         plan, 0.2, 'urgent', priority=0, prefillers=_PREFILLERS[:1]
     )
-    assert isinstance(urgent, messages.Place)
+    assert isinstance(urgent, messages.PlacementGrant)
 
 
 def test_a_worker_that_evicts_prompts_gets_few_of_them() -> None:
@@ -490,41 +524,44 @@
     Decode workers refuse them, so that each prefill there is wasted and its
     caller waits for a second one.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     prefiller_ids = []
     for number in range(40):
         now = number * 0.1
         place = _request_placement(
             plan, now, f'r{number}', prompt=1000, hinted=100
         )
-        assert isinstance(place, messages.Place)
-        prefiller_ids.append(place.prefiller)
-        evicted = place.prefiller == 'p1'
-        end = messages.EndPlace(
+        assert isinstance(place, messages.PlacementGrant)
+        prefiller_ids.append(place.prefill_worker)
+        evicted = place.prefill_worker == 'p1'
+        end = messages.PlacementRelease(
             service='s',
             request=f'r{number}',
             prefill_ms=20,
-            tokens=0 if evicted else 100,
-            refused=evicted,
+            output_tokens=0 if evicted else 100,
+            prefill_rejected=evicted,
         )
-        plan.end(now + 0.05, end)
+        plan.release(now + 0.05, end)
     assert prefiller_ids[0] == 'p1'
     assert prefiller_ids.count('p1') <= 10
 
 
 def test_refusals_for_all_prefill_workers_exclude_none() -> None:
     """Full decode workers refuse the prompts of all prefill workers."""
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     for number in range(10):
         place = _request_placement(
             plan, number * 0.1, f'r{number}', prompt=1000
         )
-        assert isinstance(place, messages.Place)
-        assert place.prefiller
-        end = messages.EndPlace(
-            service='s', request=f'r{number}', prefill_ms=20, refused=True
+        assert isinstance(place, messages.PlacementGrant)
+        assert place.prefill_worker
+        end = messages.PlacementRelease(
+            service='s',
+            request=f'r{number}',
+            prefill_ms=20,
+            prefill_rejected=True,
         )
-        plan.end(number * 0.1 + 0.05, end)
+        plan.release(number * 0.1 + 0.05, end)
 
 
 def test_a_retried_request_makes_no_new_one_late() -> None:
@@ -533,7 +570,7 @@
     Treated as new, they would get half of the placements, too late for their
     targets, and make as many others late that could have been on time.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     _fill(plan)
     assert isinstance(
         _request_placement(plan, 0.0, 'a/1', digest=7), messages.Queued
@@ -541,19 +578,19 @@
     _release(plan, 0.5, 'a/1')
     retried = _request_placement(plan, 2.0, 'a/2', digest=7)
     assert isinstance(retried, messages.Queued)
-    assert retried.came_back
+    assert retried.is_retry
     new = _request_placement(plan, 2.1, 'b', digest=8)
     assert isinstance(new, messages.Queued)
-    assert not new.came_back
+    assert not new.is_retry
     _release(plan, 2.2, 'fill-0')
     assert isinstance(
-        _request_placement(plan, 2.3, 'b', digest=8), messages.Place
+        _request_placement(plan, 2.3, 'b', digest=8), messages.PlacementGrant
     )
 
 
 def test_a_retried_request_precedes_other_late_ones() -> None:
     """A caller that is refused a second time gives up."""
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     _fill(plan)
     # So long that one release frees memory for one of them, not for both.
     long = functools.partial(_request_placement, plan, prompt=7000)
@@ -565,19 +602,23 @@
     assert isinstance(long(1.9, 'a/2', digest=7), messages.Queued)
     _release(plan, 2.0, 'fill-0')
     assert isinstance(long(2.1, 'b', digest=8), messages.Queued)
-    assert isinstance(long(2.1, 'a/2', digest=7), messages.Place)
+    assert isinstance(long(2.1, 'a/2', digest=7), messages.PlacementGrant)
 
 
 def test_a_repeat_of_a_served_request_counts_as_new() -> None:
     """A caller repeats a request after its complete response."""
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     assert isinstance(
-        _request_placement(plan, 0.0, 'a/1', digest=7), messages.Place
+        _request_placement(plan, 0.0, 'a/1', digest=7), messages.PlacementGrant
     )
-    end = messages.EndPlace(
-        service='s', request='a/1', decode_ms=900, tokens=1000, whole=True
+    end = messages.PlacementRelease(
+        service='s',
+        request='a/1',
+        decode_ms=900,
+        output_tokens=1000,
+        complete=True,
     )
-    plan.end(1.0, end)
+    plan.release(1.0, end)
     _fill(plan, 3.0)
     assert isinstance(
         _request_placement(plan, 3.0, 'a/2', digest=7), messages.Queued
@@ -587,7 +628,7 @@
     )
     _release(plan, 3.2, 'fill-0')
     assert isinstance(
-        _request_placement(plan, 3.2, 'a/2', digest=7), messages.Place
+        _request_placement(plan, 3.2, 'a/2', digest=7), messages.PlacementGrant
     )
 
 
@@ -596,22 +637,24 @@
 
     Memory that suffices for others would stay unused until it is placed.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     _fill(plan)
     _release(plan, 0.1, 'fill-0')
     _release(plan, 0.1, 'fill-1')
     large = _request_placement(plan, 0.2, 'large', prompt=60_000)
     assert isinstance(large, messages.Queued)
     small = _request_placement(plan, 0.25, 'small')
-    assert isinstance(small, messages.Place)
+    assert isinstance(small, messages.PlacementGrant)
     # No other request gets the engine that is set aside for the large one.
     others = [
         _request_placement(plan, 0.3 + n / 50, f'other-{n}') for n in range(6)
     ]
     workers = [
-        place.worker for place in others if isinstance(place, messages.Place)
+        place.decode_worker
+        for place in others
+        if isinstance(place, messages.PlacementGrant)
     ]
-    assert set(workers) <= {small.worker}
+    assert set(workers) <= {small.decode_worker}
 
 
 def test_an_interrupted_stream_precedes_all_others() -> None:
@@ -620,7 +663,7 @@
     Behind requests that can still be on time, these streams would pause for
     seconds, callers would disconnect, and their tokens would be wasted.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     _fill(plan)
     assert isinstance(_request_placement(plan, 0.1, 'new'), messages.Queued)
     broken = _request_placement(
@@ -631,7 +674,7 @@
     assert isinstance(_request_placement(plan, 0.3, 'new'), messages.Queued)
     assert isinstance(
         _request_placement(plan, 0.3, 'broken', waited_ms=2650, started=True),
-        messages.Place,
+        messages.PlacementGrant,
     )
 
 
@@ -641,29 +684,29 @@
     It would occupy memory until the caller disconnects, and callers whose
     responses could be complete would be refused for lack of memory.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     for number in range(5):
         place = _request_placement(
             plan, 0.0, f'r{number}', hinted=1000, longest=3000
         )
-        assert isinstance(place, messages.Place)
-        plan.end(
+        assert isinstance(place, messages.PlacementGrant)
+        plan.release(
             4.0,
-            messages.EndPlace(
+            messages.PlacementRelease(
                 service='s',
                 request=f'r{number}',
                 prefill_ms=100,
                 decode_ms=4000,
-                tokens=1000,
-                whole=True,
+                output_tokens=1000,
+                complete=True,
             ),
         )
     late = _request_placement(
         plan, 5.0, 'late', hinted=2000, longest=3000, left_ms=2000
     )
-    assert isinstance(late, messages.TooLate)
-    assert late.needs_ms > 5000
-    assert not plan.waiting()
+    assert isinstance(late, messages.DeadlineUnreachable)
+    assert late.required_ms > 5000
+    assert not plan.waiting_count()
     # A request that may complete and an interrupted stream are placed.
     for name, left_ms, started in (('a', 5000, False), ('b', 2000, True)):
         place = _request_placement(
@@ -675,7 +718,7 @@
             left_ms=left_ms,
             started=started,
         )
-        assert isinstance(place, messages.Place)
+        assert isinstance(place, messages.PlacementGrant)
 
 
 def test_prompts_stay_in_their_data_centre_if_memory_is_free() -> None:
@@ -684,8 +727,10 @@
     Spread evenly, every second prompt would cross the link between them.
     """
 
-    def engine(name: str, stage: forwarding.Stage, where: str) -> fleet.Tally:
-        return fleet.Tally(
+    def engine(
+        name: str, stage: forwarding.Stage, where: str
+    ) -> fleet.ServerState:
+        return fleet.ServerState(
             forwarding.Backend(
                 id=name,
                 service='s',
@@ -700,7 +745,7 @@
         for n in range(4)
     )
     prefillers = (engine('p1', 'prefill', 'here'),)
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     near = 0
     for number in range(8):
         place = _request_placement(
@@ -711,8 +756,8 @@
             decoders=decoders,
             prefillers=prefillers,
         )
-        assert isinstance(place, messages.Place)
-        near += place.worker in ('d1', 'd3')
+        assert isinstance(place, messages.PlacementGrant)
+        near += place.decode_worker in ('d1', 'd3')
     # An even spread gives half. With more than seven, the near workers would
     # be full while the others are unused.
     assert 5 <= near <= 7
@@ -724,7 +769,7 @@
     If they counted as waiting, each new request would be delayed by a quarter
     of a second and delay the next, despite free memory, while load lasts.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     filled = _fill(plan)
     for number in range(filled - 4):
         assert isinstance(
@@ -735,10 +780,11 @@
         _release(plan, 0.3, f'fill-{number}')
     # Memory is free, and the next scheduling pass places all of them.
     assert isinstance(
-        _request_placement(plan, 0.3, 'w0', prefillers=_MANY), messages.Place
+        _request_placement(plan, 0.3, 'w0', prefillers=_MANY),
+        messages.PlacementGrant,
     )
     reply = _request_placement(
         plan, 0.301, 'new', prompt=500, hinted=50, longest=50
     )
     if isinstance(reply, messages.Queued):
-        assert reply.again_in_ms <= 2 * queues.AGAIN_MS
+        assert reply.retry_in_ms <= 2 * queues.BASE_POLL_MS
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -46,7 +46,7 @@
     store = procs.standin('platform', '--keep-records', '2')
     client = platform.Platform(store.address, 5.0)
     client.append('s', [b'a', b'b', b'c', b'd', b'e'])
-    with pytest.raises(errors.LapsedError) as caught:
+    with pytest.raises(errors.RecordsExpiredError) as caught:
         client.read('s', 0)
     assert caught.value.first == 3
     assert client.read('s', 3).records[0].data == b'd'
@@ -60,7 +60,7 @@
     """
     client = platform.Platform(store.address, 5.0)
     control.faults(store, lose_answers=1)
-    with pytest.raises(errors.AnswerLostError):
+    with pytest.raises(errors.NoReplyError):
         client.append('lost', [b'claim'])
     assert [r.data for r in client.read('lost', 0).records] == [b'claim']
     assert client.append('lost', [b'next']) == 1
@@ -113,7 +113,7 @@
     client = platform.Platform(store.address, 0.3, hold_off_s=3600.0)
     client.append('s', [b'a'])
     store.freeze()
-    with pytest.raises(errors.AnswerLostError):
+    with pytest.raises(errors.NoReplyError):
         client.append('s', [b'b'])
     for _ in range(100):
         with pytest.raises(errors.UnreachableError, match='not answering'):
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -141,7 +141,7 @@
         lambda value: records.member('k', value),
         lambda value: store._decode_log(value, 0),
         store._decode_page,
-        workers.Workers().handle,
+        workers.Workers().decode_handle,
     ):
         try:
             decode(data)
@@ -185,7 +185,7 @@
         store._entry(store._Item(key='k', offset=1, value='?'), 0)
 
 
-def _decode(headers: dict[str, str]) -> forwarding.Call:
+def _decode(headers: dict[str, str]) -> forwarding.CallerRequest:
     return calls.decode(exchanges.make(headers))
 
 
@@ -323,7 +323,7 @@
         ).start()
         client = store.Store(f'127.0.0.1:{listener.getsockname()[1]}')
         if comes:
-            assert client.newest('t').entries[0].key == 'k'
+            assert client.read_newest('t').entries[0].key == 'k'
         else:
-            with pytest.raises(errors.AnswerLostError):
-                client.newest('t')
+            with pytest.raises(errors.NoReplyError):
+                client.read_newest('t')
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,7 +1,7 @@
 """The coordinator of a service plans, admits and rebuilds its ledger."""
 
 from foxtaildale import backends
-from foxtaildale import homes
+from foxtaildale import coordinator_choice
 from foxtaildale import messages
 from foxtaildale import pool
 from foxtaildale import values
@@ -33,8 +33,8 @@
     return slot_pool
 
 
-def slot_request(request: str, waited_ms: int = 0) -> messages.AskSlot:
-    return messages.AskSlot(
+def slot_request(request: str, waited_ms: int = 0) -> messages.SlotRequest:
+    return messages.SlotRequest(
         service='enteis-llm',
         request=request,
         attempt=1,
@@ -45,8 +45,8 @@
     )
 
 
-def slot_end(request: str, result: str = 'done') -> messages.EndSlot:
-    return messages.EndSlot(
+def slot_end(request: str, result: str = 'done') -> messages.SlotRelease:
+    return messages.SlotRelease(
         service='enteis-llm', grant=f'{request}/1', result=result
     )
 
@@ -58,17 +58,17 @@
     expires, and callers would be refused although a slot is idle.
     """
     slot_pool = make_pool()
-    first = slot_pool.ask(0, slot_request('r'))
-    repeated = slot_pool.ask(0.05, slot_request('r'))
-    assert isinstance(first, messages.Granted)
-    assert isinstance(repeated, messages.Granted)
+    first = slot_pool.request_slot(0, slot_request('r'))
+    repeated = slot_pool.request_slot(0.05, slot_request('r'))
+    assert isinstance(first, messages.SlotGrant)
+    assert isinstance(repeated, messages.SlotGrant)
     assert repeated.grant == first.grant
     assert slot_pool.dump()['granted'] == 1
     other_pool = make_pool()
-    other_pool.ask(0, slot_request('r'))
-    assert slot_pool.ask(0.05, slot_request('s')) == other_pool.ask(
+    other_pool.request_slot(0, slot_request('r'))
+    assert slot_pool.request_slot(
         0.05, slot_request('s')
-    )
+    ) == other_pool.request_slot(0.05, slot_request('s'))
 
 
 def test_a_full_pool_refuses_at_once_and_spreads_retries() -> None:
@@ -78,7 +78,9 @@
     late, and callers given the same retry time all retry together.
     """
     slot_pool = make_pool()
-    replies = [slot_pool.ask(0, slot_request(f'r{i}')) for i in range(12)]
+    replies = [
+        slot_pool.request_slot(0, slot_request(f'r{i}')) for i in range(12)
+    ]
     refused = [r for r in replies if isinstance(r, messages.Refused)]
     assert len(refused) >= 8
     assert {r.code for r in refused} == {'no-capacity'}
@@ -95,21 +97,23 @@
     slot_pool = make_pool(BATCH)
     for i in range(2):
         assert isinstance(
-            slot_pool.ask(0, slot_request(f'r{i}')), messages.Granted
+            slot_pool.request_slot(0, slot_request(f'r{i}')), messages.SlotGrant
         )
-    assert isinstance(slot_pool.ask(0.1, slot_request('a')), messages.Queued)
-    second = slot_pool.ask(0.2, slot_request('b'))
+    assert isinstance(
+        slot_pool.request_slot(0.1, slot_request('a')), messages.Queued
+    )
+    second = slot_pool.request_slot(0.2, slot_request('b'))
     assert isinstance(second, messages.Queued)
     assert second.position == 1
-    full = slot_pool.ask(0.2, slot_request('c'))
+    full = slot_pool.request_slot(0.2, slot_request('c'))
     assert isinstance(full, messages.Refused)
     assert full.code == 'queue-full'
-    slot_pool.end(0.3, slot_end('r0'))
+    slot_pool.release(0.3, slot_end('r0'))
     assert isinstance(
-        slot_pool.ask(0.3, slot_request('b', 100)), messages.Queued
+        slot_pool.request_slot(0.3, slot_request('b', 100)), messages.Queued
     )
     assert isinstance(
-        slot_pool.ask(0.3, slot_request('a', 200)), messages.Granted
+        slot_pool.request_slot(0.3, slot_request('a', 200)), messages.SlotGrant
     )
 
 
@@ -131,19 +135,24 @@
         1, [make_server('p0', 'prefill'), leaving, make_server('d1', 'decode')]
     )
     for i in range(2):
-        granted = slot_pool.ask(1, slot_request(f'r{i}'))
-        assert isinstance(granted, messages.Granted)
-        assert granted.decode == 'd1'
+        granted = slot_pool.request_slot(1, slot_request(f'r{i}'))
+        assert isinstance(granted, messages.SlotGrant)
+        assert granted.decode_worker == 'd1'
 
 
 def test_the_coordinator_changes_only_when_it_is_removed() -> None:
     keepers = [f'vm{i}' for i in range(8)]
     services = [f's{i}' for i in range(200)]
-    before = {s: homes.home(s, keepers) for s in services}
-    after = {s: homes.home(s, keepers[1:]) for s in services}
+    before = {
+        s: coordinator_choice.choose_coordinator(s, keepers) for s in services
+    }
+    after = {
+        s: coordinator_choice.choose_coordinator(s, keepers[1:])
+        for s in services
+    }
     reassigned = [s for s in services if before[s] != after[s]]
     assert {before[s] for s in reassigned} == {'vm0'}
-    assert homes.home('s', []) == ''
+    assert coordinator_choice.choose_coordinator('s', []) == ''
 
 
 def test_a_plain_service_gets_a_worker_and_no_prefill() -> None:
@@ -157,9 +166,9 @@
         role='plain',
     )
     slot_pool.on_servers(0, [worker])
-    granted = slot_pool.ask(0, slot_request('r'))
-    assert isinstance(granted, messages.Granted)
-    assert (granted.prefill, granted.decode) == ('', 'q0')
+    granted = slot_pool.request_slot(0, slot_request('r'))
+    assert isinstance(granted, messages.SlotGrant)
+    assert (granted.prefill_worker, granted.decode_worker) == ('', 'q0')
 
 
 def test_a_new_coordinator_does_not_overfill_before_renewals() -> None:
@@ -173,14 +182,18 @@
         name='d0', slots=2, running=2, queued=0, backlog_tokens=0, age_ms=500
     )
     slot_pool.on_load(0.1, 'd0', load)
-    assert isinstance(slot_pool.ask(0.1, slot_request('r')), messages.Queued)
-    slot_pool.keep(
+    assert isinstance(
+        slot_pool.request_slot(0.1, slot_request('r')), messages.Queued
+    )
+    slot_pool.renew(
         1,
-        messages.KeepSlots(
+        messages.SlotRenewal(
             service='enteis-llm', holder='e2', grants=(('x/1', 'd0'),)
         ),
     )
     assert isinstance(
-        slot_pool.ask(3, slot_request('r', 2900)), messages.Granted
+        slot_pool.request_slot(3, slot_request('r', 2900)), messages.SlotGrant
+    )
+    assert isinstance(
+        slot_pool.request_slot(3, slot_request('s')), messages.Queued
     )
-    assert isinstance(slot_pool.ask(3, slot_request('s')), messages.Queued)
--- a/tests/test_pool_faults.py
+++ b/tests/test_pool_faults.py
@@ -7,10 +7,10 @@
 from bench import scenario
 from bench import workload
 from foxtaildale import backends
-from foxtaildale import budget
+from foxtaildale import fallback_share
 from foxtaildale import messages
 from foxtaildale import pool
-from foxtaildale import share
+from foxtaildale import retry_budgets
 from foxtaildale import values
 
 NAME = 'patrol-reader'
@@ -43,8 +43,8 @@
     waited_ms: int = 0,
     ready_at: str = '',
     holder: str = 'e1',
-) -> messages.AskSlot:
-    return messages.AskSlot(
+) -> messages.SlotRequest:
+    return messages.SlotRequest(
         service=NAME,
         request=request,
         attempt=attempt,
@@ -52,17 +52,19 @@
         prompt_tokens=100,
         output_tokens=100,
         waited_ms=waited_ms,
-        ready_at=ready_at,
+        prefilled_at=ready_at,
     )
 
 
-def slot_end(request: str, result: str = 'done') -> messages.EndSlot:
-    return messages.EndSlot(service=NAME, grant=f'{request}/1', result=result)
+def slot_end(request: str, result: str = 'done') -> messages.SlotRelease:
+    return messages.SlotRelease(
+        service=NAME, grant=f'{request}/1', result=result
+    )
 
 
-def renewal(holder: str, *requests: str) -> messages.KeepSlots:
+def renewal(holder: str, *requests: str) -> messages.SlotRenewal:
     grants = tuple((f'{request}/1', 'd0') for request in requests)
-    return messages.KeepSlots(service=NAME, holder=holder, grants=grants)
+    return messages.SlotRenewal(service=NAME, holder=holder, grants=grants)
 
 
 def load_report(running: int, age_ms: int = 500) -> backends.Load:
@@ -80,7 +82,7 @@
     names = [f'r{i}' for i in range(SLOTS)]
     for name in names:
         assert isinstance(
-            slot_pool.ask(now, slot_request(name)), messages.Granted
+            slot_pool.request_slot(now, slot_request(name)), messages.SlotGrant
         )
     return names
 
@@ -93,11 +95,15 @@
     """
     fill_slots(make_pool())
     successor = make_pool()
-    successor.keep(2, renewal('e1', 'r0', 'r1'))
-    successor.keep(2, renewal('e2', 'r2', 'r3'))
-    assert isinstance(successor.ask(3, slot_request('s')), messages.Queued)
-    successor.end(3.1, slot_end('r3'))
-    assert isinstance(successor.ask(3.2, slot_request('s')), messages.Granted)
+    successor.renew(2, renewal('e1', 'r0', 'r1'))
+    successor.renew(2, renewal('e2', 'r2', 'r3'))
+    assert isinstance(
+        successor.request_slot(3, slot_request('s')), messages.Queued
+    )
+    successor.release(3.1, slot_end('r3'))
+    assert isinstance(
+        successor.request_slot(3.2, slot_request('s')), messages.SlotGrant
+    )
 
 
 def test_grants_of_a_silent_holder_expire() -> None:
@@ -108,11 +114,11 @@
     """
     slot_pool = make_pool()
     for name, holder in (('a', 'e1'), ('b', 'e1'), ('c', 'e2'), ('d', 'e2')):
-        slot_pool.ask(0, slot_request(name, holder=holder))
-    slot_pool.keep(2, renewal('e1', 'a', 'b'))
+        slot_pool.request_slot(0, slot_request(name, holder=holder))
+    slot_pool.renew(2, renewal('e1', 'a', 'b'))
     assert sorted(slot_pool.expire(4)) == ['c/1', 'd/1']
-    granted = slot_pool.ask(4, slot_request('s'))
-    assert isinstance(granted, messages.Granted)
+    granted = slot_pool.request_slot(4, slot_request('s'))
+    assert isinstance(granted, messages.SlotGrant)
     assert granted.start_in_ms == 0
 
 
@@ -124,9 +130,9 @@
     """
     slot_pool = make_pool()
     fill_slots(slot_pool)
-    slot_pool.keep(0.1, renewal('e1'))
+    slot_pool.renew(0.1, renewal('e1'))
     assert slot_pool.dump()['granted'] == SLOTS
-    slot_pool.keep(1.5, renewal('e1', 'r0'))
+    slot_pool.renew(1.5, renewal('e1', 'r0'))
     assert slot_pool.dump()['granted'] == 1
 
 
@@ -139,7 +145,9 @@
     slot_pool = make_pool()
     for second in range(1, 20):
         slot_pool.on_load(second, 'd0', load_report(running=SLOTS))
-    assert isinstance(slot_pool.ask(20, slot_request('s')), messages.Granted)
+    assert isinstance(
+        slot_pool.request_slot(20, slot_request('s')), messages.SlotGrant
+    )
 
 
 def test_queued_requests_of_a_crashed_entry_vm_are_removed() -> None:
@@ -152,16 +160,16 @@
     fill_slots(slot_pool)
     for name in ('a', 'b', 'c'):
         assert isinstance(
-            slot_pool.ask(0.1, slot_request(name)), messages.Queued
+            slot_pool.request_slot(0.1, slot_request(name)), messages.Queued
         )
-    full = slot_pool.ask(0.2, slot_request('d'))
+    full = slot_pool.request_slot(0.2, slot_request('d'))
     assert isinstance(full, messages.Refused)
     assert (full.code, full.figures) == (
         'queue-full',
         (values.Figure('queued', 3), values.Figure('limit', 3)),
     )
-    slot_pool.keep(2.9, renewal('e1', 'r0', 'r1', 'r2', 'r3'))
-    later = slot_pool.ask(4, slot_request('d'))
+    slot_pool.renew(2.9, renewal('e1', 'r0', 'r1', 'r2', 'r3'))
+    later = slot_pool.request_slot(4, slot_request('d'))
     assert isinstance(later, messages.Queued)
     assert later.position == 0
 
@@ -177,20 +185,21 @@
         msgspec.structs.replace(SERVICE, expected_tokens=64), values.Weights()
     )
     granted = [
-        slot_pool.ask(0, slot_request(f'r{i}')) for i in range(2 * SLOTS + 1)
+        slot_pool.request_slot(0, slot_request(f'r{i}'))
+        for i in range(2 * SLOTS + 1)
     ]
     last = granted[-1]
-    assert isinstance(last, messages.Granted)
-    assert last.decode == 'd0'
+    assert isinstance(last, messages.SlotGrant)
+    assert last.decode_worker == 'd0'
     ended = next(
         reply.grant
         for reply in granted
-        if isinstance(reply, messages.Granted) and reply.decode == 'd1'
+        if isinstance(reply, messages.SlotGrant) and reply.decode_worker == 'd1'
     )
-    slot_pool.end(0.9, slot_end(ended.rpartition('/')[0]))
-    replaced = slot_pool.ask(1, slot_request('r8', ready_at='p0'))
-    assert isinstance(replaced, messages.Granted)
-    assert (replaced.decode, replaced.grant) == ('d1', last.grant)
+    slot_pool.release(0.9, slot_end(ended.rpartition('/')[0]))
+    replaced = slot_pool.request_slot(1, slot_request('r8', ready_at='p0'))
+    assert isinstance(replaced, messages.SlotGrant)
+    assert (replaced.decode_worker, replaced.grant) == ('d1', last.grant)
 
 
 def test_a_stalled_transfer_is_recovered_without_a_new_prefill() -> None:
@@ -199,13 +208,17 @@
     A complete new attempt would repeat a prefill whose result is available.
     """
     slot_pool = make_pool('d0', 'd1')
-    assert isinstance(slot_pool.ask(0, slot_request('r')), messages.Granted)
-    slot_pool.end(0.5, slot_end('r', 'transfer-failed'))
-    again = slot_pool.ask(0.5, slot_request('r', attempt=2, ready_at='p0'))
-    assert isinstance(again, messages.Granted)
-    assert (again.prefill, again.start_in_ms) == ('p0', 0)
-    other = slot_pool.ask(0.5, slot_request('s'))
-    assert isinstance(other, messages.Granted)
+    assert isinstance(
+        slot_pool.request_slot(0, slot_request('r')), messages.SlotGrant
+    )
+    slot_pool.release(0.5, slot_end('r', 'transfer-failed'))
+    again = slot_pool.request_slot(
+        0.5, slot_request('r', attempt=2, ready_at='p0')
+    )
+    assert isinstance(again, messages.SlotGrant)
+    assert (again.prefill_worker, again.start_in_ms) == ('p0', 0)
+    other = slot_pool.request_slot(0.5, slot_request('s'))
+    assert isinstance(other, messages.SlotGrant)
     assert other.start_in_ms == 0
 
 
@@ -217,14 +230,14 @@
     """
     slot_pool = make_pool('d0', 'd1')
     for name in ('a', 'b', 'c', 'd'):
-        granted = slot_pool.ask(0, slot_request(name))
-        assert isinstance(granted, messages.Granted)
-        if granted.decode == 'd0':
-            slot_pool.end(0.1, slot_end(name, 'decode-failed'))
+        granted = slot_pool.request_slot(0, slot_request(name))
+        assert isinstance(granted, messages.SlotGrant)
+        if granted.decode_worker == 'd0':
+            slot_pool.release(0.1, slot_end(name, 'decode-failed'))
     for name in ('e', 'f'):
-        granted = slot_pool.ask(0.2, slot_request(name))
-        assert isinstance(granted, messages.Granted)
-        assert granted.decode == 'd1'
+        granted = slot_pool.request_slot(0.2, slot_request(name))
+        assert isinstance(granted, messages.SlotGrant)
+        assert granted.decode_worker == 'd1'
 
 
 def test_failing_transfers_cause_no_false_no_backend() -> None:
@@ -235,9 +248,11 @@
     """
     slot_pool = make_pool()
     for name in ('a', 'b', 'c', 'd'):
-        slot_pool.ask(0, slot_request(name))
-        slot_pool.end(0.1, slot_end(name, 'transfer-failed'))
-    assert isinstance(slot_pool.ask(0.2, slot_request('e')), messages.Granted)
+        slot_pool.request_slot(0, slot_request(name))
+        slot_pool.release(0.1, slot_end(name, 'transfer-failed'))
+    assert isinstance(
+        slot_pool.request_slot(0.2, slot_request('e')), messages.SlotGrant
+    )
 
 
 def test_engines_end_the_streams_of_a_crashed_entry_vm() -> None:
@@ -282,12 +297,14 @@
     Retries without a budget would multiply the load during the outage, and
     keep the workers busy for callers that have disconnected.
     """
-    retry_budget = budget.Budget(ratio=0.1, burst=3)
+    retry_budget = retry_budgets.RetryBudget(ratio=0.1, burst=3)
     for _ in range(100):
-        retry_budget.first(1.0)
-    assert sum(retry_budget.allow(1.0, deadline=2.0) for _ in range(100)) == 13
-    fresh_budget = budget.Budget(ratio=1.0, burst=3)
-    assert not fresh_budget.allow(2.0, deadline=2.0)
+        retry_budget.record_first_attempt(1.0)
+    assert (
+        sum(retry_budget.acquire(1.0, deadline=2.0) for _ in range(100)) == 13
+    )
+    fresh_budget = retry_budgets.RetryBudget(ratio=1.0, burst=3)
+    assert not fresh_budget.acquire(2.0, deadline=2.0)
 
 
 @pytest.mark.parametrize('count', [1, 3, 6, 7, 8])
@@ -301,9 +318,9 @@
     worker = make_server('d0', 'decode')
     share_sizes = []
     for vm in vms:
-        vm_share = share.Share(NAME, vm)
+        vm_share = fallback_share.FallbackShare(NAME, vm)
         vm_share.on_listing(_listing(vms))
-        share_sizes.append(vm_share.part(worker))
+        share_sizes.append(vm_share.slot_share(worker))
     assert sum(share_sizes) == SLOTS
 
 
@@ -313,16 +330,20 @@
     The disconnected entry VM would send its share in addition, and the full
     workers would reject it.
     """
-    vm_share = share.Share(NAME, 'vm0')
+    vm_share = fallback_share.FallbackShare(NAME, 'vm0')
     vm_share.on_service(SERVICE)
     vm_share.on_listing(_listing(['vm0']))
     vm_share.on_load('d0', load_report(running=SLOTS))
-    assert isinstance(vm_share.ask(0, slot_request('r')), messages.Queued)
-    expired = vm_share.ask(0, slot_request('r', waited_ms=10_000))
+    assert isinstance(
+        vm_share.request_slot(0, slot_request('r')), messages.Queued
+    )
+    expired = vm_share.request_slot(0, slot_request('r', waited_ms=10_000))
     assert isinstance(expired, messages.Refused)
     assert expired.code == 'patience-over'
     vm_share.on_load('d0', load_report(running=SLOTS, age_ms=60_000))
-    assert isinstance(vm_share.ask(0, slot_request('r')), messages.Granted)
+    assert isinstance(
+        vm_share.request_slot(0, slot_request('r')), messages.SlotGrant
+    )
 
 
 def _listing(vms: list[str]) -> values.Listing:
--- a/tests/test_preset_accounts.py
+++ b/tests/test_preset_accounts.py
@@ -46,7 +46,7 @@
 ) -> None:
     text = json.dumps(_PRESET | {'accounts': found})
     with pytest.raises(errors.SettingsError) as caught:
-        settings.preset(text, 'p.json5')
+        settings.parse_preset(text, 'p.json5')
     assert any(fault in line for line in caught.value.faults)
     assert _KEY not in str(caught.value)
     assert _DIGEST not in str(caught.value)
@@ -54,7 +54,7 @@
 
 def test_accounts_are_read() -> None:
     known = {'a': {'keys': [_DIGEST], 'requests_per_s': 2.5, 'burst': 10}}
-    preset = settings.preset(
+    preset = settings.parse_preset(
         json.dumps(_PRESET | {'accounts': known}), 'p.json5'
     )
     assert preset.accounts == {
--- a/tests/test_preset_processes.py
+++ b/tests/test_preset_processes.py
@@ -110,7 +110,7 @@
         return self.operator().publish(_preset(name))
 
     def switch(self, name: str, expects: int | None = None) -> submit.Learnt:
-        digest = changes.digest_of(changes.canonical(_preset(name)))
+        digest = changes.digest_of(changes.canonical_form(_preset(name)))
         return self.operator().switch(name, digest, expects)
 
     def works_by(self, proc: fleet.Proc, revision: int) -> bool:
@@ -256,7 +256,7 @@
 def _starts_from(log: platform.Platform) -> int:
     """Returns what the newest checkpoint kept in the log stands for."""
     end = log.read(changes.STREAM, 2**40, 1).end
-    batch = log.read(changes.STREAM, max(0, end - fold.WINDOW // 8))
+    batch = log.read(changes.STREAM, max(0, end - fold.VERDICT_WINDOW // 8))
     found = [changes.decode(one.data) for one in batch.records]
     offsets = [
         one.offset for one in found if isinstance(one, changes.Checkpoint)
--- a/tests/test_quarantine_path.py
+++ b/tests/test_quarantine_path.py
@@ -14,7 +14,7 @@
 
 from foxtaildale import fingerprint
 from foxtaildale import forwarding
-from foxtaildaled import quarantining
+from foxtaildaled import quarantine_manager
 from tests import site as sites
 from tests.standins import crasher
 
@@ -103,7 +103,8 @@
     def all_hold(self, request: int) -> bool:
         """Whether all entry VMs hold a request, by its fingerprint."""
         return all(
-            request in router._state.verdicts.quarantine.held(0.0)
+            request
+            in router._state.quarantine_state.quarantine.quarantined(0.0)
             for router in self.routers
         )
 
@@ -113,13 +114,15 @@
         super().close()
 
 
-def _report(vm: quarantining.Quarantining, request: int, *servers: str) -> None:
+def _report(
+    vm: quarantine_manager.QuarantineManager, request: int, *servers: str
+) -> None:
     """Has an entry VM report that servers ended under a request."""
     for server in servers:
         ended = forwarding.Backend(
             id=server, service='plain', address='127.0.0.1:1'
         )
-        vm.crashed(ended, request, ran_s=0.01)
+        vm.record_crash(ended, request, ran_s=0.01)
 
 
 @pytest.fixture
@@ -223,7 +226,10 @@
 def test_reports_of_one_vm_alone_hold_nothing(site: _Site) -> None:
     """Guards against a VM that blames what the reports of others explain."""
     site.start_routers(3)
-    at_home = [r._asking.is_home(quarantining.HOME) for r in site.routers]
+    at_home = [
+        r._coordinators.is_coordinator(quarantine_manager.COORDINATOR_SUBJECT)
+        for r in site.routers
+    ]
     home = at_home.index(True)
     one, other = (
         site.routers[number]._quarantining
@@ -235,7 +241,7 @@
 
     def held(number: int) -> set[int]:
         state = site.routers[number]._state
-        return set(state.verdicts.quarantine.held(0.0))
+        return set(state.quarantine_state.quarantine.quarantined(0.0))
 
     sites.until(lambda: all(held(number) == {8} for number in range(3)))
     time.sleep(1.5)
@@ -262,7 +268,10 @@
 def test_reports_outlive_a_home_that_made_them(site: _Site) -> None:
     """Guards against reports that end with a VM that is their home as well."""
     site.start_routers(3)
-    at_home = [r._asking.is_home(quarantining.HOME) for r in site.routers]
+    at_home = [
+        r._coordinators.is_coordinator(quarantine_manager.COORDINATOR_SUBJECT)
+        for r in site.routers
+    ]
     home = site.routers.pop(at_home.index(True))
     _report(home._quarantining, 7, 'x1', 'x2')
     time.sleep(1.0)
@@ -275,7 +284,10 @@
 def test_reports_outlive_both_their_vm_and_their_home(site: _Site) -> None:
     """Guards against reports that a VM was told of and passes on to no home."""
     site.start_routers(3)
-    at_home = [r._asking.is_home(quarantining.HOME) for r in site.routers]
+    at_home = [
+        r._coordinators.is_coordinator(quarantine_manager.COORDINATOR_SUBJECT)
+        for r in site.routers
+    ]
     home = site.routers.pop(at_home.index(True))
     reporter, heir = site.routers
     _report(reporter._quarantining, 7, 'x1', 'x2')
@@ -284,8 +296,15 @@
     home.close()
     site.routers[:] = [heir]
     # Another start may leave the VM that was told as the home itself.
-    sites.until(lambda: heir._asking.is_home(quarantining.HOME), 6.0)
-    while heir._asking.is_home(quarantining.HOME):
+    sites.until(
+        lambda: heir._coordinators.is_coordinator(
+            quarantine_manager.COORDINATOR_SUBJECT
+        ),
+        6.0,
+    )
+    while heir._coordinators.is_coordinator(
+        quarantine_manager.COORDINATOR_SUBJECT
+    ):
         site.start_routers(1)
     time.sleep(1.5)
     newest = site.routers[-1]._quarantining
@@ -297,10 +316,13 @@
 def test_who_judges_for_a_home_that_is_gone_saves_too(site: _Site) -> None:
     """Guards against a verdict that ends with the VMs, since no home saved it."""
     site.start_routers(3)
-    at_home = [r._asking.is_home(quarantining.HOME) for r in site.routers]
+    at_home = [
+        r._coordinators.is_coordinator(quarantine_manager.COORDINATOR_SUBJECT)
+        for r in site.routers
+    ]
     site.routers.pop(at_home.index(True)).close()
     _report(site.routers[0]._quarantining, 7, 'x1', 'x2', 'x3')
-    key = f'held/{fingerprint.text(7)}'
+    key = f'held/{fingerprint.to_text(7)}'
     sites.until(lambda: key in site.store.keys('keyed.entryvms'), 6.0)
 
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -1,10 +1,10 @@
 """Decode workers that refuse requests although the plan has room there."""
 
 from foxtaildale import messages
-from foxtaildale import placing
+from foxtaildale import placement_plan
 from foxtaildale import refusals
 from foxtaildale import routes
-from tests import tallies
+from tests import engine_states
 
 _SERVICE = routes.Service(
     name='s', kv_tokens=30_000, hold_s=2.0, handle_s=0.5, slots=64
@@ -14,18 +14,18 @@
 def test_each_further_refusal_closes_a_worker_for_longer() -> None:
     table = refusals.Refusals()
     now, closed_spans_s = 0.0, []
-    table.note(now, 'd', 'p1', taken=False)
-    assert table.closed(now) == frozenset()
+    table.record(now, 'd', 'p1', accepted=False)
+    assert table.closed_workers(now) == frozenset()
     for _ in range(5):
-        table.note(now, 'd', 'p2', taken=False)
+        table.record(now, 'd', 'p2', accepted=False)
         closed_at = now
-        while 'd' in table.closed(now):
+        while 'd' in table.closed_workers(now):
             now += 0.01
         closed_spans_s.append(round(now - closed_at, 1))
     assert closed_spans_s == [0.3, 0.6, 1.2, 2.4, 2.4]
-    table.note(now, 'd', 'p1', taken=True)
-    table.note(now, 'd', 'p1', taken=False)
-    assert table.closed(now) == frozenset()
+    table.record(now, 'd', 'p1', accepted=True)
+    table.record(now, 'd', 'p1', accepted=False)
+    assert table.closed_workers(now) == frozenset()
 
 
 def test_expired_handles_close_no_decode_worker() -> None:
@@ -36,9 +36,9 @@
     """
     table = refusals.Refusals()
     for number in range(30):
-        table.note(number * 0.1, f'd{number % 3}', 'p1', taken=False)
-        table.note(number * 0.1, f'd{number % 3}', 'p2', taken=True)
-    assert table.closed(3.0) == frozenset()
+        table.record(number * 0.1, f'd{number % 3}', 'p1', accepted=False)
+        table.record(number * 0.1, f'd{number % 3}', 'p2', accepted=True)
+    assert table.closed_workers(3.0) == frozenset()
 
 
 def test_a_worker_that_refuses_everything_wastes_few_prefills() -> None:
@@ -47,9 +47,9 @@
     It is always empty in the plan and thus the first choice. The prefills are
     wasted, and callers with one attempt are refused.
     """
-    plan = placing.Plan()
-    decoders = tallies.make('decode', 3)
-    prefillers = tallies.make('prefill', 3)
+    plan = placement_plan.Plan()
+    decoders = engine_states.make_engines('decode', 3)
+    prefillers = engine_states.make_engines('prefill', 3)
     refused = served = 0
     running: list[tuple[float, str]] = []
     for step in range(1000):
@@ -57,28 +57,30 @@
         for ends_at, name in list(running):
             if now >= ends_at:
                 running.remove((ends_at, name))
-                end = messages.EndPlace(
+                end = messages.PlacementRelease(
                     service='s',
                     request=name,
                     prefill_ms=100,
                     decode_ms=2000,
-                    tokens=500,
-                    whole=True,
+                    output_tokens=500,
+                    complete=True,
                 )
-                plan.end(now, end)
+                plan.release(now, end)
         if step % 20:
             continue
         name = f'r{step}'
-        ask = tallies.ask(name, 3000)
-        place = plan.ask(now, ask, _SERVICE, lambda: (decoders, prefillers))
-        if not isinstance(place, messages.Place):
+        ask = engine_states.placement_request(name, 3000)
+        place = plan.request_placement(
+            now, ask, _SERVICE, lambda: (decoders, prefillers)
+        )
+        if not isinstance(place, messages.PlacementGrant):
             continue
-        if place.worker == 'decode-0':
+        if place.decode_worker == 'decode-0':
             refused += 1
-            end = messages.EndPlace(
-                service='s', request=name, prefill_ms=100, refused=True
+            end = messages.PlacementRelease(
+                service='s', request=name, prefill_ms=100, prefill_rejected=True
             )
-            plan.end(now + 0.1, end)
+            plan.release(now + 0.1, end)
         else:
             served += 1
             running.append((now + 2.0, name))
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -13,14 +13,14 @@
 from foxtaildale import fleet
 from foxtaildale import forwarding
 from foxtaildale import messages
-from foxtaildale import placing
+from foxtaildale import placement_plan
 from foxtaildale import routes
 from foxtaildale_adapters import logs
 from foxtaildale_platform import records
 from foxtaildale_platform import store
-from foxtaildaled import beliefs
-from foxtaildaled import watched
-from tests import tallies
+from foxtaildaled import router_state
+from foxtaildaled import tracked_flights
+from tests import engine_states
 
 _CODEC = records.Codec()
 _ENTRY: dict[str, object] = {
@@ -47,7 +47,9 @@
     """Reads records as a router does."""
 
     def __init__(self) -> None:
-        self.state = beliefs.Beliefs(_CODEC, 'me:1', (), '', random.Random(1))
+        self.state = router_state.RouterState(
+            _CODEC, 'me:1', (), '', random.Random(1)
+        )
         self._offset = 0
 
     def read(self, *found: bytes) -> None:
@@ -55,7 +57,9 @@
         data = struct.pack('>QQ', self._offset + len(found), 0)
         keyed = store._decode_log(data + b''.join(found), self._offset)
         self._offset = keyed.end
-        self.state.take(_CODEC.servers_topic, keyed, 1.0, whole=False)
+        self.state.apply_store_reply(
+            _CODEC.servers_topic, keyed, 1.0, is_snapshot=False
+        )
 
     def put(self, key: str, **changed: object) -> None:
         value = msgspec.json.encode(_ENTRY | changed)
@@ -76,16 +80,16 @@
     reader.put('i-1', born=1000)
     known = reader.state.fleet
     for _ in range(5):
-        known.sent('i-1', 100)
-        known.failed('i-1', 1.0)
+        known.record_sent('i-1', 100)
+        known.record_failure('i-1', 1.0)
     reader.put('i-1', born=1000, state='draining')
     assert reader.usable() == set()
     reader.put('i-1', born=2000)
     assert reader.usable() == {'i-1'}
-    tally = known.tally('i-1')
+    tally = known.server_state('i-1')
     assert tally is not None
-    assert (tally.in_flight, tally.held_tokens) == (0, 0)
-    assert tally.faults_now(1.0) == 0
+    assert (tally.in_flight, tally.in_flight_tokens) == (0, 0)
+    assert tally.decayed_failures(1.0) == 0
 
 
 def test_a_late_entry_of_an_old_start_changes_nothing() -> None:
@@ -182,10 +186,10 @@
     assert reader.usable() == {'i-1', 'i-2'}
 
 
-def _ask(plan: placing.Plan, now: float, request: str) -> object:
+def _ask(plan: placement_plan.Plan, now: float, request: str) -> object:
     backends = {
         stage: (
-            fleet.Tally(
+            fleet.ServerState(
                 forwarding.Backend(
                     id=stage, service='s', address='x:1', stage=stage
                 )
@@ -193,8 +197,8 @@
         )
         for stage in ('decode', 'prefill')
     }
-    msg = tallies.ask(request, 4000)
-    return plan.ask(
+    msg = engine_states.placement_request(request, 4000)
+    return plan.request_placement(
         now, msg, _SERVICE, lambda: (backends['decode'], backends['prefill'])
     )
 
@@ -205,34 +209,34 @@
     With what it had still planned there, callers would be refused beside an
     empty engine.
     """
-    plan = placing.Plan()
+    plan = placement_plan.Plan()
     for name in ('a', 'b'):
-        assert isinstance(_ask(plan, 0.0, name), messages.Place)
+        assert isinstance(_ask(plan, 0.0, name), messages.PlacementGrant)
     assert isinstance(_ask(plan, 0.1, 'c'), messages.Queued)
-    plan.restarted('decode')
-    assert isinstance(_ask(plan, 0.2, 'c'), messages.Place)
+    plan.forget('decode')
+    assert isinstance(_ask(plan, 0.2, 'c'), messages.PlacementGrant)
 
 
 def test_holders_do_not_bring_back_what_is_lost() -> None:
     reader = _Reader()
     reader.put('i-1', born=2000, stage='decode')
-    kept = messages.KeepPlaces(
+    kept = messages.PlacementRenewal(
         service='s',
         holder='vm-2',
         places=tuple(
-            messages.KeptPlace(
+            messages.ActivePlacement(
                 request=f'r{born}',
-                worker='i-1',
-                prompt=10,
-                hinted=1,
-                longest=2,
-                born=born,
+                decode_worker='i-1',
+                prompt_tokens=10,
+                hinted_tokens=1,
+                max_output_tokens=2,
+                started_at=born,
             )
             for born in (1000, 2000)
         ),
     )
-    reader.state.plans.surveyed('s', [kept], 1.0)
-    assert reader.state.plans.planned()['s']['planned'] == {'i-1': 1}
+    reader.state.plans.apply_inventory('s', [kept], 1.0)
+    assert reader.state.plans.summary()['s']['planned'] == {'i-1': 1}
 
 
 class _Flight:
@@ -252,10 +256,10 @@
     Its connections say nothing; a caller whose stream may not go on elsewhere
     would wait for fourteen seconds for an answer that never comes.
     """
-    running = watched.Running()
+    running = tracked_flights.OpenFlights()
     flights = {born: _Flight() for born in (1000, 2000)}
     held = [
-        watched._Watched(
+        tracked_flights._TrackedFlight(
             flight,  # type: ignore[arg-type]
             forwarding.Backend(id='i-1', service='s', address='x:1', born=born),
             running,
@@ -264,9 +268,9 @@
         for born, flight in flights.items()
     ]
     new = forwarding.Backend(id='i-1', service='s', address='x:1', born=2000)
-    assert running.restarted(new) == 1
+    assert running.cancel_earlier(new) == 1
     assert flights[1000].ended.is_set()
     assert not flights[2000].ended.is_set()
     for flight in held:
         flight.close()
-    assert running.restarted(new) == 0
+    assert running.cancel_earlier(new) == 0
--- a/tests/test_passage.py
+++ b/tests/test_routed_request.py
@@ -9,11 +9,13 @@
 from foxtaildale import forwarding
 from foxtaildale import routes
 from foxtaildale_adapters import metrics
-from foxtaildaled import passage
+from foxtaildaled import routed_request
 
 
-def _passage(patience_s: float | None, ends_at: float) -> passage.Passage:
-    call = forwarding.Call(
+def _passage(
+    patience_s: float | None, ends_at: float
+) -> routed_request.RoutedRequest:
+    call = forwarding.CallerRequest(
         id='a1',
         method='POST',
         target='/chat/x',
@@ -32,16 +34,16 @@
         timeout_s=14.0,
         target_s=0.9,
     )
-    return passage.Passage(
+    return routed_request.RoutedRequest(
         cast(Any, None),
-        call=call,
+        caller_request=call,
         route=route,
         service=routes.Service(name='s'),
-        version=1,
+        config_version=1,
         entry_vm='vm-1',
-        counts=metrics.Metrics(),
+        request_metrics=metrics.Metrics(),
         clock=lambda: 100.0,
-        ends_at=ends_at,
+        process_ends_at=ends_at,
     )
 
 
@@ -64,4 +66,4 @@
     what is left, so that it is told to come back and runs whole elsewhere.
     """
     req = _passage(patience_s, ends_at)
-    assert req.left_s() == pytest.approx(left_s)
+    assert req.time_left_s() == pytest.approx(left_s)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from foxtaildale import balance
 from foxtaildale import errors
 from foxtaildale import messages
 from foxtaildale import positions
+from foxtaildale import stage_balance
 from foxtaildale_adapters import peers
-from foxtaildaled import balancing
-from foxtaildaled import places
+from foxtaildaled import placement_client
+from foxtaildaled import stage_orders
 from tests import site as sites
 
 Site = sites.Site
@@ -180,25 +180,32 @@
     Planned as a new request, what it has made so far would outgrow its share of
     the next worker, which then has another caller's prompt read again.
     """
-    asked: list[messages.AskPlace] = []
-    ask = places.Places.ask
+    asked: list[messages.PlacementRequest] = []
+    ask = placement_client.PlacementClient.request
 
     def note(
-        self: places.Places, msg: messages.AskPlace
-    ) -> places.Answer | None:
+        self: placement_client.PlacementClient, msg: messages.PlacementRequest
+    ) -> placement_client.Reply | None:
         asked.append(msg)
         return ask(self, msg)
 
-    monkeypatch.setattr(places.Places, 'ask', note)
+    monkeypatch.setattr(placement_client.PlacementClient, 'ask', note)
     for name in ('d1', 'd2'):
         calm.workers[name].events = 8
         calm.workers[name].break_after = 6
     sites.send(calm, 'POST', '/chat/x')
     first, second = asked[0], asked[-1]
-    assert (first.prompt, first.longest, first.started) == (500, 640, False)
+    assert (
+        first.prompt_tokens,
+        first.max_output_tokens,
+        first.response_started,
+    ) == (500, 640, False)
     made = 6 * 64
-    assert (second.prompt, second.longest) == (500 + made, 640 - made)
-    assert second.started
+    assert (second.prompt_tokens, second.max_output_tokens) == (
+        500 + made,
+        640 - made,
+    )
+    assert second.response_started
 
 
 def test_a_stream_that_may_not_go_on_is_cut(calm: Site) -> None:
@@ -245,7 +252,7 @@
             b'Foxtaildale-Token-Count: 500,640\r\n\r\n'
         )
         assert sock.recv(100).startswith(b'HTTP/1.1 200')
-    sites.until(lambda: not calm.routers[0].busy(), 2.0)
+    sites.until(lambda: not calm.routers[0].requests_in_progress(), 2.0)
     assert not any(calm.workers[name].ended for name in ('d1', 'd2'))
 
 
@@ -259,7 +266,7 @@
             b'Foxtaildale-Token-Count: 500,640\r\n\r\n'
         )
         sites.until(lambda: bool(calm.workers['p1'].ran))
-    sites.until(lambda: not calm.routers[0].busy(), 0.5)
+    sites.until(lambda: not calm.routers[0].requests_in_progress(), 0.5)
     time.sleep(0.2)
     assert not any(calm.workers[name].ran for name in ('d1', 'd2'))
 
@@ -393,7 +400,7 @@
 
 
 def _send_many(site: Site) -> None:
-    for number in range(balance.ENOUGH + 5):
+    for number in range(stage_balance.MIN_REQUESTS + 5):
         status, _, _ = sites.send(site, 'POST', '/chat/x', attempt=f'a{number}')
         assert status == 200
 
@@ -405,7 +412,7 @@
     """
     _site_of_idle_prefill_workers(site)
     _send_many(site)
-    sites.until(lambda: len(_orders(site)) == balance.AT_ONCE)
+    sites.until(lambda: len(_orders(site)) == stage_balance.MIN_CHANGING_LIMIT)
     for order in _orders(site):
         assert order['op'] == 'stage'
         assert order['stage'] == 'decode'
@@ -423,7 +430,7 @@
     _site_of_idle_prefill_workers(site)
     site.store.put('keyed.stageholders', 'model', 'vm-9')
     _send_many(site)
-    time.sleep(balance.SURPLUS_S + 2 * balancing.LOOK_S + 0.3)
+    time.sleep(stage_balance.SURPLUS_S + 2 * stage_orders.POLL_S + 0.3)
     assert not _orders(site)
 
 
@@ -453,15 +460,15 @@
         target=lambda: found.append(sites.send(calm, 'POST', '/chat/x'))
     )
     stream.start()
-    sites.until(lambda: calm.routers[0].busy() == 1)
+    sites.until(lambda: calm.routers[0].requests_in_progress() == 1)
     stop = threading.Thread(target=calm.routers[0].stop)
     stop.start()
     time.sleep(0.2)
     assert not sites.ready(calm)
-    ask = messages.AskRecords(ends={})
+    ask = messages.RecordsRequest(positions={})
     asked = peers.Peers(1.0, 3.0)
     with pytest.raises(errors.RejectedError, match='stopping'):
-        asked.ask(calm.peers[0], ask, 1.0)
+        asked.request(calm.peers[0], ask, 1.0)
     asked.close()
     status, headers, _ = sites.send(calm, 'GET', '/safe/x', attempt='late')
     assert status == 200
--- a/tests/test_sends.py
+++ b/tests/test_router_retry_budgets.py
@@ -5,12 +5,12 @@
 import hypothesis
 from hypothesis import strategies
 
-from foxtaildale import budget
 from foxtaildale import forwarding
+from foxtaildale import retry_budgets
 from foxtaildale_platform import records
 from foxtaildaled import actors
-from foxtaildaled import beliefs
-from foxtaildaled import sends
+from foxtaildaled import router_retry_budgets
+from foxtaildaled import router_state
 
 _VMS = 78
 _BURST = 196.0
@@ -26,18 +26,20 @@
         self._names = range(vms)
         self.vms = [self.vm(number, first_start=True) for number in self._names]
 
-    def vm(self, number: int, *, first_start: bool = False) -> sends.Sends:
+    def vm(
+        self, number: int, *, first_start: bool = False
+    ) -> router_retry_budgets.RouterRetryBudgets:
         """Returns a new process of an entry VM."""
-        state = beliefs.Beliefs(
+        state = router_state.RouterState(
             records.Codec(), f'vm-{number}:1', (), 'here', random.Random(1)
         )
         for other in self._names:
             state.entry_vms[f'vm-{other}'] = forwarding.EntryVm(f'x:{other}')
         self.owners = [
             *getattr(self, 'owners', []),
-            actors.Owner(state, self.clock),
+            actors.StateOwner(state, self.clock),
         ]
-        return sends.Sends(
+        return router_retry_budgets.RouterRetryBudgets(
             _RATIO,
             self._burst,
             self.owners[-1],
@@ -64,12 +66,12 @@
     rng = random.Random(3)
     taken = firsts = 0
     for _ in range(4 * _VMS):
-        site.now += budget.WINDOW_S / (5 * _VMS)
+        site.now += retry_budgets.WINDOW_S / (5 * _VMS)
         vm = rng.choice(site.vms)
-        vm.first('s')
+        vm.record_first_attempt('s')
         firsts += 1
         for other in site.vms[:: rng.randrange(1, 9)]:
-            taken += other.take('s', site.now + 5.0)
+            taken += other.acquire('s', site.now + 5.0)
     site.close()
     bound = _BURST + _RATIO * firsts
     assert 0.7 * bound <= taken <= bound
@@ -104,13 +106,13 @@
             site.vms[turn % vms] = site.vm(turn % vms)
             turn += 1
         vm = rng.choice(site.vms)
-        vm.first('s')
+        vm.record_first_attempt('s')
         firsts.append(site.now)
-        if vm.take('s', site.now + 5.0):
+        if vm.acquire('s', site.now + 5.0):
             taken.append(site.now)
     site.close()
     for end in taken:
-        began = end - budget.WINDOW_S
+        began = end - retry_budgets.WINDOW_S
         spent = sum(began < at <= end for at in taken)
         asked = sum(began < at <= end for at in firsts)
         assert spent <= burst + _RATIO * asked
@@ -124,6 +126,6 @@
     """
     site = _Site(2)
     stranger = site.vm(7, first_start=True)
-    stranger.first('s')
-    assert not stranger.take('s', site.now + 5.0)
+    stranger.record_first_attempt('s')
+    assert not stranger.acquire('s', site.now + 5.0)
     site.close()
--- a/tests/test_beliefs.py
+++ b/tests/test_router_state.py
@@ -13,7 +13,7 @@
 from foxtaildale import ports
 from foxtaildale_adapters import logs
 from foxtaildale_platform import records
-from foxtaildaled import beliefs
+from foxtaildaled import router_state
 
 _CODEC = records.Codec()
 
@@ -47,38 +47,46 @@
         'event',
         lambda _level, event, **fields: seen.append((event, fields['stage'])),
     )
-    state = beliefs.Beliefs(_CODEC, 'me:1', (), 'here', random.Random(1))
+    state = router_state.RouterState(
+        _CODEC, 'me:1', (), 'here', random.Random(1)
+    )
     for entry in (
         _entry(0),
         _entry(1),
         _entry(2, stage='decode'),
         _entry(3, stage='decode', state='draining'),
     ):
-        keyed = ports.Keyed(entry.offset + 1, (entry,))
-        state.take(_CODEC.servers_topic, keyed, 1.0, whole=False)
+        keyed = ports.KeyedRecords(entry.offset + 1, (entry,))
+        state.apply_store_reply(
+            _CODEC.servers_topic, keyed, 1.0, is_snapshot=False
+        )
     assert seen == [
         ('backend server known', 'prefill'),
         ('backend server known', 'decode'),
         ('backend server leaving', 'decode'),
     ]
-    assert json.dumps(state.plans.planned()) == '{}'
+    assert json.dumps(state.plans.summary()) == '{}'
 
 
-def _state() -> beliefs.Beliefs:
-    return beliefs.Beliefs(_CODEC, 'me:1', (), 'here', random.Random(1))
+def _state() -> router_state.RouterState:
+    return router_state.RouterState(
+        _CODEC, 'me:1', (), 'here', random.Random(1)
+    )
 
 
-def _read(state: beliefs.Beliefs, *entries: mirror.Entry) -> None:
+def _read(state: router_state.RouterState, *entries: mirror.Entry) -> None:
     end = entries[-1].offset + 1
-    keyed = ports.Keyed(end, entries)
-    state.take(_CODEC.servers_topic, keyed, 1.0, whole=False)
+    keyed = ports.KeyedRecords(end, entries)
+    state.apply_store_reply(_CODEC.servers_topic, keyed, 1.0, is_snapshot=False)
 
 
-def _passed_on(state: beliefs.Beliefs, end: int) -> list[int]:
+def _passed_on(state: router_state.RouterState, end: int) -> list[int]:
     """Returns the offsets told to a peer that knows the list up to one."""
     topic = _CODEC.servers_topic
-    reply = state.reply(messages.AskRecords(ends={topic: end}), 1.0)
-    assert reply.ends[topic] >= end
+    reply = state.build_reply(
+        messages.RecordsRequest(positions={topic: end}), 1.0
+    )
+    assert reply.positions[topic] >= end
     return [offset for _, offset, _, _ in reply.records[topic]]
 
 
@@ -108,7 +116,7 @@
     """
     state = _state()
     _read(state, _entry(0), _entry(1))
-    state.failed(1.0)
+    state.record_store_failure(1.0)
     _read(state, mirror.Entry(key='i-1', offset=2, value=b''))
     assert _passed_on(state, 2) == [2]
     _read(state, _entry(3))
@@ -134,13 +142,18 @@
     """
     state = _state()
     _read(state, _entry(0))
-    head = forwarding.Head(status=forwarding.MISDIRECTED, headers=(), ran='no')
-    state.fleet.not_run('i-1', 10.0, misdirected=head.misdirected)
+    head = forwarding.ResponseHead(
+        status=forwarding.MISDIRECTED, headers=(), ran='no'
+    )
+    state.fleet.record_not_run('i-1', 10.0, misdirected=head.misdirected)
     assert state.fleet.usable('i-1', 10.5) is None
     assert not state.fleet.candidates('s', 10.5, 'prefill')
-    assert state.fleet.usable('i-1', 10.0 + fleet.MISDIRECTED_S) is not None
+    assert (
+        state.fleet.usable('i-1', 10.0 + fleet.MISDIRECTED_EXCLUSION_S)
+        is not None
+    )
     # What changed is tried at once.
-    state.fleet.not_run('i-1', 20.0, misdirected=head.misdirected)
+    state.fleet.record_not_run('i-1', 20.0, misdirected=head.misdirected)
     _read(state, _entry(1, stage='decode'))
     assert state.fleet.usable('i-1', 20.0) is not None
 
@@ -156,18 +169,24 @@
         for number in range(100)
     }
     everybody = state.peers()
-    assert state.plans.survey_peers('s', 1.0) == everybody
-    place = messages.KeptPlace(
-        request='r', worker='i-1', prompt=9, hinted=9, longest=9
+    assert state.plans.inventory_peers('s', 1.0) == everybody
+    place = messages.ActivePlacement(
+        request='r',
+        decode_worker='i-1',
+        prompt_tokens=9,
+        hinted_tokens=9,
+        max_output_tokens=9,
+    )
+    kept = messages.PlacementRenewal(
+        service='s', holder='vm-7', places=(place,)
     )
-    kept = messages.KeepPlaces(service='s', holder='vm-7', places=(place,))
-    state.plans.surveyed('s', [kept], 1.0)
+    state.plans.apply_inventory('s', [kept], 1.0)
     seen: set[str] = set()
     for _ in range(8):
-        asked = state.plans.survey_peers('s', 1.5)
+        asked = state.plans.inventory_peers('s', 1.5)
         assert 'vm-7:1' in asked
         assert len(asked) < 20
         seen.update(asked)
     assert seen == set(everybody)
     # Known too long ago: all again.
-    assert state.plans.survey_peers('s', 9.0) == everybody
+    assert state.plans.inventory_peers('s', 9.0) == everybody
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -19,7 +19,7 @@
     )
 
 
-_TABLE = routes.Table(
+_TABLE = routes.RoutingTable(
     version=3,
     routes=(_route('/a/'), _route('/a/b/'), _route('/', 'b.example')),
 )
@@ -41,7 +41,7 @@
 def test_longest_prefix_of_the_host_is_selected(
     host: str, path: str, expected: str | None
 ) -> None:
-    route = routes.Matcher(_TABLE).find(host, path)
+    route = routes.Matcher(_TABLE).match(host, path)
     assert (route.name if route else None) == expected
 
 
--- a/tests/test_selfreports_path.py
+++ b/tests/test_selfreports_path.py
@@ -216,16 +216,16 @@
     site: sites.Site,
 ) -> None:
     """Guards against a place that was granted before the word came."""
-    answer = forwarding.Reply(
+    answer = forwarding.ControlResponse(
         status=503, report=forwarding.SelfReport(backoff_s=_REST_S)
     )
     router = site.routers[0]
 
     def hear(_: object) -> None:
         for name in ('d1', 'd2'):
-            entry = router._state.fleet.tally(name)
+            entry = router._state.fleet.server_state(name)
             assert entry is not None
-            router._self_reports.hear(entry.backend, answer)
+            router._self_reports.apply_response(entry.backend, answer)
 
     for name in ('p1', 'p2'):
         site.workers[name].on_prefill = hear
--- a/tests/test_sendtokens.py
+++ b/tests/test_sendtokens.py
@@ -47,26 +47,26 @@
                     self._request_tokens(number)
 
     def _request(self, number: int) -> None:
-        if self.vms[number].take(self.now, 's'):
+        if self.vms[number].try_spend(self.now, 's'):
             self.sent.append((self.now, number))
-            self.vms[number].named(self.now, 's', self.limit)
+            self.vms[number].set_limit(self.now, 's', self.limit)
 
     def _request_tokens(self, number: int) -> None:
         vm = self.vms[number]
-        requests = vm.asks(self.now)
+        requests = vm.drain_requests(self.now)
         if not requests:
             return
         if number in self.disconnected:
-            vm.alone(self.now, len(self.vms))
+            vm.grant_local_share(self.now, len(self.vms))
             return
         coordinator = self.coordinators[number % len(self.coordinators)]
-        grants = coordinator.ask(self.now, str(number), requests)
+        grants = coordinator.request_tokens(self.now, str(number), requests)
         if self.rng.random() >= self.reply_loss:
-            vm.granted(self.now, grants)
-        if updates := coordinator.news(self.now):
+            vm.apply_grants(self.now, grants)
+        if updates := coordinator.drain_changes(self.now):
             for other, receiver in enumerate(self.vms):
                 if other not in self.disconnected:
-                    receiver.granted(self.now, updates)
+                    receiver.apply_grants(self.now, updates)
 
     def max_sends(self) -> int:
         """Returns the most sends in one span since the limit is enforced."""
@@ -169,47 +169,47 @@
 def test_old_update_does_not_restore_a_limit() -> None:
     """Guards against a late message that restores a withdrawn limit."""
     vm = sendtokens.Tokens()
-    vm.named(1.0, 's', 2.0)
-    vm.named(3.0, 's', None)
-    old = messages.SendGrant(limit=2.0, age_s=2.5, tokens=0)
-    vm.granted(4.0, {'s': old})
+    vm.set_limit(1.0, 's', 2.0)
+    vm.set_limit(3.0, 's', None)
+    old = messages.ServerSendGrant(limit=2.0, age_s=2.5, granted=0)
+    vm.apply_grants(4.0, {'s': old})
     assert vm.limit('s') is None
-    new = messages.SendGrant(limit=2.0, age_s=0.5, tokens=0)
-    vm.granted(4.0, {'s': new})
+    new = messages.ServerSendGrant(limit=2.0, age_s=0.5, granted=0)
+    vm.apply_grants(4.0, {'s': new})
     assert vm.limit('s') == 2.0
 
 
 def test_token_expires() -> None:
     """Guards against VMs that collect granted tokens and send a burst."""
     vm = sendtokens.Tokens()
-    vm.named(0.0, 's', 2.0)
-    grant = messages.SendGrant(limit=2.0, age_s=0.0, tokens=5)
-    vm.granted(0.0, {'s': grant})
-    assert vm.take(sendtokens.LEASE_S / 2, 's')
-    assert not vm.take(sendtokens.LEASE_S, 's')
-    assert vm.spent(sendtokens.LEASE_S) == {'s'}
+    vm.set_limit(0.0, 's', 2.0)
+    grant = messages.ServerSendGrant(limit=2.0, age_s=0.0, granted=5)
+    vm.apply_grants(0.0, {'s': grant})
+    assert vm.try_spend(sendtokens.TOKEN_TTL_S / 2, 's')
+    assert not vm.try_spend(sendtokens.TOKEN_TTL_S, 's')
+    assert vm.request_exhausted(sendtokens.TOKEN_TTL_S) == {'s'}
 
 
 def test_server_without_a_limit_gets_all_requests() -> None:
     vm = sendtokens.Tokens()
-    assert vm.take(0.0, 's')
-    assert vm.spent(0.0) == frozenset()
-    assert vm.asks(0.0) == {}
+    assert vm.try_spend(0.0, 's')
+    assert vm.request_exhausted(0.0) == frozenset()
+    assert vm.drain_requests(0.0) == {}
 
 
 def test_old_limit_is_forgotten() -> None:
     vm = sendtokens.Tokens()
-    vm.named(0.0, 's', 2.0)
-    vm.asks(sendtokens.HOLDS_S + 1.0)
-    assert vm.take(sendtokens.HOLDS_S + 1.0, 's')
+    vm.set_limit(0.0, 's', 2.0)
+    vm.drain_requests(sendtokens.LIMIT_TTL_S + 1.0)
+    assert vm.try_spend(sendtokens.LIMIT_TTL_S + 1.0, 's')
 
 
 def test_memory_is_bounded() -> None:
     vm = sendtokens.Tokens()
     coordinator = sendtokens.Quota()
-    for number in range(3 * sendtokens.SERVERS):
-        vm.named(0.0, f's{number}', 1.0)
-        request = messages.SendAsk(limit=1.0, age_s=0.0, wants=1)
-        coordinator.ask(0.0, 'vm', {f's{number}': request})
-    assert len(vm._limits) == sendtokens.SERVERS
-    assert len(coordinator._buckets) == sendtokens.SERVERS
+    for number in range(3 * sendtokens.MAX_SERVERS):
+        vm.set_limit(0.0, f's{number}', 1.0)
+        request = messages.ServerSendRequest(limit=1.0, age_s=0.0, requested=1)
+        coordinator.request_tokens(0.0, 'vm', {f's{number}': request})
+    assert len(vm._limits) == sendtokens.MAX_SERVERS
+    assert len(coordinator._buckets) == sendtokens.MAX_SERVERS
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -19,7 +19,7 @@
 from foxtaildale import values
 
 _CASE_FILE = pathlib.Path(__file__).parent / 'cases' / 'settings.txt'
-_PARSERS = {'options': settings.options, 'preset': settings.preset}
+_PARSERS = {'options': settings.parse_options, 'preset': settings.parse_preset}
 
 
 def _read_cases() -> Iterator[tuple[str, str, str, str]]:
@@ -108,10 +108,10 @@
 ) -> None:
     """Fields have values of other fields, or values that no field accepts."""
     inputs = (
-        (settings.options, cfg),
-        (settings.preset, preset),
-        (settings.preset, {**preset, 'services': services}),
-        (settings.preset, {'name': 'x', 'services': services}),
+        (settings.parse_options, cfg),
+        (settings.parse_preset, preset),
+        (settings.parse_preset, {**preset, 'services': services}),
+        (settings.parse_preset, {'name': 'x', 'services': services}),
     )
     for parse, fields in inputs:
         try:
@@ -123,5 +123,5 @@
 def test_a_secret_is_not_shown() -> None:
     """A secret is malformed, and its fault is logged where many people read."""
     with pytest.raises(errors.SettingsError) as caught:
-        settings.options('{secret: "hush"}', 'f')
+        settings.parse_options('{secret: "hush"}', 'f')
     assert 'hush' not in str(caught.value)
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -21,7 +21,7 @@
         out += complete
     assert out == _STREAM
     assert splitter.position == 5
-    assert not splitter.partial
+    assert not splitter.has_incomplete_event
 
 
 def test_partial_event_is_buffered_and_discarded_on_restart() -> None:
@@ -34,7 +34,7 @@
     assert splitter.feed(b'id: 4\ndata: a\n\nid: 5\nda') == (
         b'id: 4\ndata: a\n\n'
     )
-    assert splitter.partial
-    splitter.restart()
+    assert splitter.has_incomplete_event
+    splitter.discard_incomplete_event()
     assert splitter.position == 4
     assert splitter.feed(b'id: 5\ndata: b\n\n') == b'id: 5\ndata: b\n\n'
