--- a/tests/test_balance.py
+++ b/tests/test_stage_balance.py
@@ -7,13 +7,13 @@
 import msgspec
 import pytest
 
-from foxtaildale import balance
 from foxtaildale import fleet
 from foxtaildale import forwarding
 from foxtaildale import lease
 from foxtaildale import prefills
 from foxtaildale import routes
-from tests import tallies
+from foxtaildale import stage_balance
+from tests import engine_states
 
 _SERVICE = routes.Service(name='s', kv_tokens=63_000, slots=12)
 # Speeds of the engines that the constants of `balance` were computed for.
@@ -21,18 +21,20 @@
 _TOKEN_S = 0.00073
 
 
-def _make_balance(prompt: int = 5200, answer: float = 4000) -> balance.Balance:
+def _make_balance(
+    prompt: int = 5200, answer: float = 4000
+) -> stage_balance.StageBalance:
     """Returns a balance that saw length hints with a correct median."""
-    balancer = balance.Balance()
+    balancer = stage_balance.StageBalance()
     rng = random.Random(1)
     for _ in range(400):
         hint = answer * math.exp(rng.gauss(0.0, 0.6))
-        balancer.note(int(prompt * rng.uniform(0.5, 1.5)), hint)
+        balancer.record_request(int(prompt * rng.uniform(0.5, 1.5)), hint)
     return balancer
 
 
-def _wanted_share(balancer: balance.Balance) -> float | None:
-    return balancer.share(_SERVICE, _PREFILL_PER_S, _TOKEN_S)
+def _wanted_share(balancer: stage_balance.StageBalance) -> float | None:
+    return balancer.prefill_share(_SERVICE, _PREFILL_PER_S, _TOKEN_S)
 
 
 @pytest.mark.parametrize(
@@ -49,8 +51,8 @@
 ) -> None:
     """Callers wait for decode memory while prefill workers idle."""
     balancer = _make_balance()
-    decode = tallies.make('decode', decoders)
-    prefill = tallies.make('prefill', prefillers)
+    decode = engine_states.make_engines('decode', decoders)
+    prefill = engine_states.make_engines('prefill', prefillers)
     now = 0.0
     for step in range(400):
         now = step * 0.1
@@ -59,10 +61,10 @@
         )
         for change in changes:
             assert change.stage == 'decode'
-            balancer.ordered(now, change.backend.id)
+            balancer.record_order(now, change.backend.id)
             prefill = [t for t in prefill if t.backend.id != change.backend.id]
             decode.append(
-                fleet.Tally(
+                fleet.ServerState(
                     msgspec.structs.replace(change.backend, stage='decode')
                 )
             )
@@ -73,11 +75,16 @@
 def test_a_lasting_lack_of_prefill_workers_adds_one() -> None:
     """Long prompts with short responses delay the first events."""
     balancer = _make_balance(prompt=9000, answer=300)
-    decode, prefill = tallies.make('decode', 8), tallies.make('prefill', 2)
+    decode, prefill = (
+        engine_states.make_engines('decode', 8),
+        engine_states.make_engines('prefill', 2),
+    )
     share = _wanted_share(balancer)
     assert not balancer.changes(0.0, share, decode, prefill)
-    assert not balancer.changes(balance.LACK_S - 0.1, share, decode, prefill)
-    changes = balancer.changes(balance.LACK_S, share, decode, prefill)
+    assert not balancer.changes(
+        stage_balance.SHORTAGE_S - 0.1, share, decode, prefill
+    )
+    changes = balancer.changes(stage_balance.SHORTAGE_S, share, decode, prefill)
     assert [change.stage for change in changes] == ['prefill']
 
 
@@ -89,16 +96,19 @@
     """
     waiting = prefills.Prefills()
     for _ in range(60):
-        waiting.note(0.0, 'p1', 5000, 0.1)
-    assert not waiting.waiting(5000)
+        waiting.record_prefill(0.0, 'p1', 5000, 0.1)
+    assert not waiting.has_queue(5000)
     for _ in range(20):
-        waiting.note(0.0, 'p1', 5000, 0.3)
-    assert waiting.waiting(5000)
+        waiting.record_prefill(0.0, 'p1', 5000, 0.3)
+    assert waiting.has_queue(5000)
     balancer = _make_balance()
-    decode, prefill = tallies.make('decode', 9), tallies.make('prefill', 7)
+    decode, prefill = (
+        engine_states.make_engines('decode', 9),
+        engine_states.make_engines('prefill', 7),
+    )
     for step in range(100):
         assert not balancer.changes(
-            step * 0.1, _wanted_share(balancer), decode, prefill, waiting=True
+            step * 0.1, _wanted_share(balancer), decode, prefill, has_queue=True
         )
 
 
@@ -109,7 +119,10 @@
     for six seconds, and callers would be refused for lack of memory.
     """
     balancer = _make_balance()
-    decode, prefill = tallies.make('decode', 11), tallies.make('prefill', 3)
+    decode, prefill = (
+        engine_states.make_engines('decode', 11),
+        engine_states.make_engines('prefill', 3),
+    )
     for step in range(100):
         alive = prefill[:2] if 10 <= step < 50 else prefill
         assert not balancer.changes(
@@ -119,15 +132,18 @@
 
 def test_an_engine_that_changes_its_stage_is_not_counted() -> None:
     balancer = _make_balance()
-    decode, prefill = tallies.make('decode', 9), tallies.make('prefill', 7)
+    decode, prefill = (
+        engine_states.make_engines('decode', 9),
+        engine_states.make_engines('prefill', 7),
+    )
     assert not balancer.changes(0.0, _wanted_share(balancer), decode, prefill)
     changes = balancer.changes(1.0, _wanted_share(balancer), decode, prefill)
-    assert len(changes) == balance.AT_ONCE
+    assert len(changes) == stage_balance.MIN_CHANGING_LIMIT
     for change in changes:
-        balancer.ordered(1.0, change.backend.id)
-    assert balancer.changing(1.1) == {c.backend.id for c in changes}
+        balancer.record_order(1.0, change.backend.id)
+    assert balancer.changing_engines(1.1) == {c.backend.id for c in changes}
     assert not balancer.changes(2.5, _wanted_share(balancer), decode, prefill)
-    assert not balancer.changing(1.0 + balance.CHANGING_S)
+    assert not balancer.changing_engines(1.0 + stage_balance.CHANGING_S)
 
 
 def test_an_engine_that_became_a_decode_worker_stays_one() -> None:
@@ -137,21 +153,24 @@
     in bursts in which callers are refused for lack of its memory.
     """
     service = routes.Service(name='s', kv_tokens=33_787, slots=64)
-    balancer = balance.Balance()
+    balancer = stage_balance.StageBalance()
     rng = random.Random(11)
-    decode, prefill = tallies.make('decode', 6), tallies.make('prefill', 3)
+    decode, prefill = (
+        engine_states.make_engines('decode', 6),
+        engine_states.make_engines('prefill', 3),
+    )
     ordered: list[forwarding.Stage] = []
     for step in range(1200):
         now = step * 0.1
-        balancer.note(
+        balancer.record_request(
             int(3100 * math.exp(rng.gauss(0.0, 0.5))),
             min(2040, 700 * math.exp(rng.gauss(0.0, 0.6))),
         )
-        share = balancer.share(service, 33_000, 0.004)
+        share = balancer.prefill_share(service, 33_000, 0.004)
         for change in balancer.changes(now, share, decode, prefill):
             ordered.append(change.stage)
-            balancer.ordered(now, change.backend.id)
-            changed = fleet.Tally(
+            balancer.record_order(now, change.backend.id)
+            changed = fleet.ServerState(
                 msgspec.structs.replace(change.backend, stage=change.stage)
             )
             by_stage = {'prefill': prefill, 'decode': decode}
@@ -164,12 +183,15 @@
 
 
 def test_no_change_is_ordered_before_enough_requests() -> None:
-    balancer = balance.Balance()
-    for _ in range(balance.ENOUGH - 1):
-        balancer.note(5000, 4000)
+    balancer = stage_balance.StageBalance()
+    for _ in range(stage_balance.MIN_REQUESTS - 1):
+        balancer.record_request(5000, 4000)
     assert _wanted_share(balancer) is None
     assert not balancer.changes(
-        9.0, None, tallies.make('decode', 2), tallies.make('prefill', 9)
+        9.0,
+        None,
+        engine_states.make_engines('decode', 2),
+        engine_states.make_engines('prefill', 9),
     )
 
 
@@ -190,7 +212,7 @@
             number = rng.randrange(3)
             vm = vms[number]
             if vm.may_claim(now, 0, offset, holder):
-                vm.claiming(now)
+                vm.start_claim(now)
                 offset, holder = step, f'vm-{number}'
             for n, other in enumerate(vms):
                 # A VM that was paused sends its orders late.
@@ -205,9 +227,9 @@
 def test_a_lease_holder_orders_nothing_after_a_pause() -> None:
     vm_lease = lease.Lease('vm-1', 3.0)
     assert vm_lease.may_claim(10.0, 0, None, '')
-    vm_lease.claiming(10.0)
+    vm_lease.start_claim(10.0)
     assert vm_lease.may_order(10.1)
-    assert not vm_lease.may_order(10.0 + lease.ORDERS_S)
+    assert not vm_lease.may_order(10.0 + lease.ORDER_WINDOW_S)
 
 
 def test_a_large_site_changes_idle_prefill_workers_in_seconds() -> None:
@@ -217,7 +239,10 @@
     are refused for lack of memory in each burst until then.
     """
     balancer = _make_balance()
-    decode, prefill = tallies.make('decode', 30), tallies.make('prefill', 26)
+    decode, prefill = (
+        engine_states.make_engines('decode', 30),
+        engine_states.make_engines('prefill', 26),
+    )
     changed_at = []
     max_changing = 0
     for step in range(300):
@@ -226,11 +251,11 @@
             now, _wanted_share(balancer), decode, prefill
         )
         for change in changes:
-            balancer.ordered(now, change.backend.id)
+            balancer.record_order(now, change.backend.id)
             prefill = [t for t in prefill if t.backend.id != change.backend.id]
-            decode.append(fleet.Tally(change.backend))
+            decode.append(fleet.ServerState(change.backend))
             changed_at.append(now)
-        max_changing = max(max_changing, len(balancer.changing(now)))
+        max_changing = max(max_changing, len(balancer.changing_engines(now)))
     # All surplus prefill workers change, an eighth of all engines at a time.
     assert max_changing == 7
     assert len(prefill) == 12
@@ -243,10 +268,13 @@
     Seven engines would become decode workers at once. If that was wrong,
     prompts wait for most of a burst until the engines have changed back.
     """
-    balancer = balance.Balance()
-    decode, prefill = tallies.make('decode', 38), tallies.make('prefill', 18)
+    balancer = stage_balance.StageBalance()
+    decode, prefill = (
+        engine_states.make_engines('decode', 38),
+        engine_states.make_engines('prefill', 18),
+    )
     for step in range(200):
-        balancer.note(3000, 9000.0)
+        balancer.record_request(3000, 9000.0)
         now = step * 0.1
         if balancer.changes(now, _wanted_share(balancer), decode, prefill):
             break
@@ -259,9 +287,12 @@
     One change at a time, replacing them would take two minutes.
     """
     balancer = _make_balance()
-    decode, prefill = tallies.make('decode', 50), tallies.make('prefill', 4)
+    decode, prefill = (
+        engine_states.make_engines('decode', 50),
+        engine_states.make_engines('prefill', 4),
+    )
     share = _wanted_share(balancer)
     assert not balancer.changes(0.0, share, decode, prefill)
-    changes = balancer.changes(balance.LACK_S, share, decode, prefill)
+    changes = balancer.changes(stage_balance.SHORTAGE_S, share, decode, prefill)
     assert len(changes) == 6
     assert {change.stage for change in changes} == {'prefill'}
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -46,11 +46,11 @@
             source=self.prefill.address,
             kv=kv,
         )
-        _MODELS.fetch(self.decode.address, req, 20.0)
+        _MODELS.import_kv(self.decode.address, req, 20.0)
 
     def start(
         self, request: str, max_tokens: int = 20, address: str = ''
-    ) -> Iterator[backends.Piece | backends.Last]:
+    ) -> Iterator[backends.Chunk | backends.StreamEnd]:
         req = backends.DecodeReq(
             request=request,
             attempt=1,
@@ -81,8 +81,8 @@
     )
 
 
-def _texts(events: list[backends.Piece | backends.Last]) -> list[str]:
-    return [e.text for e in events if isinstance(e, backends.Piece)]
+def _texts(events: list[backends.Chunk | backends.StreamEnd]) -> list[str]:
+    return [e.text for e in events if isinstance(e, backends.Chunk)]
 
 
 def _count(proc: fleet.Proc, kind: str, phase: str, request: str) -> int:
@@ -125,7 +125,7 @@
     pair.ready('whole')
     events = list(pair.start('whole'))
     assert _texts(events) == answers.answer(_PROMPT, 20)
-    assert events[-1] == backends.Last(
+    assert events[-1] == backends.StreamEnd(
         request='whole',
         attempt=1,
         stream='stream-whole',
@@ -141,8 +141,8 @@
     """
     pair.ready('cut')
     control.faults(pair.decode, cut_after=7)
-    got: list[backends.Piece | backends.Last] = []
-    with pytest.raises(errors.AnswerLostError):
+    got: list[backends.Chunk | backends.StreamEnd] = []
+    with pytest.raises(errors.NoReplyError):
         for event in pair.start('cut'):
             got.append(event)
     control.faults(pair.decode, cut_after=0)
@@ -157,7 +157,7 @@
     """An engine ends its stream in good order, but too early."""
     pair.ready('truncated')
     control.faults(pair.decode, truncate=5)
-    with pytest.raises(errors.AnswerLostError, match='before its last'):
+    with pytest.raises(errors.NoReplyError, match='before its last'):
         list(pair.start('truncated'))
 
 
@@ -171,7 +171,7 @@
     req = backends.DecodeReq(
         request='silent', attempt=1, holder='h', stream='q', max_tokens=5
     )
-    with pytest.raises(errors.AnswerLostError):
+    with pytest.raises(errors.NoReplyError):
         list(_MODELS.decode(pair.decode.address, req, 0.3))
 
 
@@ -192,7 +192,7 @@
         stream = _MODELS.decode(middle.address, req, 0.3)
         got = [next(stream)]
         middle.silence()
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             for event in stream:
                 got.append(event)
         got += _MODELS.resume(middle.address, 'f', len(got), 'h', 5.0)
@@ -228,7 +228,7 @@
     ended = threading.Event()
 
     def read() -> None:
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             for _ in stream:
                 pass
         ended.set()
@@ -246,7 +246,7 @@
     pair.ready('crossed')
     control.faults(pair.decode, duplicate=4, cross=6)
     events = list(pair.start('crossed'))
-    pieces = [e for e in events if isinstance(e, backends.Piece)]
+    pieces = [e for e in events if isinstance(e, backends.Chunk)]
     assert {p.request for p in pieces} > {'crossed'}
     own = [p.position for p in pieces if p.request == 'crossed']
     assert sorted(set(own)) == list(range(20))
@@ -258,7 +258,7 @@
     pair = _Pair(procs)
     pair.ready('dying')
     control.faults(pair.decode, die_after=3)
-    with pytest.raises(errors.AnswerLostError):
+    with pytest.raises(errors.NoReplyError):
         list(pair.start('dying'))
     assert pair.decode.wait() == 1
     with pytest.raises(errors.UnreachableError):
@@ -294,8 +294,8 @@
         source=pair.prefill.address,
         kv=reply.kv,
     )
-    with pytest.raises(errors.AnswerLostError):
-        _MODELS.fetch(pair.decode.address, req, 0.2)
+    with pytest.raises(errors.NoReplyError):
+        _MODELS.import_kv(pair.decode.address, req, 0.2)
     kinds = {h.kind for h in pair.held() if h.request == 'stalled'}
     assert 'slot' in kinds
     _MODELS.cancel(pair.decode.address, backends.CancelReq(request='stalled'))
@@ -352,12 +352,14 @@
         pair.prefill.address, _prefill('2', prompt + ' more'), 20.0
     )
     assert (cold.cached, warm.cached) == (0, 896)
-    events = _MODELS.cache(pair.prefill.address, 0).events
+    events = _MODELS.cache_events(pair.prefill.address, 0).events
     assert {e.prefix for e in events} < set(backends.prefixes(prompt.split()))
     assert [e.number for e in events] == [1, 2, 3, 4, 5, 6]
     other = ' '.join(f'o{i}' for i in range(1000))
     _MODELS.prefill(pair.prefill.address, _prefill('3', other), 20.0)
-    kinds = {e.kind for e in _MODELS.cache(pair.prefill.address, 7).events}
+    kinds = {
+        e.kind for e in _MODELS.cache_events(pair.prefill.address, 7).events
+    }
     assert kinds == {'stored', 'evicted'}
 
 
--- a/tests/test_store_copies.py
+++ b/tests/test_store_copies.py
@@ -28,7 +28,9 @@
         self.store.put(_CONFIG, 'config', sites.config(version))
 
     def all_at(self, version: int) -> bool:
-        return all(router.version() == version for router in self.routers)
+        return all(
+            router.config_version() == version for router in self.routers
+        )
 
     def knows(self, number: int, server: str) -> forwarding.Backend | None:
         """Returns a server if a router may send to it."""
@@ -117,7 +119,7 @@
     time.sleep(1.0)
     site.router(seeds=(site.peers[0],))
     sites.until(lambda: sites.ready(site, _VMS))
-    assert site.routers[-1].version() == 6
+    assert site.routers[-1].config_version() == 6
     site.publish(8)
     sites.until(lambda: site.all_at(8), _CONFIG_S)
 
@@ -178,7 +180,9 @@
     held = {17: 600.0}
     for router in site.routers:
         router._owner.run(
-            lambda state, now: state.verdicts.take(now, held, {}, 'home')
+            lambda state, now: state.quarantine_state.merge(
+                now, held, {}, 'home'
+            )
         )
 
     def saved() -> bool:
@@ -188,7 +192,8 @@
     sites.until(saved, 8.0)
     sites.until(
         lambda: all(
-            17 in router._state.verdicts._saved for router in site.routers
+            17 in router._state.quarantine_state._stored_until
+            for router in site.routers
         ),
         8.0,
     )
@@ -230,11 +235,11 @@
     _fill(keyed, 3)
     copy = keyed.mark()
     _fill(keyed, 2)
-    found = topics.newest('t')
+    found = topics.read_newest('t')
     keyed.restore(copy)
     _fill(keyed, 2)
     with pytest.raises(errors.PortError):
-        topics.claim('t', 'k', b'me', found.end)
+        topics.put_if_unchanged('t', 'k', b'me', found.end)
 
 
 def test_fencing_tokens_rise_over_a_return(
@@ -243,9 +248,13 @@
     """Guards against orders that engines refuse until offsets have grown."""
     topics = store.Store(keyed.address)
     _fill(keyed, 9)
-    first = topics.claim('t', 'k', b'me', topics.newest('t').end)
+    first = topics.put_if_unchanged(
+        't', 'k', b'me', topics.read_newest('t').end
+    )
     keyed.restore({'t': 1})
-    second = topics.claim('t', 'k', b'me', topics.newest('t').end)
+    second = topics.put_if_unchanged(
+        't', 'k', b'me', topics.read_newest('t').end
+    )
     assert second > first
 
 
@@ -255,11 +264,11 @@
     """Guards against records of one history read on with those of another."""
     topics = store.Store(keyed.address)
     _fill(keyed, 5)
-    end = topics.newest('t').end
+    end = topics.read_newest('t').end
     keyed.restore({'t': 2})
     _fill(keyed, 9)
-    with pytest.raises(errors.LapsedError):
-        topics.follow('t', end, 0.0)
+    with pytest.raises(errors.RecordsExpiredError):
+        topics.wait_for_records('t', end, 0.0)
 
 
 def test_nobody_claims_while_a_holder_of_the_lost_history_may_order() -> None:
@@ -267,7 +276,7 @@
     held = lease.Lease('me', 3.0)
     assert held.may_claim(0.0, 1, None, '')
     assert held.may_claim(10.0, 1, 5, 'me')
-    over_s = lease.ORDERS_S + 3.0 + lease.MARGIN_S
+    over_s = lease.ORDER_WINDOW_S + 3.0 + lease.IN_TRANSIT_MARGIN_S
     for found in (None, 5):
         holder = '' if found is None else 'me'
         assert not held.may_claim(20.0, 2, found, holder)
@@ -282,7 +291,7 @@
     keyed.epoch = None
     topics = store.Store(keyed.address)
     _fill(keyed, 3)
-    end = topics.newest('t').end
+    end = topics.read_newest('t').end
     _fill(keyed, 1)
-    found: Any = topics.follow('t', end, 0.0)
+    found: Any = topics.wait_for_records('t', end, 0.0)
     assert [entry.value for entry in found.entries] == [b'0']
--- a/tests/test_syncing.py
+++ b/tests/test_store_sync.py
@@ -16,10 +16,10 @@
 from foxtaildale_adapters import metrics
 from foxtaildale_platform import records
 from foxtaildaled import actors
-from foxtaildaled import beliefs
-from foxtaildaled import introductions
-from foxtaildaled import storereaders
-from foxtaildaled import syncing
+from foxtaildaled import initial_state
+from foxtaildaled import reader_choice
+from foxtaildaled import router_state
+from foxtaildaled import store_sync
 
 _CODEC = records.Codec()
 _LIMIT_S = 1.1
@@ -38,17 +38,17 @@
         self.age_s: dict[str, float] = {}
         self.asked: list[str] = []
 
-    def ask(
-        self, address: str, msg: messages.Any, _timeout_s: float
-    ) -> messages.Any:
-        assert isinstance(msg, messages.AskRecords)
+    def request(
+        self, address: str, msg: messages.Message, _timeout_s: float
+    ) -> messages.Message:
+        assert isinstance(msg, messages.RecordsRequest)
         self.asked.append(address)
         if address not in self.age_s:
             raise errors.UnreachableError(address)
         return messages.RecordsReply(
             records={_CODEC.servers_topic: ()},
-            ends={_CODEC.servers_topic: 1},
-            age_s=self.age_s[address],
+            positions={_CODEC.servers_topic: 1},
+            store_age_s=self.age_s[address],
         )
 
 
@@ -59,22 +59,26 @@
         self.reads = 0
         self.down = False
 
-    def newest(self, _topic: str) -> ports.Keyed:
-        return self.follow(_topic, 0, 0.0)
+    def read_newest(self, _topic: str) -> ports.KeyedRecords:
+        return self.wait_for_records(_topic, 0, 0.0)
 
-    def follow(self, _topic: str, offset: int, _wait_s: float) -> ports.Keyed:
+    def wait_for_records(
+        self, _topic: str, offset: int, _wait_s: float
+    ) -> ports.KeyedRecords:
         self.reads += 1
         if self.down:
-            raise errors.AnswerLostError('down')
-        return ports.Keyed(max(1, offset), ())
+            raise errors.NoReplyError('down')
+        return ports.KeyedRecords(max(1, offset), ())
 
     def put(self, topic: str, key: str, value: bytes) -> None:
         raise NotImplementedError
 
-    def claim(self, topic: str, key: str, value: bytes, end: int) -> int:
+    def put_if_unchanged(
+        self, topic: str, key: str, value: bytes, end: int
+    ) -> int:
         raise NotImplementedError
 
-    def move(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         raise NotImplementedError
 
 
@@ -83,33 +87,37 @@
 
     def __init__(self) -> None:
         self.now = 100.0
-        state = beliefs.Beliefs(_CODEC, 'me:1', (), 'here', random.Random(1))
-        self.owner = actors.Owner(state, lambda: self.now)
+        state = router_state.RouterState(
+            _CODEC, 'me:1', (), 'here', random.Random(1)
+        )
+        self.owner = actors.StateOwner(state, lambda: self.now)
         self.state = state
         self.net = _Net()
         self.store = _Store()
-        self.readers = storereaders.Readers('me', 'here', lambda: self.now)
-        topic = syncing.Topic(
+        self.readers = reader_choice.ReaderChoice(
+            'me', 'here', lambda: self.now
+        )
+        topic = store_sync.TopicReader(
             _CODEC.servers_topic,
             self.owner,
             self.store,
             metrics.Metrics(),
             0.0,
         )
-        self.lazy = syncing.Lazy(
+        self.lazy = store_sync.FallbackReader(
             topic=topic,
             owner=self.owner,
             readers=self.readers,
             entry_vm='me',
-            limit_s=_LIMIT_S,
+            max_age_s=_LIMIT_S,
             rng=random.Random(1),
         )
-        self.sync = syncing.PeerSync(
+        self.sync = store_sync.PeerSync(
             owner=self.owner,
             peers=self.net,
             readers=self.readers,
             entry_vm='me',
-            limit_s=_LIMIT_S,
+            max_age_s=_LIMIT_S,
             rng=random.Random(1),
         )
 
@@ -127,7 +135,7 @@
 def _other_reader(world: _World) -> str:
     """Lets other VMs be known so that one of them is the reader."""
     world.know(**{f'o{n}': _vm(f'o{n}:1') for n in range(6)})
-    reader = world.readers.choose(world.state.entry_vms)
+    reader = world.readers.choose_reader(world.state.entry_vms)
     assert reader != 'me'
     return reader
 
@@ -135,7 +143,7 @@
 def test_all_choose_the_same_reader_of_their_data_centre() -> None:
     known = {f'o{n}': _vm(f'o{n}:1', dc) for n, dc in enumerate('aabbab')}
     chosen = {
-        storereaders.Readers(name, 'a', lambda: 0.0).choose(known)
+        reader_choice.ReaderChoice(name, 'a', lambda: 0.0).choose_reader(known)
         for name in known
     }
     assert len(chosen) == 1
@@ -145,20 +153,20 @@
 def test_a_weak_vm_reads_for_nobody() -> None:
     known = {f'o{n}': _vm(f'o{n}:1', cores=0.5) for n in range(9)}
     known['strong'] = _vm('strong:1', cores=2.0)
-    readers = storereaders.Readers('o1', 'here', lambda: 0.0)
-    assert readers.choose(known) == 'strong'
+    readers = reader_choice.ReaderChoice('o1', 'here', lambda: 0.0)
+    assert readers.choose_reader(known) == 'strong'
 
 
 def test_who_is_alone_reads_for_itself(world: _World) -> None:
-    assert world.lazy.step() == 0
+    assert world.lazy.read_if_stale() == 0
     assert world.store.reads == 1
 
 
 def test_a_fresh_word_of_the_reader_saves_the_read(world: _World) -> None:
     reader = _other_reader(world)
     world.net.age_s[f'{reader}:1'] = 0.3
-    world.sync.step()
-    world.lazy.step()
+    world.sync.sync_once()
+    world.lazy.read_if_stale()
     assert world.store.reads == 0
     assert world.net.asked == [f'{reader}:1']
 
@@ -171,18 +179,18 @@
     """
     reader = _other_reader(world)
     world.net.age_s[f'{reader}:1'] = 5.0
-    world.sync.step()
-    world.lazy.step()
+    world.sync.sync_once()
+    world.lazy.read_if_stale()
     assert world.store.reads == 1
-    assert world.readers.choose(world.state.entry_vms) != reader
+    assert world.readers.choose_reader(world.state.entry_vms) != reader
 
 
 def test_a_dead_reader_is_passed_over_for_a_while(world: _World) -> None:
     reader = _other_reader(world)
-    world.sync.step()
-    assert world.readers.choose(world.state.entry_vms) != reader
-    world.now += storereaders.PASSED_S + 0.1
-    assert world.readers.choose(world.state.entry_vms) == reader
+    world.sync.sync_once()
+    assert world.readers.choose_reader(world.state.entry_vms) != reader
+    world.now += reader_choice.EXCLUSION_S + 0.1
+    assert world.readers.choose_reader(world.state.entry_vms) == reader
 
 
 def test_word_ages_by_the_age_that_it_came_with(world: _World) -> None:
@@ -192,7 +200,7 @@
     """
     reader = _other_reader(world)
     world.net.age_s[f'{reader}:1'] = 1.0
-    world.sync.step()
+    world.sync.sync_once()
     assert world.state.is_fresh(world.now, _LIMIT_S)
     assert not world.state.is_fresh(world.now + 0.2, _LIMIT_S)
 
@@ -200,8 +208,8 @@
 def test_without_store_and_reader_any_vm_is_asked(world: _World) -> None:
     _other_reader(world)
     world.store.down = True
-    assert world.lazy.step() > 0
-    world.sync.step()
+    assert world.lazy.read_if_stale() > 0
+    world.sync.sync_once()
     assert len(world.net.asked) == 2
 
 
@@ -218,19 +226,21 @@
     gone = mirror.Entry('i-1', 2, b'')
 
     def take(record: mirror.Entry, end: int) -> None:
-        keyed = ports.Keyed(end, (record,))
-        world.state.take(topic, keyed, world.now, whole=False)
+        keyed = ports.KeyedRecords(end, (record,))
+        world.state.apply_store_reply(
+            topic, keyed, world.now, is_snapshot=False
+        )
 
     take(entry, 2)
     world.store.down = True
-    world.lazy.step()
+    world.lazy.read_if_stale()
     take(gone, 3)
     found: list[Any] = world.state.fleet.candidates('s', world.now)
     assert [tally.backend.id for tally in found] == ['i-1']
 
 
 def _waits(world: _World, count: int) -> list[float]:
-    return [world.lazy.step() for _ in range(count)]
+    return [world.lazy.read_if_stale() for _ in range(count)]
 
 
 def test_a_store_that_is_down_is_not_called_by_all_all_the_time(
@@ -245,22 +255,22 @@
     world.store.down = True
     world.owner.run(lambda state, _: setattr(state, 'matcher', object()))
     waits = _waits(world, 6)
-    assert waits[0] <= 1.25 * syncing.RETRY_S
+    assert waits[0] <= 1.25 * store_sync.MIN_RETRY_S
     assert sum(waits) > 6.0
-    assert max(waits) <= 1.25 * syncing.RETRY_MOST_S
+    assert max(waits) <= 1.25 * store_sync.MAX_RETRY_S
     world.store.down = False
-    assert world.lazy.step() == 0
+    assert world.lazy.read_if_stale() == 0
     world.now += _LIMIT_S + 0.1
     world.store.down = True
-    assert world.lazy.step() <= 1.25 * syncing.RETRY_S
+    assert world.lazy.read_if_stale() <= 1.25 * store_sync.MIN_RETRY_S
 
 
 def test_the_reader_and_who_knows_nothing_look_soon(world: _World) -> None:
     """The store comes back, and callers are refused until that is noticed."""
     world.store.down = True
-    assert max(_waits(world, 6)) <= 1.25 * syncing.RETRY_READER_S
+    assert max(_waits(world, 6)) <= 1.25 * store_sync.READER_MAX_RETRY_S
     _other_reader(world)
-    assert max(_waits(world, 6)) <= 1.25 * syncing.RETRY_READER_S
+    assert max(_waits(world, 6)) <= 1.25 * store_sync.READER_MAX_RETRY_S
 
 
 class _Listing(_Store):
@@ -271,27 +281,29 @@
         self.value = b''
         self.puts = 0
 
-    def newest(self, _topic: str) -> ports.Keyed:
+    def read_newest(self, _topic: str) -> ports.KeyedRecords:
         self.reads += 1
         entries = (mirror.Entry('me', 1, self.value),) if self.value else ()
-        return ports.Keyed(2, entries)
+        return ports.KeyedRecords(2, entries)
 
-    def follow(self, topic: str, _offset: int, _wait_s: float) -> ports.Keyed:
-        return self.newest(topic)
+    def wait_for_records(
+        self, topic: str, _offset: int, _wait_s: float
+    ) -> ports.KeyedRecords:
+        return self.read_newest(topic)
 
     def put(self, topic: str, key: str, value: bytes) -> None:
         self.puts += 1
         self.value = value
 
 
-def _members(world: _World, listing: _Listing) -> syncing.Members:
-    return syncing.Members(
+def _members(world: _World, listing: _Listing) -> store_sync.MemberListing:
+    return store_sync.MemberListing(
         name='me',
         member=_vm('me:1'),
         codec=_CODEC,
         owner=world.owner,
         store=listing,
-        topic=syncing.Topic(
+        topic=store_sync.TopicReader(
             _CODEC.members_topic, world.owner, listing, metrics.Metrics(), 0.0
         ),
         readers=world.readers,
@@ -308,15 +320,15 @@
     """
     listing = _Listing()
     members = _members(world, listing)
-    assert not members.step()
-    assert members.step()
+    assert not members.list_once()
+    assert members.list_once()
     assert (listing.puts, listing.reads) == (1, 2)
     # Alone it is the reader.
-    assert members.step()
+    assert members.list_once()
     assert listing.reads == 3
     _other_reader(world)
     for _ in range(5):
-        assert members.step()
+        assert members.list_once()
     assert (listing.puts, listing.reads) == (1, 3)
 
 
@@ -330,7 +342,7 @@
     """
     _other_reader(world)
     listing = _Listing()
-    assert _members(world, listing).step()
+    assert _members(world, listing).list_once()
     assert (listing.puts, listing.reads) == (0, 0)
 
 
@@ -345,13 +357,13 @@
     listing = _Listing()
     members = _members(world, listing)
     for _ in range(5):
-        assert not members.step()
+        assert not members.list_once()
     assert (listing.puts, listing.reads) == (1, 0)
-    world.now += syncing.LISTED_S
-    assert not members.step()
+    world.now += store_sync.RELIST_INTERVAL_S
+    assert not members.list_once()
     assert listing.puts == 2
     _other_reader(world)
-    assert members.step()
+    assert members.list_once()
 
 
 def test_many_vms_have_a_reader_in_each_data_centre() -> None:
@@ -359,9 +371,9 @@
     many = few | {f'p{n}': _vm(f'p{n}:1', dc) for n, dc in enumerate('ab' * 50)}
     for known, count in ((few, 1), (many, 2)):
         chosen = {
-            storereaders.Readers(
+            reader_choice.ReaderChoice(
                 name, known[name].data_centre, lambda: 0.0
-            ).choose(known)
+            ).choose_reader(known)
             for name in known
         }
         assert len(chosen) == count
@@ -376,12 +388,12 @@
         self.replies: dict[str, messages.RecordsReply | errors.PortError] = {}
         self.asked: list[str] = []
 
-    def ask(
-        self, address: str, _msg: messages.Any, timeout_s: float
-    ) -> messages.Any:
+    def request(
+        self, address: str, _msg: messages.Message, timeout_s: float
+    ) -> messages.Message:
         self.asked.append(address)
         found = self.replies[address]
-        if isinstance(found, errors.AnswerLostError):
+        if isinstance(found, errors.NoReplyError):
             self.world.now += timeout_s
         if isinstance(found, errors.PortError):
             raise found
@@ -389,13 +401,13 @@
 
     def introduction(
         self, *, first: bool = False
-    ) -> introductions.Introduction:
-        return introductions.Introduction(
+    ) -> initial_state.InitialState:
+        return initial_state.InitialState(
             owner=self.world.owner,
             peers=self,
-            own='me:1',
+            own_address='me:1',
             seeds=tuple(self.replies),
-            limit_s=_LIMIT_S,
+            max_age_s=_LIMIT_S,
             first_start=first,
             clock=lambda: self.world.now,
             rng=random.Random(3),
@@ -411,12 +423,12 @@
             _CODEC.members_topic: (('o', 0, vm, (0, 0)),),
             _CODEC.servers_topic: (),
         },
-        ends={
+        positions={
             _CODEC.config_topic: 1,
             _CODEC.members_topic: 1,
             _CODEC.servers_topic: 1,
         },
-        age_s=age_s,
+        store_age_s=age_s,
     )
 
 
@@ -445,9 +457,9 @@
 @pytest.mark.parametrize(
     'reply',
     [
-        errors.AnswerLostError('dark'),
+        errors.NoReplyError('dark'),
         errors.UnreachableError('refused'),
-        messages.RecordsReply(records={}, ends={}, age_s=1e9),
+        messages.RecordsReply(records={}, positions={}, store_age_s=1e9),
         _whole_word(age_s=_LIMIT_S + 1),
     ],
 )
@@ -473,8 +485,12 @@
     introduction = seeds.introduction(first=first)
     introduction.run()
     introduction.wait()
-    most_s = introductions.FIRST_START_S if first else introductions.ANSWERED_S
-    assert world.now - began <= most_s + introductions.SEED_PAUSE_S
+    most_s = (
+        initial_state.FIRST_START_TIMEOUT_S
+        if first
+        else initial_state.RESTART_TIMEOUT_S
+    )
+    assert world.now - began <= most_s + initial_state.SEED_PAUSE_S
     assert world.state.matcher is None
 
 
@@ -495,21 +511,21 @@
         # Addresses of those.
         self.lost: set[str] = set()
 
-    def ask(
-        self, address: str, msg: messages.Any, timeout_s: float
-    ) -> messages.Any:
-        reply = super().ask(address, msg, timeout_s)
-        return msgspec.structs.replace(reply, store_lost=address in self.lost)
+    def request(
+        self, address: str, msg: messages.Message, timeout_s: float
+    ) -> messages.Message:
+        reply = super().request(address, msg, timeout_s)
+        return msgspec.structs.replace(reply, store_failed=address in self.lost)
 
 
 def _lost_net(world: _World) -> _Lost:
     net = _Lost()
-    world.sync = syncing.PeerSync(
+    world.sync = store_sync.PeerSync(
         owner=world.owner,
         peers=net,
         readers=world.readers,
         entry_vm='me',
-        limit_s=_LIMIT_S,
+        max_age_s=_LIMIT_S,
         rng=random.Random(1),
     )
     return net
@@ -523,13 +539,13 @@
     """
     net = _lost_net(world)
     woken: list[bool] = []
-    world.readers.on_passed = lambda: woken.append(True)
+    world.readers.on_reader_excluded = lambda: woken.append(True)
     first = _other_reader(world)
     net.age_s = {f'o{n}:1': 0.2 for n in range(6)}
     net.lost = {f'{first}:1'}
-    world.sync.step()
+    world.sync.sync_once()
     assert woken
-    second = world.readers.choose(world.state.entry_vms)
+    second = world.readers.choose_reader(world.state.entry_vms)
     assert second != first
     # What it knew was taken all the same.
     assert world.state.is_fresh(world.now, _LIMIT_S)
@@ -545,9 +561,9 @@
     net.lost = set(net.age_s)
     chosen = set()
     for _ in range(6):
-        chosen.add(world.readers.choose(world.state.entry_vms))
-        world.sync.step()
-        world.now += syncing.PEER_S
+        chosen.add(world.readers.choose_reader(world.state.entry_vms))
+        world.sync.sync_once()
+        world.now += store_sync.PEER_INTERVAL_S
     assert len(chosen) == 2
 
 
@@ -558,11 +574,11 @@
     names = (f'o{n}' for n in range(50))
     for name in names:
         world.know(**{name: _vm(f'{name}:1')})
-        if world.readers.choose(world.state.entry_vms) == 'me':
+        if world.readers.choose_reader(world.state.entry_vms) == 'me':
             break
-    world.state.fresh_at = world.now
-    world.state.failed(world.now + 0.1)
+    world.state.servers_current_at = world.now
+    world.state.record_store_failure(world.now + 0.1)
     net.age_s = {f'{name}:1': 0.2}
-    world.sync.step()
-    world.sync.step()
+    world.sync.sync_once()
+    world.sync.sync_once()
     assert net.asked == [f'{name}:1']
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -15,7 +15,7 @@
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None)
 VERDICT = streams.Verdict
 
-Event = backends.Piece | backends.Last
+Event = backends.Chunk | backends.StreamEnd
 
 
 def response_events(
@@ -23,7 +23,7 @@
 ) -> list[Event]:
     """Returns the events of one complete response."""
     events: list[Event] = [
-        backends.Piece(
+        backends.Chunk(
             request=request,
             attempt=attempt,
             stream='s1',
@@ -33,7 +33,7 @@
         for position, text in enumerate(texts)
     ]
     digest = xxhash.xxh64_hexdigest(''.join(texts).encode())
-    last = backends.Last(
+    last = backends.StreamEnd(
         request=request,
         attempt=attempt,
         stream='s1',
@@ -50,12 +50,12 @@
     text = ''
     verdicts = []
     for event in events:
-        if isinstance(event, backends.Piece):
-            verdict = checker.piece(event)
+        if isinstance(event, backends.Chunk):
+            verdict = checker.check_chunk(event)
             if verdict is VERDICT.ACCEPTED:
                 text += event.text
         else:
-            verdict = checker.last(event)
+            verdict = checker.check_end(event)
         verdicts.append(verdict)
     return text, verdicts
 
@@ -70,7 +70,7 @@
         streams.Checker('r1', 1, 's1'), response_events('r1', own)
     )
     assert text == ''.join(own)
-    assert verdicts[-1] is VERDICT.WHOLE
+    assert verdicts[-1] is VERDICT.COMPLETE
 
 
 @SETTINGS
@@ -95,8 +95,8 @@
     events = events[: len(events) - cut]
     text, verdicts = feed_events(streams.Checker('r1', 1, 's1'), events)
     assert ''.join(own).startswith(text)
-    if VERDICT.WHOLE in verdicts:
-        end = verdicts.index(VERDICT.WHOLE)
+    if VERDICT.COMPLETE in verdicts:
+        end = verdicts.index(VERDICT.COMPLETE)
         complete, _ = feed_events(streams.Checker('r1', 1, 's1'), events[:end])
         assert complete == ''.join(own)
 
@@ -137,10 +137,10 @@
 
 
 def test_a_negative_position_is_no_duplicate() -> None:
-    chunk = backends.Piece(
+    chunk = backends.Chunk(
         request='r1', attempt=1, stream='s1', position=-1, text='x'
     )
-    assert streams.Checker('r1', 1, 's1').piece(chunk) is VERDICT.GAP
+    assert streams.Checker('r1', 1, 's1').check_chunk(chunk) is VERDICT.GAP
 
 
 def test_resumed_response_is_complete_by_its_count() -> None:
@@ -150,7 +150,7 @@
     """
     events = response_events('r1', ['a', 'b', 'c'])
     text, verdicts = feed_events(streams.Checker('r1', 1, 's1', 2), events[2:])
-    assert (text, verdicts[-1]) == ('c', VERDICT.WHOLE)
+    assert (text, verdicts[-1]) == ('c', VERDICT.COMPLETE)
 
 
 @SETTINGS
@@ -161,16 +161,16 @@
     An entry VM that crashed on it would drop every other caller's stream.
     """
     try:
-        event_id = streams.parse_id(text)
+        event_id = streams.parse_event_id(text)
     except errors.DecodeError:
         return
-    assert streams.parse_id(event_id.text()) == event_id
+    assert streams.parse_event_id(event_id.text()) == event_id
 
 
 def test_event_id_round_trip() -> None:
     event_id = streams.EventId('hall-doi-d1', 'r1-1', 41)
     assert event_id.text() == 'hall-doi-d1/r1-1/41'
-    assert streams.parse_id(event_id.text()) == event_id
+    assert streams.parse_event_id(event_id.text()) == event_id
 
 
 @pytest.mark.parametrize(
@@ -179,14 +179,14 @@
 )
 def test_invalid_event_id_is_rejected(text: str) -> None:
     with pytest.raises(errors.DecodeError):
-        streams.parse_id(text)
+        streams.parse_event_id(text)
 
 
 @SETTINGS
 @hypothesis.given(strategies.text(max_size=20), strategies.text(max_size=10))
 def test_framed_events_hold_the_text_and_the_id(text: str, model: str) -> None:
     framer = streams.Framer('r1', 'w1', 's1', model, 7)
-    first, second = framer.piece(0, 'x'), framer.piece(1, text)
+    first, second = framer.frame_chunk(0, 'x'), framer.frame_chunk(1, text)
     head, data, *end = second.split(b'\n')
     assert head == b'id: w1/s1/1'
     assert end == [b'', b'']
@@ -206,8 +206,8 @@
 def test_the_last_events_hold_count_digest_and_end() -> None:
     framer = streams.Framer('r1', 'w1', 's1', 'm', 7)
     last = response_events('r1', ['a', 'b'])[-1]
-    assert isinstance(last, backends.Last)
-    event, done, rest = framer.last(last).split(b'\n\n')
+    assert isinstance(last, backends.StreamEnd)
+    event, done, rest = framer.frame_end(last).split(b'\n\n')
     assert (done, rest) == (b'data: [DONE]', b'')
     head, data = event.split(b'\n')
     assert head == b'id: w1/s1/2'
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -23,14 +23,14 @@
         b'secret',
         _LIFETIME_S,
         limit=limit,
-        answer_bytes=max_response_bytes,
+        max_response_bytes=max_response_bytes,
     )
-    executor.on_reading(0.0, 'w', messages.WitnessReply(status='reading'))
+    executor.on_witness_clock(0.0, 'w', messages.WitnessReply(status='reading'))
     return executor
 
 
 def _ticket(executor: tickets.Executor, now: float = 0.0) -> messages.Ticket:
-    ticket = executor.mint(now, 'desk', 'w', '127.0.0.1:2')
+    ticket = executor.issue(now, 'desk', 'w', '127.0.0.1:2')
     assert ticket is not None
     return ticket
 
@@ -49,9 +49,9 @@
 def _admit_and_finish(
     executor: tickets.Executor, ticket: messages.Ticket, response: bytes
 ) -> None:
-    assert isinstance(executor.admit(0.0, ticket, 'c', b''), tickets.SendNote)
+    assert isinstance(executor.admit(0.0, ticket, 'c', b''), tickets.SendStart)
     noted = messages.WitnessReply(status='noted')
-    run = executor.on_witness(0.0, ticket.identity, noted)
+    run = executor.on_start_reply(0.0, ticket.identity, noted)
     assert isinstance(run, tickets.Run)
     assert executor.finish(0.0, ticket.identity, _outcome(), response)
 
@@ -90,19 +90,19 @@
     """A caller alters a ticket to extend its lifetime or change its witness."""
     executor = _executor()
     forged = msgspec.structs.replace(_ticket(executor), **change)
-    assert executor.check(forged, 'desk') is codes.TICKET_BAD
+    assert executor.verify(forged, 'desk') is codes.TICKET_BAD
 
 
 def test_a_ticket_of_another_service_is_refused() -> None:
     """A caller presents the ticket of one service to another service."""
     executor = _executor()
-    assert executor.check(_ticket(executor), 'desk') is None
-    assert executor.check(_ticket(executor), 'queue') is codes.TICKET_BAD
+    assert executor.verify(_ticket(executor), 'desk') is None
+    assert executor.verify(_ticket(executor), 'queue') is codes.TICKET_BAD
 
 
 def test_another_vm_checks_the_same_secret() -> None:
     other = tickets.Executor('x', '127.0.0.1:3', b'secret', _LIFETIME_S)
-    assert other.check(_ticket(_executor()), 'desk') is None
+    assert other.verify(_ticket(_executor()), 'desk') is None
 
 
 def test_no_ticket_is_minted_without_a_recent_reading() -> None:
@@ -111,11 +111,11 @@
     It would refuse a ticket that carries its outdated clock reading.
     """
     executor = _executor()
-    assert executor.mint(0.0, 'desk', 'other', '127.0.0.1:2') is None
-    assert executor.mint(_LIFETIME_S, 'desk', 'w', '127.0.0.1:2') is None
+    assert executor.issue(0.0, 'desk', 'other', '127.0.0.1:2') is None
+    assert executor.issue(_LIFETIME_S, 'desk', 'w', '127.0.0.1:2') is None
     stranger = messages.WitnessReply(status='stranger')
-    executor.on_reading(0.0, 'w', stranger)
-    assert executor.mint(0.0, 'desk', 'w', '127.0.0.1:2') is None
+    executor.on_witness_clock(0.0, 'w', stranger)
+    assert executor.issue(0.0, 'desk', 'w', '127.0.0.1:2') is None
 
 
 def test_an_expired_ticket_did_not_run_and_an_evicted_one_is_unknown() -> None:
@@ -143,7 +143,7 @@
     second_reply = executor.admit(0.0, used[0], 'c', b'')
     assert second_reply == tickets.Refuse(codes.UNKNOWN)
     latest_reply = executor.admit(0.0, used[2], 'c', b'')
-    assert latest_reply == tickets.Known(_outcome())
+    assert latest_reply == tickets.AlreadyFinished(_outcome())
 
 
 def test_retained_responses_share_a_memory_limit() -> None:
@@ -157,9 +157,9 @@
     _admit_and_finish(executor, first, b'12345678')
     _admit_and_finish(executor, second, b'12345678')
     retained = executor.admit(0.0, first, 'c', b'')
-    assert retained == tickets.Known(_outcome(), b'12345678')
+    assert retained == tickets.AlreadyFinished(_outcome(), b'12345678')
     evicted = executor.admit(0.0, second, 'c', b'')
-    assert evicted == tickets.Known(_outcome())
+    assert evicted == tickets.AlreadyFinished(_outcome())
     executor.expire(2 * _LIFETIME_S + 1)
     assert executor.dump()['answer_bytes'] == 0
 
@@ -173,21 +173,27 @@
     keeper = witness.Witness('w', remember_s=100.0, limit=2)
     for n in range(3):
         at = float(n)
-        void = messages.Void(
-            identity=f'i{n}', witness='w', body='b', witness_at=at
+        void = messages.VoidRequest(
+            identity=f'i{n}', witness='w', body_digest='b', witness_clock=at
         )
         assert keeper.void(at, void).status == 'voided'
-    note = messages.Note(identity='i0', witness='w', body='b', witness_at=0.0)
-    assert keeper.note(3.0, note).status == 'old'
+    note = messages.StartRequest(
+        identity='i0', witness='w', body_digest='b', witness_clock=0.0
+    )
+    assert keeper.record_start(3.0, note).status == 'old'
 
 
 def test_a_replaced_witness_records_no_note() -> None:
     """A new witness runs at the address of the one that the ticket names."""
     keeper = witness.Witness('w2')
-    note = messages.Note(identity='i', witness='w', body='b', witness_at=0.0)
-    assert keeper.note(0.0, note).status == 'stranger'
-    void = messages.Void(identity='i', witness='w', body='b', witness_at=0.0)
-    verdict = tickets.verdict(keeper.void(0.0, void))
+    note = messages.StartRequest(
+        identity='i', witness='w', body_digest='b', witness_clock=0.0
+    )
+    assert keeper.record_start(0.0, note).status == 'stranger'
+    void = messages.VoidRequest(
+        identity='i', witness='w', body_digest='b', witness_clock=0.0
+    )
+    verdict = tickets.verdict_on_void(keeper.void(0.0, void))
     assert verdict.code is codes.UNKNOWN
 
 
@@ -197,18 +203,21 @@
     keeper = witness.Witness('w')
     ticket = _ticket(executor)
     admission = executor.admit(0.0, ticket, 'c', b'')
-    assert isinstance(admission, tickets.SendNote)
-    noted = keeper.note(0.0, admission.note)
-    executor.on_witness(0.0, ticket.identity, noted)
-    void = tickets.void(ticket, 'c', b'')
-    assert tickets.verdict(keeper.void(0.0, void)).code is codes.UNKNOWN
+    assert isinstance(admission, tickets.SendStart)
+    noted = keeper.record_start(0.0, admission.note)
+    executor.on_start_reply(0.0, ticket.identity, noted)
+    void = tickets.void_request(ticket, 'c', b'')
+    assert tickets.verdict_on_void(keeper.void(0.0, void)).code is codes.UNKNOWN
     tell = executor.finish(0.0, ticket.identity, _outcome(), b'answer')
     assert tell is not None
-    keeper.tell(0.0, tell)
-    verdict = tickets.verdict(keeper.void(0.0, void))
+    keeper.record_outcome(0.0, tell)
+    verdict = tickets.verdict_on_void(keeper.void(0.0, void))
     assert verdict == tickets.Verdict(codes.DONE_BEFORE, _outcome(), b'answer')
-    other = tickets.void(ticket, 'c', b'other')
-    assert tickets.verdict(keeper.void(0.0, other)).code is codes.OTHER_BODY
+    other = tickets.void_request(ticket, 'c', b'other')
+    assert (
+        tickets.verdict_on_void(keeper.void(0.0, other)).code
+        is codes.OTHER_BODY
+    )
 
 
 def test_an_identity_evicted_before_its_note_reply_never_runs() -> None:
@@ -222,6 +231,6 @@
     executor.admit(0.0, first, 'c', b'')
     executor.admit(0.0, _ticket(executor), 'c', b'')
     noted = messages.WitnessReply(status='noted')
-    decision = executor.on_witness(0.0, first.identity, noted)
-    assert decision == tickets.GiveUp(first.identity, codes.UNKNOWN)
+    decision = executor.on_start_reply(0.0, first.identity, noted)
+    assert decision == tickets.Abandon(first.identity, codes.UNKNOWN)
     assert executor.finish(0.0, first.identity, _outcome()) is None
--- a/tests/test_ticketsearch.py
+++ b/tests/test_ticketsearch.py
@@ -26,24 +26,24 @@
 
     __slots__ = ()
 
-    def on_witness(
+    def on_start_reply(
         self, now: float, identity: str, reply: messages.WitnessReply | None
-    ) -> tickets.Run | tickets.GiveUp:
+    ) -> tickets.Run | tickets.Abandon:
         noted = messages.WitnessReply(status='noted')
-        return super().on_witness(now, identity, noted)
+        return super().on_start_reply(now, identity, noted)
 
 
-class _TakeEveryReply(tickets.Executor):
+class _StartOnEveryReply(tickets.Executor):
     """Starts a request for each "noted" reply, even after its decision."""
 
     __slots__ = ()
 
-    def on_witness(
+    def on_start_reply(
         self, now: float, identity: str, reply: messages.WitnessReply | None
-    ) -> tickets.Run | tickets.GiveUp:
+    ) -> tickets.Run | tickets.Abandon:
         if reply is not None and reply.status == 'noted':
             return tickets.Run(identity)
-        return super().on_witness(now, identity, reply)
+        return super().on_start_reply(now, identity, reply)
 
 
 class _NoFloor(tickets.Executor):
@@ -56,12 +56,12 @@
         self._entries.floor = float('-inf')
 
 
-class _ForgetfulWitness(witness.Witness):
+class _NoAgeLimitWitness(witness.Witness):
     """Accepts notes for unknown identities of any age."""
 
     __slots__ = ()
 
-    def _is_judgeable(self, now: float, identity: str, stamp: float) -> bool:
+    def _is_decidable(self, now: float, identity: str, stamp: float) -> bool:
         return True
 
 
@@ -70,24 +70,26 @@
 
     __slots__ = ()
 
-    def note(self, now: float, msg: messages.Note) -> messages.WitnessReply:
-        arrived = msgspec.structs.replace(msg, witness_at=now)
-        return super().note(now, arrived)
+    def record_start(
+        self, now: float, msg: messages.StartRequest
+    ) -> messages.WitnessReply:
+        arrived = msgspec.structs.replace(msg, witness_clock=now)
+        return super().record_start(now, arrived)
 
 
 def _unknown_is_not_run(
     reply: messages.WitnessReply | None,
 ) -> tickets.Verdict:
-    verdict = tickets.verdict(reply)
+    verdict = tickets.verdict_on_void(reply)
     if verdict.code is codes.UNKNOWN:
         return tickets.Verdict(codes.TICKET_VOID)
     return verdict
 
 
 _START_WITHOUT_NOTE = ticketworld.Rules(executor_type=StartWithoutNote)
-_START_ON_EVERY_REPLY = ticketworld.Rules(executor_type=_TakeEveryReply)
+_START_ON_EVERY_REPLY = ticketworld.Rules(executor_type=_StartOnEveryReply)
 _NO_FLOOR = ticketworld.Rules(executor_type=_NoFloor)
-_NO_AGE_LIMIT_WITNESS = ticketworld.Rules(witness_type=_ForgetfulWitness)
+_NO_AGE_LIMIT_WITNESS = ticketworld.Rules(witness_type=_NoAgeLimitWitness)
 _ARRIVAL_WITNESS = ticketworld.Rules(witness_type=_ArrivalWitness)
 _UNKNOWN_IS_NOT_RUN = ticketworld.Rules(verdict=_unknown_is_not_run)
 _REUSED_EXECUTOR_NAME = ticketworld.Rules(new_executor_name=False)
--- a/tests/test_pace.py
+++ b/tests/test_transfer_timeouts.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from foxtaildale import kept
-from foxtaildale import pace
+from foxtaildale import stored_responses
+from foxtaildale import transfer_timeouts
 
 # Prompt tokens, lifetime of the result and timeout, both in seconds, after
 # transfers of 1,000 tokens in 0.1 s each.
@@ -25,19 +25,19 @@
     If the timeout is too long, the prefill is evicted; if it is too short, the
     prefill is wasted too.
     """
-    transfer_pace = pace.Pace()
+    transfer_pace = transfer_timeouts.TransferTimeouts()
     for _ in range(3):
-        transfer_pace.learn(1_000, 0.1)
-    assert transfer_pace.bound_s(tokens, life_s) == pytest.approx(bound_s)
+        transfer_pace.record(1_000, 0.1)
+    assert transfer_pace.timeout_s(tokens, life_s) == pytest.approx(bound_s)
 
 
 def test_timeout_before_any_transfer_is_long() -> None:
-    assert pace.Pace().bound_s(100, 1.0) == 2.0
+    assert transfer_timeouts.TransferTimeouts().timeout_s(100, 1.0) == 2.0
 
 
 def test_retained_responses_stay_below_their_limit() -> None:
     """Responses arrive for hours; the memory that retains them is a few MB."""
-    responses = kept.Answers(limit=10)
+    responses = stored_responses.StoredResponses(limit=10)
     responses.put('reader', 'a', b'1234')
     responses.put('reader', 'a', b'12345')
     responses.put('reader', 'b', b'12345')
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -21,17 +21,17 @@
     """Stands for the keeper; says what the test has it say."""
 
     def __init__(self) -> None:
-        self.reply: messages.Any | None = None
-        self.heard: list[messages.Hello] = []
+        self.reply: messages.Message | None = None
+        self.heard: list[messages.EntryHeartbeat] = []
 
-    def ask(
-        self, address: str, msg: messages.Any, timeout_s: float
-    ) -> messages.Any:
+    def request(
+        self, address: str, msg: messages.Message, timeout_s: float
+    ) -> messages.Message:
         del address, timeout_s
-        assert isinstance(msg, messages.Hello)
+        assert isinstance(msg, messages.EntryHeartbeat)
         self.heard.append(msg)
         if self.reply is None:
-            raise errors.AnswerLostError('silent')
+            raise errors.NoReplyError('silent')
         return self.reply
 
 
@@ -45,12 +45,14 @@
         return self.now
 
 
-def _says(revision: int, listing: values.Listing | None = None) -> messages.Any:
+def _says(
+    revision: int, listing: values.Listing | None = None
+) -> messages.Message:
     in_force = None
     if revision:
         preset = values.Preset(name=f'preset-{revision}', services={})
         in_force = values.InForce(revision, revision, 'd', preset)
-    return messages.HelloReply(
+    return messages.EntryHeartbeatReply(
         keeper='keeper@vm-1#a', in_force=in_force, listing=listing
     )
 
@@ -69,25 +71,25 @@
     seen, keeper, _clock = _make()
     for revision in (3, 0, 2):
         keeper.reply = _says(revision)
-        seen.step()
-        assert seen.now.revision in (3, 0)
+        seen.refresh()
+        assert seen.snapshot.revision in (3, 0)
     assert keeper.heard[-1].revision == 3
     keeper.reply = _says(4)
-    seen.step()
-    assert seen.now.revision == 4
+    seen.refresh()
+    assert seen.snapshot.revision == 4
 
 
 def test_a_keeper_that_is_silent_too_long_vouches_for_nothing() -> None:
     """The keeper of this VM hangs while the operators switch elsewhere."""
     seen, keeper, clock = _make()
     keeper.reply = _says(1)
-    seen.step()
+    seen.refresh()
     keeper.reply = None
     clock.now += 9.0
-    seen.step()
-    assert seen.now.revision == 1
+    seen.refresh()
+    assert seen.snapshot.revision == 1
     clock.now += 2.0
-    assert seen.now.in_force is None
+    assert seen.snapshot.in_force is None
 
 
 def test_a_backend_server_that_refused_as_leaving_gets_nothing_more() -> None:
@@ -102,11 +104,11 @@
     listing = values.Listing(7, (), (server,))
     seen, keeper, _clock = _make()
     keeper.reply = _says(1, listing)
-    seen.step()
-    assert seen.now.live('reader', 'decode') == (server,)
+    seen.refresh()
+    assert seen.snapshot.live_servers('reader', 'decode') == (server,)
     seen.report_leaving(server)
-    seen.step()
-    assert seen.now.live('reader', 'decode') == ()
+    seen.refresh()
+    assert seen.snapshot.live_servers('reader', 'decode') == ()
     assert keeper.heard[-1].leaving == ('d1@127.0.0.1:1',)
 
 
@@ -115,5 +117,5 @@
     seen, keeper, _clock = _make()
     for version in (5, 4):
         keeper.reply = _says(1, values.Listing(version, (), ()))
-        seen.step()
-    assert seen.now.listing.version == 5
+        seen.refresh()
+    assert seen.snapshot.listing.version == 5
--- a/tests/test_room.py
+++ b/tests/test_wait_limits.py
@@ -1,7 +1,7 @@
 """How long a request waits for a placement."""
 
-from foxtaildale import room
 from foxtaildale import routes
+from foxtaildale import wait_limits
 
 _ROUTE = routes.Route(
     name='r',
@@ -19,6 +19,6 @@
 
     A caller that is refused a second time gets no response at all.
     """
-    first_patience_s = room.patience_s(_ROUTE)
-    retry_patience_s = room.patience_s(_ROUTE, came_back=True)
+    first_patience_s = wait_limits.patience_s(_ROUTE)
+    retry_patience_s = wait_limits.patience_s(_ROUTE, is_retry=True)
     assert first_patience_s < retry_patience_s < 4 * _ROUTE.target_s - 0.4
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -23,16 +23,16 @@
 PATIENCE_S = 20.0
 
 
-def echo(msg: messages.Any) -> messages.Any:
+def echo(msg: messages.Message) -> messages.Message:
     """Answers a `Pull` with its own offset."""
-    assert isinstance(msg, messages.Pull)
-    return messages.PullReply(
+    assert isinstance(msg, messages.StateRequest)
+    return messages.StateReply(
         offset=msg.offset, digest='', state=b'', listing=None
     )
 
 
-def offset_of(reply: messages.Any) -> int:
-    assert isinstance(reply, messages.PullReply)
+def offset_of(reply: messages.Message) -> int:
+    assert isinstance(reply, messages.StateReply)
     return reply.offset
 
 
@@ -77,7 +77,7 @@
     peers: wire.Peers, serve: Callable[[wire.Handler], str]
 ) -> None:
     address = serve(echo)
-    reply = peers.ask(address, messages.Pull(offset=7), PATIENCE_S)
+    reply = peers.request(address, messages.StateRequest(offset=7), PATIENCE_S)
     assert offset_of(reply) == 7
 
 
@@ -86,17 +86,17 @@
 ) -> None:
     """A handler meets a fault of its own; the process must live on."""
 
-    def fail(msg: messages.Any) -> messages.Any:
-        if isinstance(msg, messages.Dump):
+    def fail(msg: messages.Message) -> messages.Message:
+        if isinstance(msg, messages.DumpRequest):
             raise errors.RejectedError('full', 'no room')
         raise KeyError('x')
 
     address = serve(fail)
     with pytest.raises(errors.RejectedError) as caught:
-        peers.ask(address, messages.Dump(), PATIENCE_S)
+        peers.request(address, messages.DumpRequest(), PATIENCE_S)
     assert caught.value.code == 'full'
     with pytest.raises(errors.RejectedError) as caught:
-        peers.ask(address, messages.Pull(offset=1), PATIENCE_S)
+        peers.request(address, messages.StateRequest(offset=1), PATIENCE_S)
     assert caught.value.code == 'error'
 
 
@@ -111,12 +111,12 @@
         threading, 'excepthook', lambda args: seen.append(args.exc_type)
     )
 
-    def broken(msg: messages.Any) -> messages.Any:
+    def broken(msg: messages.Message) -> messages.Message:
         raise errors.InvariantError('two outcomes')
 
     address = serve(broken)
-    with pytest.raises(errors.AnswerLostError):
-        peers.ask(address, messages.Dump(), 0.2)
+    with pytest.raises(errors.NoReplyError):
+        peers.request(address, messages.DumpRequest(), 0.2)
     until(lambda: seen == [errors.InvariantError])
 
 
@@ -132,7 +132,7 @@
     for data in (b'GET / HTTP/1.1\r\n\r\n' * 50, bytes(500), b'\xff' * 500):
         with socket.create_connection((host, int(port))) as sock:
             sock.sendall(data)
-    reply = peers.ask(address, messages.Pull(offset=1), PATIENCE_S)
+    reply = peers.request(address, messages.StateRequest(offset=1), PATIENCE_S)
     assert offset_of(reply) == 1
 
 
@@ -192,7 +192,7 @@
     found, address = responder
     msg = messages.DumpReply(state=bytes(messages.MAX_BYTES))
     with pytest.raises(errors.UnreachableError):
-        peers.ask(address, msg, PATIENCE_S)
+        peers.request(address, msg, PATIENCE_S)
     assert found.counts.received == 0
 
 
@@ -201,7 +201,7 @@
     peers: wire.Peers, address: str
 ) -> None:
     with pytest.raises(errors.UnreachableError):
-        peers.ask(address, messages.Dump(), PATIENCE_S)
+        peers.request(address, messages.DumpRequest(), PATIENCE_S)
 
 
 def test_a_closed_port_is_unreachable_at_once(peers: wire.Peers) -> None:
@@ -210,7 +210,7 @@
         sock.bind(('127.0.0.1', 0))
         address = f'127.0.0.1:{sock.getsockname()[1]}'
         with pytest.raises(errors.UnreachableError, match='closed'):
-            peers.ask(address, messages.Dump(), PATIENCE_S)
+            peers.request(address, messages.DumpRequest(), PATIENCE_S)
 
 
 def test_a_port_that_never_shakes_hands_is_unreachable(
@@ -220,9 +220,9 @@
     with socket.create_server(('127.0.0.1', 0)) as sock:
         address = f'127.0.0.1:{sock.getsockname()[1]}'
         with pytest.raises(errors.UnreachableError):
-            peers.ask(address, messages.Dump(), 0.1)
+            peers.request(address, messages.DumpRequest(), 0.1)
         with pytest.raises(errors.UnreachableError, match='silent'):
-            peers.ask(address, messages.Dump(), PATIENCE_S)
+            peers.request(address, messages.DumpRequest(), PATIENCE_S)
 
 
 def test_a_late_reply_reaches_nobody(
@@ -234,17 +234,19 @@
     """
     release = threading.Event()
 
-    def slow(msg: messages.Any) -> messages.Any:
-        if msg == messages.Pull(offset=1):
+    def slow(msg: messages.Message) -> messages.Message:
+        if msg == messages.StateRequest(offset=1):
             release.wait(PATIENCE_S)
         return echo(msg)
 
     address = serve(slow)
-    with pytest.raises(errors.AnswerLostError):
-        peers.ask(address, messages.Pull(offset=1), 0.05)
+    with pytest.raises(errors.NoReplyError):
+        peers.request(address, messages.StateRequest(offset=1), 0.05)
     release.set()
     for offset in range(2, 50):
-        reply = peers.ask(address, messages.Pull(offset=offset), PATIENCE_S)
+        reply = peers.request(
+            address, messages.StateRequest(offset=offset), PATIENCE_S
+        )
         assert offset_of(reply) == offset
     until(lambda: peers.counts.late == 1)
 
@@ -276,8 +278,8 @@
     try:
         with concurrent.futures.ThreadPoolExecutor(4) as pool:
             replies = pool.map(
-                lambda offset: peers.ask(
-                    address, messages.Pull(offset=offset), PATIENCE_S
+                lambda offset: peers.request(
+                    address, messages.StateRequest(offset=offset), PATIENCE_S
                 ),
                 range(4),
             )
@@ -298,12 +300,12 @@
     timeout until somebody restarted the process.
     """
     with relay.Relay(serve(echo)) as between:
-        msg = messages.Pull(offset=1)
-        peers.ask(between.address, msg, PATIENCE_S)
+        msg = messages.StateRequest(offset=1)
+        peers.request(between.address, msg, PATIENCE_S)
         between.silence()
-        with pytest.raises(errors.AnswerLostError, match='silent'):
-            peers.ask(between.address, msg, PATIENCE_S)
-        reply = peers.ask(between.address, msg, PATIENCE_S)
+        with pytest.raises(errors.NoReplyError, match='silent'):
+            peers.request(between.address, msg, PATIENCE_S)
+        reply = peers.request(between.address, msg, PATIENCE_S)
         assert offset_of(reply) == 1
         assert between.accepted == 2
     assert peers.counts.silent == 1
@@ -315,14 +317,14 @@
     """A keeper works on one long question while heartbeats go on."""
     release = threading.Event()
 
-    def slow(msg: messages.Any) -> messages.Any:
+    def slow(msg: messages.Message) -> messages.Message:
         release.wait(PATIENCE_S)
         return echo(msg)
 
     address = serve(slow)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(
-            peers.ask, address, messages.Pull(offset=1), PATIENCE_S
+            peers.request, address, messages.StateRequest(offset=1), PATIENCE_S
         )
         beats = int(2 * SILENCE_S / HEARTBEAT_S)
         until(lambda: peers.counts.received >= beats)
@@ -336,7 +338,7 @@
     arrived = threading.Event()
     release = threading.Event()
 
-    def hang(msg: messages.Any) -> messages.Any:
+    def hang(msg: messages.Message) -> messages.Message:
         arrived.set()
         release.wait(PATIENCE_S)
         return echo(msg)
@@ -347,11 +349,14 @@
         concurrent.futures.ThreadPoolExecutor(1) as pool,
     ):
         fut = pool.submit(
-            peers.ask, between.address, messages.Pull(offset=1), PATIENCE_S
+            peers.request,
+            between.address,
+            messages.StateRequest(offset=1),
+            PATIENCE_S,
         )
         assert arrived.wait(PATIENCE_S)
         between.cut()
-        with pytest.raises(errors.AnswerLostError, match='closed'):
+        with pytest.raises(errors.NoReplyError, match='closed'):
             fut.result()
         release.set()
         responder.close()
@@ -363,8 +368,8 @@
     addresses = [serve(echo), serve(echo)]
 
     def ask(number: int) -> bool:
-        msg = messages.Pull(offset=number)
-        reply = peers.ask(addresses[number % 2], msg, PATIENCE_S)
+        msg = messages.StateRequest(offset=number)
+        reply = peers.request(addresses[number % 2], msg, PATIENCE_S)
         return offset_of(reply) == number
 
     with concurrent.futures.ThreadPoolExecutor(32) as pool:
@@ -378,7 +383,7 @@
     """
     arrived: list[int] = []
 
-    def note(msg: messages.Any) -> messages.Any:
+    def note(msg: messages.Message) -> messages.Message:
         arrived.append(offset_of(echo(msg)))
         return echo(msg)
 
@@ -390,14 +395,14 @@
         peers = wire.Peers(HEARTBEAT_S, SILENCE_S)
 
         def ask(number: int) -> None:
-            msg = messages.Pull(offset=number)
+            msg = messages.StateRequest(offset=number)
             try:
-                reply = peers.ask(between.address, msg, 2 * SILENCE_S)
+                reply = peers.request(between.address, msg, 2 * SILENCE_S)
                 assert offset_of(reply) == number
                 answered.append(number)
             except errors.UnreachableError:
                 unreachable.append(number)
-            except errors.AnswerLostError:
+            except errors.NoReplyError:
                 lost.append(number)
 
         with concurrent.futures.ThreadPoolExecutor(16) as pool:
@@ -432,7 +437,7 @@
 def test_close_ends_every_ask(serve: Callable[[wire.Handler], str]) -> None:
     release = threading.Event()
 
-    def hang(msg: messages.Any) -> messages.Any:
+    def hang(msg: messages.Message) -> messages.Message:
         release.wait(PATIENCE_S)
         return echo(msg)
 
@@ -440,12 +445,12 @@
     address = serve(hang)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(
-            peers.ask, address, messages.Pull(offset=1), PATIENCE_S
+            peers.request, address, messages.StateRequest(offset=1), PATIENCE_S
         )
         until(lambda: peers.counts.sent >= 1)
         peers.close()
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             fut.result()
     with pytest.raises(errors.UnreachableError):
-        peers.ask(address, messages.Dump(), PATIENCE_S)
+        peers.request(address, messages.DumpRequest(), PATIENCE_S)
     release.set()
--- a/tests/ticketworld.py
+++ b/tests/ticketworld.py
@@ -45,7 +45,7 @@
     executor_type: type[tickets.Executor] = tickets.Executor
     witness_type: type[witness.Witness] = witness.Witness
     verdict: Callable[[messages.WitnessReply | None], tickets.Verdict] = (
-        tickets.verdict
+        tickets.verdict_on_void
     )
     # Whether a restarted process gets a new name, as a new incarnation does.
     new_executor_name: bool = True
@@ -94,14 +94,18 @@
             'e', 'e:1', b'secret', TICKET_LIFETIME_S
         )
         self.witness = rules.witness_type('w', RETENTION_S)
-        reading = self.witness.read(0.0, messages.AskReading(witness='w'))
-        self.executor.on_reading(0.0, 'w', reading)
-        ticket = self.executor.mint(0.0, 'desk', 'w', 'w:1')
+        reading = self.witness.read_clock(
+            0.0, messages.ClockRequest(witness='w')
+        )
+        self.executor.on_witness_clock(0.0, 'w', reading)
+        ticket = self.executor.issue(0.0, 'desk', 'w', 'w:1')
         assert ticket is not None
         self.ticket = ticket
         # Messages to the witness, and the witness's replies to the executor.
         self.in_transit: frozenset[
-            messages.Note | messages.Tell | messages.WitnessReply
+            messages.StartRequest
+            | messages.OutcomeReport
+            | messages.WitnessReply
         ] = frozenset()
         # Bodies that the executor is permitted to send, but has not sent.
         self.ready_to_send: tuple[bytes, ...] = ()
@@ -183,9 +187,9 @@
         world.executor_at, world.ticket, CALL, body
     )
     match admission:
-        case tickets.SendNote(note=note):
+        case tickets.SendStart(note=note):
             world.in_transit |= {note}
-        case tickets.Known(outcome=result, answer=content):
+        case tickets.AlreadyFinished(outcome=result, answer=content):
             world.respond(body, codes.DONE_BEFORE, result, content)
         case tickets.Refuse(code=code):
             world.respond(body, code)
@@ -194,7 +198,7 @@
 def _void(world: World, body: bytes) -> None:
     world.ticket_used = True
     reply = world.witness.void(
-        world.witness_at, tickets.void(world.ticket, CALL, body)
+        world.witness_at, tickets.void_request(world.ticket, CALL, body)
     )
     verdict = world.rules.verdict(reply)
     world.respond(body, verdict.code, verdict.outcome, verdict.answer)
@@ -202,13 +206,15 @@
 
 def _deliver(
     world: World,
-    msg: messages.Note | messages.Tell | messages.WitnessReply,
+    msg: messages.StartRequest | messages.OutcomeReport | messages.WitnessReply,
 ) -> None:
     match msg:
-        case messages.Note():
-            world.in_transit |= {world.witness.note(world.witness_at, msg)}
-        case messages.Tell():
-            world.witness.tell(world.witness_at, msg)
+        case messages.StartRequest():
+            world.in_transit |= {
+                world.witness.record_start(world.witness_at, msg)
+            }
+        case messages.OutcomeReport():
+            world.witness.record_outcome(world.witness_at, msg)
         case messages.WitnessReply():
             _handle_reply(world, msg)
 
@@ -219,18 +225,20 @@
 
 def _handle_reply(world: World, reply: messages.WitnessReply | None) -> None:
     identity = world.ticket.identity
-    decision = world.executor.on_witness(world.executor_at, identity, reply)
+    decision = world.executor.on_start_reply(world.executor_at, identity, reply)
     match decision:
         case tickets.Run():
             world.ready_to_send = (*world.ready_to_send, _noted_body(world))
-        case tickets.GiveUp(code=code) if code is not codes.UNKNOWN:
+        case tickets.Abandon(code=code) if code is not codes.UNKNOWN:
             _finish_run(world, _noted_body(world), outcome(code), b'')
 
 
 def _noted_body(world: World) -> bytes:
     """Returns the body that the executor's note was sent for."""
     noted = {
-        msg.body for msg in world.in_transit if isinstance(msg, messages.Note)
+        msg.body_digest
+        for msg in world.in_transit
+        if isinstance(msg, messages.StartRequest)
     }
     for body in BODIES:
         if tickets.digest(CALL, body) in noted:
