--- a/tests/test_failure_reports.py
+++ b/tests/test_failure_reports.py
@@ -8,10 +8,10 @@
 
 def test_reports_of_two_vms_exclude_a_server_for_all() -> None:
     """An engine crashes; the next request of each VM would fail there."""
-    failure_reports = failure_reports.FailureReports()
-    failure_reports.record(0.0, 'd1', 'vm-1')
-    failure_reports.record(0.1, 'd1', 'vm-2')
-    assert failure_reports.failed_servers(0.2) == {'d1'}
+    reports = failure_reports.FailureReports()
+    reports.record(0.0, 'd1', 'vm-1')
+    reports.record(0.1, 'd1', 'vm-2')
+    assert reports.failed_servers(0.2) == {'d1'}
 
 
 def test_reports_of_one_vm_exclude_no_server() -> None:
@@ -19,24 +19,20 @@
 
     Excluded for all VMs, the engines would idle while callers are refused.
     """
-    failure_reports = failure_reports.FailureReports()
+    reports = failure_reports.FailureReports()
     for number in range(20):
-        failure_reports.record(number * 0.1, 'd1', 'vm-1')
-    assert not failure_reports.failed_servers(2.0)
+        reports.record(number * 0.1, 'd1', 'vm-1')
+    assert not reports.failed_servers(2.0)
 
 
 def test_reports_expire() -> None:
     """A server failed by chance and must get requests again."""
-    failure_reports = failure_reports.FailureReports()
-    failure_reports.record(0.0, 'd1', 'vm-1')
-    failure_reports.record(2.0, 'd1', 'vm-2')
-    assert failure_reports.failed_servers(2.5)
-    assert not failure_reports.failed_servers(
-        failure_reports.REPORT_TTL_S + 0.1
-    )
-    assert not failure_reports.failed_servers(
-        failure_reports.REPORT_TTL_S + 2.1
-    )
+    reports = failure_reports.FailureReports()
+    reports.record(0.0, 'd1', 'vm-1')
+    reports.record(2.0, 'd1', 'vm-2')
+    assert reports.failed_servers(2.5)
+    assert not reports.failed_servers(failure_reports.REPORT_TTL_S + 0.1)
+    assert not reports.failed_servers(failure_reports.REPORT_TTL_S + 2.1)
 
 
 def test_one_report_of_a_replaced_server_excludes_it_for_all() -> None:
@@ -45,12 +41,10 @@
     The list has the old name for some seconds more, with the most room in the
     plan, so each VM in turn would waste a prefill on it and be refused.
     """
-    failure_reports = failure_reports.FailureReports()
-    failure_reports.record(0.0, 'd1', 'vm-1', replaced=True)
-    assert failure_reports.failed_servers(0.1) == {'d1'}
-    assert not failure_reports.failed_servers(
-        failure_reports.REPORT_TTL_S + 0.1
-    )
+    reports = failure_reports.FailureReports()
+    reports.record(0.0, 'd1', 'vm-1', replaced=True)
+    assert reports.failed_servers(0.1) == {'d1'}
+    assert not reports.failed_servers(failure_reports.REPORT_TTL_S + 0.1)
 
 
 @pytest.mark.parametrize(
