--- a/packages/daemon/foxtaildaled/coordinator_client.py
+++ b/packages/daemon/foxtaildaled/coordinator_client.py
@@ -139,9 +139,8 @@
         try:
             self._notifications.put_nowait((name, msg))
         except queue.Full:
-            logs.event(
-                logging.WARNING, 'home not told', what=type(msg).__name__
-            )
+            tag = type(msg).__struct_config__.tag
+            logs.event(logging.WARNING, 'home not told', what=str(tag))
 
     def is_coordinator(self, name: str) -> bool:
         """Whether this entry VM is the coordinator of a name."""
