--- a/tests/search.py
+++ b/tests/search.py
@@ -30,7 +30,7 @@
     types.FunctionType,
 )
 # Metric counters are ignored: they would make every state distinct.
-_IGNORED_SLOTS = frozenset({'count'})
+_IGNORED_SLOTS = frozenset({'started_count'})
 
 W = TypeVar('W')
 # The path before a move, and the move's name. Paths share their prefixes.
--- a/tests/test_claimsearch.py
+++ b/tests/test_claimsearch.py
@@ -166,7 +166,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A fold that violates one rule lets a request run twice."""
-    monkeypatch.setattr(claimlog, 'Fold', fold)
+    monkeypatch.setattr(claimlog, 'ClaimFold', fold)
     result = _search(rules)
     assert result.fault == fault, str(result)
     assert len(result.trace) == steps, str(result)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -10,7 +10,7 @@
 _PROGRAM = """
 import sys
 from foxtaildaled import process
-process.RELOAD_S = float(sys.argv[1])
+process.RELOAD_INTERVAL_S = float(sys.argv[1])
 process.SIGNAL_POLL_S = 0.02
 print('up', flush=True)
 process.wait_for_stop(lambda: print('again', flush=True))
