--- a/bench/home.py
+++ b/bench/home.py
@@ -1,7 +1,7 @@
 """The policy of the product: a home per service, and shares without it.
 
-Runs `foxtaildale.pool.Pool` and `foxtaildale.share.Share`, the objects that
-the daemons run, between fake VMs.
+Runs `foxtaildale.pool.Pool` and `foxtaildale.fallback_share.FallbackShare`, the
+objects that the daemons run, between fake VMs.
 """
 
 from collections.abc import Callable
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -2,14 +2,14 @@
 
     python -m bench.plans [LAYOUT ...] [--seeds N]
 
-The decision objects that a router's home runs (`placing` and what it uses) give
-places at simulated engines to callers that wait, leave, are refused and come
-back. Prints for each layout the worth in parts of what callers could have: an
-answer in time counts whole, a late one a fifth, and prompts that were read for
-nothing are taken off as they are priced by the users; then what was late,
-refused, and read for nothing. The paused time makes a play of forty seconds
-take one, and the same figures on every run. Layouts differ in lengths, memories
-and rates, so that a policy is judged beyond one deployment.
+The decision objects that a router's home runs (`placement_plan` and what it
+uses) give places at simulated engines to callers that wait, leave, are refused
+and come back. Prints for each layout the worth in parts of what callers could
+have: an answer in time counts whole, a late one a fifth, and prompts that were
+read for nothing are taken off as they are priced by the users; then what was
+late, refused, and read for nothing. The paused time makes a play of forty
+seconds take one, and the same figures on every run. Layouts differ in lengths,
+memories and rates, so that a policy is judged beyond one deployment.
 """
 
 import argparse
--- a/packages/core/foxtaildale/backends.py
+++ b/packages/core/foxtaildale/backends.py
@@ -5,7 +5,7 @@
     POST /prefill        PrefillReq -> PrefillReply   (prefill workers)
     GET  /kv/ID          KV cache, fetched by the decode worker
     POST /import         ImportReq -> ImportReply     (decode workers)
-    POST /decode         DecodeReq -> events of Piece, then one Last
+    POST /decode         DecodeReq -> events of Chunk, then one StreamEnd
     GET  /streams/ID?from=N&holder=H   the same events from position N
     POST /cancel         CancelReq -> CancelReply     (both)
     GET  /load           Load, not up to date
@@ -14,8 +14,8 @@
     POST /orders         Order -> OrderReply          (both)
     GET  /orders         Observed                     (both)
 
-Errors are an HTTP status of 400 or above with a `Fault` as the body. Events
-have an `id` line `WORKER/STREAM/POSITION` and a `data` line with JSON.
+Errors are an HTTP status of 400 or above with a `BackendError` as the body.
+Events have an `id` line `WORKER/STREAM/POSITION` and a `data` line with JSON.
 """
 
 from typing import Final
--- a/packages/core/foxtaildale/claimlog.py
+++ b/packages/core/foxtaildale/claimlog.py
@@ -29,7 +29,7 @@
 ):
     """Base class of the items of a record."""
 
-    # From `keys.identity`.
+    # From `idempotency_keys.key_digest`.
     identity: bytes
     # The log offset that the key contains.
     stamp: int
--- a/packages/core/foxtaildale/claims.py
+++ b/packages/core/foxtaildale/claims.py
@@ -3,7 +3,8 @@
 The entries of a VM send claim requests to their keeper. The keeper appends many
 claims at once, reads them back and replies:
 
-    `ask` -> `batch` -> `on_appended` -> `on_records` -> won, lost, ...
+    `request_claim` -> `take_batch` -> `on_appended` -> `on_records` -> won,
+    lost, ...
 
 A request runs only if its claim is read back as the first of its key. While the
 log doesn't reply, claim requests are refused at once. An append whose reply was
--- a/packages/core/foxtaildale/config_follower.py
+++ b/packages/core/foxtaildale/config_follower.py
@@ -2,8 +2,9 @@
 
 This module only decides; the keeper does the I/O. The keeper reads the log
 from `next_offset` and passes on the results (`on_batch`, `on_lapsed`,
-`on_log_failed`). It exchanges heartbeats with peers (`on_peer`). If the log
-does not deliver, it pulls the state from a peer that is ahead (`on_pull`).
+`on_log_failed`). It exchanges heartbeats with peers (`on_heartbeat`). If the
+log does not deliver, it pulls the state from a peer that is ahead
+(`on_pull_reply`).
 
 A follower only moves to higher offsets. It vouches for the preset in force,
 that is, allows it to be used, unless one of these problems exists:
--- a/packages/core/foxtaildale/coordinator_choice.py
+++ b/packages/core/foxtaildale/coordinator_choice.py
@@ -108,7 +108,7 @@
         self._coordinators = {}
 
     def coordinator_of(self, name: str, keepers: tuple[str, ...]) -> str:
-        """Returns the result of the function `home`."""
+        """Returns the result of the function `choose_coordinator`."""
         if keepers is not self._keepers and keepers != self._keepers:
             self._coordinators.clear()
         self._keepers = keepers
--- a/packages/core/foxtaildale/crashes.py
+++ b/packages/core/foxtaildale/crashes.py
@@ -168,7 +168,7 @@
     def reports(self, now: float) -> list[messages.Crash]:
         """Returns the recorded reports that still count, from all entry VMs.
 
-        The newest come last. At most `MOST_REPORTS` are returned.
+        The newest come last. At most `MAX_REPORTS` are returned.
         """
         self._expire(now)
         current = [
--- a/packages/core/foxtaildale/departures.py
+++ b/packages/core/foxtaildale/departures.py
@@ -131,7 +131,7 @@
         return dict(self._states)
 
     def recent_changes(self, now: float) -> dict[str, Departure]:
-        """Returns the states that changed within the last `NEWS_S` seconds."""
+        """Returns the states that changed in the last `REPORT_S` seconds."""
         recent: dict[str, Departure] = {}
         for server, changed_at in reversed(self._changed_at.items()):
             if now - changed_at >= REPORT_S:
--- a/packages/core/foxtaildale/fleet.py
+++ b/packages/core/foxtaildale/fleet.py
@@ -4,8 +4,8 @@
 candidate the choice therefore weighs three things: the load in its last
 response while that is fresh, the requests that this entry VM has in flight
 there, and how recent requests fared, those of this entry VM and those of all
-(`experience`). A server that fails, stalls or sheds load loses weight for a few
-seconds and then gets a request again, so that a recovered server is found
+(`failure_rates`). A server that fails, stalls or sheds load loses weight for a
+few seconds and then gets a request again, so that a recovered server is found
 without probes.
 
 This module does no I/O; the time is an argument.
@@ -102,7 +102,7 @@
         self.load_at = 0.0
         # How many requests of this entry VM are included in the load.
         self.load_own = 0
-        # Decaying number of failures, as of `fault_at`.
+        # Decaying number of failures, as of `failures_at`.
         self.failures = 0.0
         self.failures_at = 0.0
         self.full_until = 0.0
--- a/packages/core/foxtaildale/fold.py
+++ b/packages/core/foxtaildale/fold.py
@@ -8,9 +8,9 @@
 
 The set of remembered ids is bounded. A record states the offset up to which
 its writer had read (`base`). It is rejected as stale if its own offset is
-`WINDOW` or more above that, and verdicts are remembered for the last `WINDOW`
-offsets. A duplicate therefore either arrives while the verdict on the first
-copy is still remembered, or is stale.
+`VERDICT_WINDOW` or more above that, and verdicts are remembered for the last
+`VERDICT_WINDOW` offsets. A duplicate therefore either arrives while the verdict
+on the first copy is still remembered, or is stale.
 """
 
 from typing import Annotated
--- a/packages/core/foxtaildale/messages.py
+++ b/packages/core/foxtaildale/messages.py
@@ -1,7 +1,7 @@
 """Messages between the system's own processes.
 
 Each message is a tagged struct in array form, so the bytes hold no field names.
-Every request has one reply; `Fail` may replace any reply.
+Every request has one reply; `ErrorReply` may replace any reply.
 """
 
 from typing import Final
@@ -143,7 +143,7 @@
 
 
 class Queued(Wire, frozen=True):
-    """The request is queued; the sender retries after `again_in_ms`."""
+    """The request is queued; the sender retries after `retry_in_ms`."""
 
     retry_in_ms: int
     position: int
@@ -351,9 +351,9 @@
     # how many of them failed, by server id.
     request_counts: dict[str, tuple[float, float]] = {}
     # Recent updates on servers that leave or no longer leave
-    # (`departures.Word`), by server id.
+    # (`departures.Departure`), by server id.
     departures: dict[str, tuple[int, int]] = {}
-    # Backoff requests of servers (`backoffs.Word`), by server id.
+    # Backoff requests of servers (`backoffs.Backoff`), by server id.
     backoffs: dict[str, tuple[int, float]] = {}
 
 
@@ -377,8 +377,9 @@
     # be quarantined: remaining time in seconds by fingerprint.
     quarantined: dict[int, float] = {}
     cleared: dict[int, float] = {}
-    # Updates on servers that announced that they leave (`departures.Word`), and
-    # backoff requests (`backoffs.Word`), by server id.
+    # Updates on servers that announced that they leave
+    # (`departures.Departure`), and backoff requests (`backoffs.Backoff`), by
+    # server id.
     departures: dict[str, tuple[int, int]] = {}
     backoffs: dict[str, tuple[int, float]] = {}
 
@@ -532,7 +533,7 @@
 
 
 class SendTokensReply(Wire, frozen=True, tag='Sends'):
-    """Reply to `AskSends`.
+    """Reply to `SendTokensRequest`.
 
     It is also announced to all entry VMs, without tokens, when a limit begins
     or ends.
@@ -566,7 +567,7 @@
 
 
 class CreditReply(Wire, frozen=True, tag='Credit'):
-    """Reply to `AskCredit`."""
+    """Reply to `CreditRequest`."""
 
     # 0 if the request is admitted; otherwise the time until it would be,
     # milliseconds.
@@ -600,7 +601,7 @@
 
 
 class EligibilityReply(Wire, frozen=True, tag='HomeReply'):
-    """Reply to `AskHome`."""
+    """Reply to `EligibilityRequest`."""
 
     eligible: bool
     # Whether the process has been up long enough to be preferred over a new
--- a/packages/core/foxtaildale/orders.py
+++ b/packages/core/foxtaildale/orders.py
@@ -87,8 +87,8 @@
 class Orders:
     """Wanted and observed settings of the servers that this keeper coordinates.
 
-    The calling code polls each server that is `due`, passes the observed
-    settings to `seen` and sends the orders that it returns.
+    The calling code polls each server in `due_servers`, passes the observed
+    settings to `on_observed` and sends the orders that it returns.
     """
 
     __slots__ = ('_poll_s', '_servers')
--- a/packages/core/foxtaildale/packing.py
+++ b/packages/core/foxtaildale/packing.py
@@ -1,7 +1,7 @@
 """Memory of the decode workers in one scheduling pass, and who fits where.
 
-A request fits if the peak memory of all requests at the worker (`growth`) stays
-within a part of the worker's memory.
+A request fits if the peak memory of all requests at the worker
+(`memory_growth`) stays within a part of the worker's memory.
 """
 
 from collections.abc import Callable
--- a/packages/core/foxtaildale/placement_plan.py
+++ b/packages/core/foxtaildale/placement_plan.py
@@ -7,12 +7,12 @@
 only when its placement is certain.
 
 `queues` decides which request is next, `packing` where it fits, and `prefills`
-and `ownreads` which worker prefills its prompt.
+and `local_prefills` which worker prefills its prompt.
 
-`Plan.ask` grants a placement or queues the request, and `Plan.end` releases a
-placement. `Plan.keep` and the expiry of old entries make the plan agree with
-the holders. A wrong plan costs time and never correctness: engines refuse
-requests for which they have no memory.
+`Plan.request_placement` grants a placement or queues the request, and
+`Plan.release` releases a placement. `Plan.renew` and the expiry of old entries
+make the plan agree with the holders. A wrong plan costs time and never
+correctness: engines refuse requests for which they have no memory.
 """
 
 from collections.abc import Callable
--- a/packages/core/foxtaildale/pool.py
+++ b/packages/core/foxtaildale/pool.py
@@ -1,16 +1,16 @@
 """Joint scheduling of all workers of one service at its coordinator.
 
-The keeper that coordinates a service (see `homes`) runs one pool for it. An
-entry sends one request and gets the reply at once: granted (workers, and when
-to start the prefill), queued (when to request again) or refused (why, and when
-to retry). A grant covers prefill time, link time and a decode slot together. The
-prefill is started so that it ends when the slot becomes free: an engine evicts
-a prefill result within a second, and a result that is not fetched by then is
-wasted.
+The keeper that coordinates a service (see `coordinator_choice`) runs one pool
+for it. An entry sends one request and gets the reply at once: granted (workers,
+and when to start the prefill), queued (when to request again) or refused (why,
+and when to retry). A grant covers prefill time, link time and a decode slot
+together. The prefill is started so that it ends when the slot becomes free: an
+engine evicts a prefill result within a second, and a result that is not fetched
+by then is wasted.
 
-Flow: `ask` -> `planning` finds the earliest joint time -> `admission` grants,
-queues or refuses -> `_book`. `end` releases a grant and updates the estimates.
-`keep` and `expire` make the ledger match what the holders report.
+Flow: `request_slot` -> `planning` finds the earliest joint time -> `admission`
+grants, queues or refuses -> `_book`. `release` releases a grant and updates the
+estimates. `renew` and `expire` make the ledger match what the holders report.
 """
 
 from collections.abc import Sequence
--- a/packages/core/foxtaildale/ports.py
+++ b/packages/core/foxtaildale/ports.py
@@ -2,7 +2,7 @@
 
 Adapters implement these protocols, and small fakes can replace them. Each
 method may raise `errors.UnreachableError` (nothing was sent) or
-`errors.AnswerLostError` (sent, but no reply) unless its docstring says
+`errors.NoReplyError` (sent, but no reply) unless its docstring says
 otherwise.
 """
 
@@ -52,7 +52,7 @@
         """Reads records from an offset on.
 
         Raises:
-            errors.LapsedError: The log no longer has the offset.
+            errors.RecordsExpiredError: The log no longer has the offset.
         """
 
 
@@ -76,8 +76,8 @@
         """Waits for records from a position on; returns none after a timeout.
 
         Raises:
-            errors.LapsedError: The topic no longer has the position, or it is
-                of an earlier epoch.
+            errors.RecordsExpiredError: The topic no longer has the position, or
+                it is of an earlier epoch.
         """
 
     def put(self, topic: str, key: str, value: bytes) -> None:
@@ -159,7 +159,7 @@
 
         Raises:
             errors.UnreachableError: Nothing was sent.
-            errors.AnswerLostError: A part may have been sent.
+            errors.NoReplyError: A part may have been sent.
         """
 
     def read_head(self, timeout_s: float) -> forwarding.ResponseHead:
@@ -213,7 +213,7 @@
         *,
         repeatable: bool = False,
     ) -> ServerExchange:
-        """Prepares the decode of a request; see `plain` for the arguments."""
+        """Prepares the decode of a request; see `forward` for the arguments."""
 
     def decode_handle(self, body: bytes) -> str:
         """Returns the handle in the response to a prefill.
@@ -288,7 +288,7 @@
     """The events of one stream; iterating raises as the other calls do."""
 
     def __iter__(self) -> Iterator[backends.Chunk | backends.StreamEnd]:
-        """Returns an iterator over the events, which ends with a `Last`."""
+        """Returns an iterator over the events; `StreamEnd` is the last."""
 
     def __next__(self) -> backends.Chunk | backends.StreamEnd:
         """Waits for the next event."""
--- a/packages/core/foxtaildale/routes.py
+++ b/packages/core/foxtaildale/routes.py
@@ -1,8 +1,8 @@
 """Which service a request goes to: hosts, path prefixes and weighted splits.
 
-A `Table` is one version of the operators' configuration, validated and decoded.
-It is immutable. A request keeps the table with which it was matched, so a
-configuration change never mixes two versions within one request.
+A `RoutingTable` is one version of the operators' configuration, validated and
+decoded. It is immutable. A request keeps the table with which it was matched,
+so a configuration change never mixes two versions within one request.
 """
 
 from typing import Final
--- a/packages/core/foxtaildale/stage_balance.py
+++ b/packages/core/foxtaildale/stage_balance.py
@@ -157,7 +157,7 @@
 
         Args:
             now: Seconds.
-            prefill_share: Result of `share`.
+            prefill_share: Result of the method `prefill_share`.
             decoders: Decode workers that may get work, best first.
             prefillers: Prefill workers that may get work, best first.
             has_queue: Whether prompts wait at the prefill workers.
--- a/packages/core/foxtaildale/streams.py
+++ b/packages/core/foxtaildale/streams.py
@@ -126,7 +126,7 @@
     position: int
 
     def text(self) -> str:
-        """Returns the text form that `parse_id` parses."""
+        """Returns the text form that `parse_event_id` parses."""
         return f'{self.worker}/{self.stream}/{self.position}'
 
 
--- a/packages/core/foxtaildale/suspects.py
+++ b/packages/core/foxtaildale/suspects.py
@@ -26,7 +26,7 @@
 PROBE_DELAY_S: Final = 0.4
 MAX_PROBE_DELAY_S: Final = 6.4
 # Time without an exclusion for lost replies after which the probe delay is
-# reset to `PROBE_S`, seconds.
+# reset to `PROBE_DELAY_S`, seconds.
 PROBE_RESET_S: Final = 30.0
 
 
--- a/packages/core/foxtaildale/tickets.py
+++ b/packages/core/foxtaildale/tickets.py
@@ -6,13 +6,13 @@
 the executor. The executor sends a start message to the witness, and sends the
 first byte of the request only after the witness has recorded the start:
 
-    `admit` -> `SendNote` -> reply of the witness -> `on_witness` -> `Run`
+    `admit` -> `SendStart` -> reply of the witness -> `on_start_reply` -> `Run`
     -> `finish`
 
 The right to run never passes to another process: an executor that restarts is
 another incarnation and runs no ticket of the former one. An entry VM that can't
 reach the executor sends the witness a message that voids the identity, and uses
-`verdict` to choose the response.
+`verdict_on_void` to choose the response.
 
 Only two sources may report "not run" for a ticket: the executor, for an
 identity that it has abandoned, and the witness, by a void. An entry VM that
@@ -52,7 +52,7 @@
 class SendStart(msgspec.Struct, frozen=True):
     """Send the start message to the witness.
 
-    The reply goes to `Executor.on_witness`.
+    The reply goes to `Executor.on_start_reply`.
     """
 
     note: messages.StartRequest
@@ -257,8 +257,8 @@
 
         Returns None if the witness's clock is not known, or if its reading is
         too old for a ticket to be valid for its full lifetime. The caller then
-        sends `messages.AskReading` to the witness, passes the reply to
-        `on_reading` and calls this again.
+        sends `messages.ClockRequest` to the witness, passes the reply to
+        `on_witness_clock` and calls this again.
         """
         at, received_at = self._readings.get(witness, (0.0, float('-inf')))
         if now - received_at > self._lifetime_s / 2:
--- a/packages/daemon/foxtaildaled/account_limits.py
+++ b/packages/daemon/foxtaildaled/account_limits.py
@@ -1,8 +1,9 @@
 """Enforces the limits of client accounts over all entry VMs together.
 
-Each account has a coordinator (`asking`), which counts the usage of the account
-(`Counting`) and is asked before a request runs (`Homes`). If no coordinator
-replies, an entry VM enforces its own share of the limit (`Shares`).
+Each account has a coordinator (`coordinator_client`), which counts the usage of
+the account (`UsageCounter`) and is asked before a request runs
+(`CoordinatorLimiter`). If no coordinator replies, an entry VM enforces its own
+share of the limit (`LocalShares`).
 """
 
 from collections.abc import Callable
--- a/packages/daemon/foxtaildaled/attempt_state.py
+++ b/packages/daemon/foxtaildaled/attempt_state.py
@@ -1,7 +1,8 @@
 """The state of one request to a model engine while it is served.
 
-`Refused` ends the request with an outcome, `Answer` is the state of the
-response to its caller, and `Spot` is the placement of one attempt.
+`RequestRefused` ends the request with an outcome, `ResponseState` is the state
+of the response to its caller, and `AttemptPlacement` is the placement of one
+attempt.
 """
 
 import math
--- a/packages/daemon/foxtaildaled/cancels.py
+++ b/packages/daemon/foxtaildaled/cancels.py
@@ -34,7 +34,7 @@
 
 
 class CancelQueue:
-    """Queue of cancels; a loop of the entry server runs `step`."""
+    """Queue of cancels; a loop of the entry server runs `send_due`."""
 
     __slots__ = ('_clock', '_engines', '_lock', '_queue', 'on_added')
 
--- a/packages/daemon/foxtaildaled/coordinator_client.py
+++ b/packages/daemon/foxtaildaled/coordinator_client.py
@@ -25,9 +25,10 @@
 from foxtaildaled import actors
 from foxtaildaled import router_state
 
-# Limits of one request: it fails after `LOST` lost replies, which is one less
-# than two replies of each of two coordinators, or after `REFUSED` refusals.
-# More refusals are allowed since they arrive within milliseconds.
+# Limits of one request: it fails after `MAX_LOST_REPLIES` lost replies, which
+# is one less than two replies of each of two coordinators, or after
+# `MAX_REFUSALS` refusals. More refusals are allowed since they arrive within
+# milliseconds.
 MAX_LOST_REPLIES: Final = 3
 MAX_REFUSALS: Final = 8
 # Timeout for the reply to a probe, seconds. A round trip takes two
--- a/packages/daemon/foxtaildaled/crash_detection.py
+++ b/packages/daemon/foxtaildaled/crash_detection.py
@@ -23,7 +23,7 @@
         *,
         ran_s: float,
     ) -> None:
-        """Reports a request by fingerprint; see `Quarantining.crashed`."""
+        """Reports a request; see `QuarantineManager.record_crash`."""
 
 
 class CrashDetector:
--- a/packages/daemon/foxtaildaled/engine_cleanup.py
+++ b/packages/daemon/foxtaildaled/engine_cleanup.py
@@ -24,7 +24,7 @@
 class EngineCleanup:
     """Releases reservations and prefilled prompts in the background.
 
-    Implements `ports.Tidy`.
+    Implements `ports.ResourceReleaser`.
     """
 
     __slots__ = ('_queue', '_workers')
--- a/packages/daemon/foxtaildaled/entry.py
+++ b/packages/daemon/foxtaildaled/entry.py
@@ -8,8 +8,9 @@
     GET  /v1/outcomes/REQUEST     returns the outcome of a request decided here
 
 Each request gets an identity and ends in one outcome, which is sent to the
-caller, logged and added to `records`. This module only routes requests; `gate`
-checks them, and `chats` and `calls` serve them.
+caller, logged and added to `outcome_records`. This module only routes requests;
+`request_checks` checks them, and `chat_requests` and `plain_requests` serve
+them.
 """
 
 from collections.abc import Callable
--- a/packages/daemon/foxtaildaled/generation.py
+++ b/packages/daemon/foxtaildaled/generation.py
@@ -1,10 +1,10 @@
 """Serves requests for model engines: placement, prefill, transfer and stream.
 
-`spots` finds a placement at a decode worker first, since the prefill of a
-prompt without a placement would be wasted. `prompts` then has the prompt
-prefilled, and the decode worker fetches it and streams the response. Events are
-relayed to the caller as soon as they are complete. A broken stream is resumed
-at another worker if the route allows that.
+`placement_finder` finds a placement at a decode worker first, since the prefill
+of a prompt without a placement would be wasted. `prefill_clients` then has the
+prompt prefilled, and the decode worker fetches it and streams the response.
+Events are relayed to the caller as soon as they are complete. A broken stream
+is resumed at another worker if the route allows that.
 """
 
 from collections.abc import Callable
@@ -108,7 +108,7 @@
         """Checks that another attempt is allowed; spends the retry budget.
 
         Raises:
-            attempt.Refused: No further attempt is allowed.
+            attempt_state.RequestRefused: No further attempt is allowed.
         """
         if response.unsent:
             response.unsent = False
@@ -132,7 +132,8 @@
         """Makes one attempt; returns False if another one should follow.
 
         Raises:
-            attempt.Refused: The request ends without another attempt.
+            attempt_state.RequestRefused: The request ends without another
+                attempt.
         """
         req.caller_request.after_event = response.splitter.position
         began_at = self._clock()
@@ -261,7 +262,7 @@
         """Relays complete events to the caller until the end of the stream.
 
         Raises:
-            errors.AnswerLostError: The stream broke off, or the caller has
+            errors.NoReplyError: The stream broke off, or the caller has
                 disconnected.
         """
         splitter = response.splitter
@@ -318,7 +319,7 @@
             True; the error was sent to the caller.
 
         Raises:
-            errors.AnswerLostError: The request should be resumed at another
+            errors.NoReplyError: The request should be resumed at another
                 worker instead, or a part of the response was sent before.
         """
         body = prefill_clients.read_body(flight, req.time_left_s())
--- a/packages/daemon/foxtaildaled/initial_state.py
+++ b/packages/daemon/foxtaildaled/initial_state.py
@@ -14,10 +14,11 @@
 from foxtaildaled import router_state
 
 # How long a starting process asks other VMs before it reads the store itself,
-# seconds. `FIRST_START_S` applies when all entry VMs start for the first time,
-# long before there are callers. Otherwise `ANSWERED_S` applies, which is as
-# long as the reply of a running VM takes. `SEED_ANSWER_S` is the timeout for
-# one reply, `SEED_PAUSE_S` the pause after all seeds were asked.
+# seconds. `FIRST_START_TIMEOUT_S` applies when all entry VMs start for the
+# first time, long before there are callers. Otherwise `RESTART_TIMEOUT_S`
+# applies, which is as long as the reply of a running VM takes. `SEED_TIMEOUT_S`
+# is the timeout for one reply, `SEED_PAUSE_S` the pause after all seeds were
+# asked.
 FIRST_START_TIMEOUT_S: Final = 2.0
 RESTART_TIMEOUT_S: Final = 0.1
 SEED_TIMEOUT_S: Final = 0.12
--- a/packages/daemon/foxtaildaled/inventories.py
+++ b/packages/daemon/foxtaildaled/inventories.py
@@ -28,7 +28,7 @@
 
 
 class Inventories:
-    """Takes the inventories; `step` is called by a loop."""
+    """Takes the inventories; `take_due` is called by a loop."""
 
     __slots__ = ('_clock', '_own_placements', '_owner', '_peers')
 
--- a/packages/daemon/foxtaildaled/keeper.py
+++ b/packages/daemon/foxtaildaled/keeper.py
@@ -5,7 +5,7 @@
 tickets, settles claims, and coordinates the pools of some services. `Keeper`
 holds that state and replies to messages. It does no I/O and receives the time
 as an argument, so its decisions don't depend on a real clock. The process
-accesses it through an `actors.Owner`, which handles one message at a time.
+accesses it through an `actors.StateOwner`, which handles one message at a time.
 """
 
 from collections.abc import Callable
@@ -46,7 +46,7 @@
     address: str
     # Highest preset revision that the entry has used, as it reported.
     revision: int
-    # Time of its last `Hello`.
+    # Time of its last `EntryHeartbeat`.
     last_hello_at: float
 
     def __init__(self, msg: messages.EntryHeartbeat, now: float) -> None:
--- a/packages/daemon/foxtaildaled/outcome_records.py
+++ b/packages/daemon/foxtaildaled/outcome_records.py
@@ -1,9 +1,10 @@
 """Outcomes of an entry: cached, logged, counted and written to the log.
 
-`Records` caches the last outcomes in memory for `GET /v1/outcomes/REQUEST` and
-appends them in batches to the `outcomes` stream of the platform's log, where
-`foxtaildale explain` reads them. While the log is down, outcomes wait in a
-bounded queue. The oldest are dropped first, and the dropped ones are counted.
+`OutcomeRecords` caches the last outcomes in memory for
+`GET /v1/outcomes/REQUEST` and appends them in batches to the `outcomes` stream
+of the platform's log, where `foxtaildale explain` reads them. While the log is
+down, outcomes wait in a bounded queue. The oldest are dropped first, and the
+dropped ones are counted.
 """
 
 import collections
--- a/packages/daemon/foxtaildaled/peer_loops.py
+++ b/packages/daemon/foxtaildaled/peer_loops.py
@@ -1,10 +1,10 @@
 """Loops by which a keeper exchanges data with its peers and the workers.
 
-`Gossip` sends the keeper's offset and digest to the other keepers, and requests
-the state of one that is ahead. `Watch` reads the load of the workers whose
-pools this keeper coordinates. `Reap` cancels what dead holders left in the
-workers' memory. `Steer` sends engines the orders that the preset in force
-requires.
+`GossipLoop` sends the keeper's offset and digest to the other keepers, and
+requests the state of one that is ahead. `LoadLoop` reads the load of the
+workers whose pools this keeper coordinates. `ReapLoop` cancels what dead
+holders left in the workers' memory. `OrderLoop` sends engines the orders that
+the preset in force requires.
 """
 
 from collections.abc import Callable
--- a/packages/daemon/foxtaildaled/placement_client.py
+++ b/packages/daemon/foxtaildaled/placement_client.py
@@ -1,8 +1,8 @@
 """Requests placements from the coordinator of a service.
 
 It also reports the placements that this entry VM uses. A coordinator that does
-not reply is skipped and the next one is asked (`asking`). A coordinator asks
-all VMs for the placements that its plan lacks (`surveys`).
+not reply is skipped and the next one is asked (`coordinator_client`). A
+coordinator asks all VMs for the placements that its plan lacks (`inventories`).
 """
 
 import threading
--- a/packages/daemon/foxtaildaled/placement_finder.py
+++ b/packages/daemon/foxtaildaled/placement_finder.py
@@ -79,7 +79,7 @@
             response_started: Whether its caller has received part of the response.
 
         Raises:
-            attempt.Refused: No placement became available in time.
+            attempt_state.RequestRefused: No placement became available in time.
         """
         if len(sent) < req.route.max_attempts and req.service.kv_tokens:
             spot = self._coordinated_spot(req, sent, started=response_started)
@@ -140,8 +140,8 @@
         """Refuses a request that can no longer be served.
 
         Raises:
-            attempt.Refused: The caller disconnected, the time is used up, or
-                all servers are in backoff.
+            attempt_state.RequestRefused: The caller disconnected, the time is
+                used up, or all servers are in backoff.
         """
         if req.check_disconnected():
             raise attempt_state.RequestRefused(
@@ -253,8 +253,8 @@
         """Checks whether to continue waiting.
 
         Raises:
-            attempt.Refused: The patience is used up, or the estimated wait
-                exceeds it.
+            attempt_state.RequestRefused: The patience is used up, or the
+                estimated wait exceeds it.
         """
         patience_ms = int(patience_s * 1000)
         wait_s = reply.wait_ms / 1000
--- a/packages/daemon/foxtaildaled/plain_forwarder.py
+++ b/packages/daemon/foxtaildaled/plain_forwarder.py
@@ -399,7 +399,7 @@
     """Reads a complete response body.
 
     Raises:
-        errors.AnswerLostError: The body broke off, or is too long.
+        errors.NoReplyError: The body broke off, or is too long.
     """
     chunks = []
     size = 0
--- a/packages/daemon/foxtaildaled/platform_loops.py
+++ b/packages/daemon/foxtaildaled/platform_loops.py
@@ -1,9 +1,10 @@
 """Loops by which a keeper reads from and writes to the platform.
 
-`Follow` reads the configuration stream and the VM list, and writes a checkpoint
-when the state machine of the configuration requests one. `Settle` writes the
-batch of waiting claims and reads the claims stream, so that a claim waits once
-for both. A platform that is down or slow delays these loops only.
+`PlatformFollower` reads the configuration stream and the VM list, and writes a
+checkpoint when the state machine of the configuration requests one.
+`ClaimSettler` writes the batch of waiting claims and reads the claims stream,
+so that a claim waits once for both. A platform that is down or slow delays
+these loops only.
 """
 
 from collections.abc import Callable
--- a/packages/daemon/foxtaildaled/prefill_clients.py
+++ b/packages/daemon/foxtaildaled/prefill_clients.py
@@ -79,7 +79,8 @@
         fetched the prefilled prompt; a second prefill would be wasted.
 
         Raises:
-            attempt.Refused: The retry budget allows no further prefill.
+            attempt_state.RequestRefused: The retry budget allows no further
+                prefill.
         """
         prefilled = response.prefilled
         if prefilled is not None and self._has_restarted(prefilled.worker):
@@ -118,8 +119,8 @@
             The prefilled prompt; None if the decode worker must prefill it.
 
         Raises:
-            attempt.Refused: The retry budget allows no attempt after one that
-                failed, or the request is quarantined.
+            attempt_state.RequestRefused: The retry budget allows no attempt
+                after one that failed, or the request is quarantined.
         """
         tried: list[str] = []
         while len(tried) < MAX_PREFILL_ATTEMPTS:
@@ -232,7 +233,7 @@
     """Reads a complete body that is known to be small.
 
     Raises:
-        errors.AnswerLostError: The body broke off.
+        errors.NoReplyError: The body broke off.
     """
     chunks = []
     while chunk := flight.read_chunk(timeout_s):
--- a/packages/daemon/foxtaildaled/process.py
+++ b/packages/daemon/foxtaildaled/process.py
@@ -122,8 +122,8 @@
     """Returns when the process receives SIGTERM or SIGINT.
 
     Args:
-        reload: Called on SIGHUP, and every `RELOAD_S` since settings may
-            change without a signal. If it is None, SIGHUP is ignored: the
+        reload: Called on SIGHUP, and every `RELOAD_INTERVAL_S` since settings
+            may change without a signal. If it is None, SIGHUP is ignored: the
             default action of SIGHUP would end the process and abort every
             request in progress.
     """
--- a/packages/daemon/foxtaildaled/request_checks.py
+++ b/packages/daemon/foxtaildaled/request_checks.py
@@ -3,8 +3,8 @@
 A request refused here was not sent to any backend server, so its outcome would
 be "not run". A caller that retries a request, however, applies "not run" to its
 earlier attempts too, and one of them may be running at another VM. For a
-request with a key, `Visit.covering` therefore chooses the code of the refusal.
-The ticket of a request is voided before the request is refused.
+request with a key, `RequestContext.refusal_code` therefore chooses the code of
+the refusal. The ticket of a request is voided before the request is refused.
 """
 
 import msgspec
--- a/packages/daemon/foxtaildaled/router.py
+++ b/packages/daemon/foxtaildaled/router.py
@@ -2,8 +2,8 @@
 
 Each request is decoded, matched with a route of the configuration in force and
 with the client account of its key, admitted by the limit of the account, and
-passed to `forward` or `generate`. A refusal states its reason, its figures and
-when to retry.
+passed to `plain_forwarder` or `generation`. A refusal states its reason, its
+figures and when to retry.
 """
 
 from collections.abc import Callable
--- a/packages/daemon/foxtaildaled/router_state.py
+++ b/packages/daemon/foxtaildaled/router_state.py
@@ -35,8 +35,8 @@
 # expired during the failure. They are back two seconds after the store is.
 _STORE_GRACE_S = 4.0
 # Time after the store was restored from a copy within which missing records are
-# written again, seconds. It is longer than `syncing.LISTED_S`, the time after
-# which an entry VM lists itself again.
+# written again, seconds. It is longer than `store_sync.RELIST_INTERVAL_S`, the
+# time after which an entry VM lists itself again.
 _REWRITE_S = 20.0
 
 
--- a/packages/daemon/foxtaildaled/self_reports.py
+++ b/packages/daemon/foxtaildaled/self_reports.py
@@ -38,7 +38,8 @@
         Args:
             server: Where the call was sent.
             response: The response to the call.
-            leave_revision: What `mark` returned before the call was sent.
+            leave_revision: What `leave_revision` returned before the call was
+                sent.
             is_streaming: Whether the server is still working on the call.
         """
         is_head = isinstance(response, forwarding.ResponseHead)
--- a/packages/daemon/foxtaildaled/sendlimits.py
+++ b/packages/daemon/foxtaildaled/sendlimits.py
@@ -1,10 +1,11 @@
 """Enforces the rate limits that backend servers report, over all entry VMs.
 
-Limits are recorded as responses report them (`told`). A send to a server with a
-limit spends a token (`take`), and a loop requests more tokens from the
-coordinator ahead of need (`step`). The coordinator announces a new limit to all
-VMs at once, so that they need not discover it by requests of their own. While
-no coordinator replies, each VM uses its own share of the limit.
+Limits are recorded as responses report them (`record_limit`). A send to a
+server with a limit spends a token (`acquire`), and a loop requests more tokens
+from the coordinator ahead of need (`exchange_tokens`). The coordinator
+announces a new limit to all VMs at once, so that they need not discover it by
+requests of their own. While no coordinator replies, each VM uses its own share
+of the limit.
 """
 
 from collections.abc import Callable
--- a/packages/daemon/foxtaildaled/service_plans.py
+++ b/packages/daemon/foxtaildaled/service_plans.py
@@ -1,8 +1,9 @@
 """The plans of the services that this entry VM coordinates.
 
-A coordinator plans the engines of a service for all entry VMs (`placing`). A
-new coordinator does not know which placements are in use, and grants none
-before it has asked the other VMs (`surveys`). Owned by the actor of `beliefs`.
+A coordinator plans the engines of a service for all entry VMs
+(`placement_plan`). A new coordinator does not know which placements are in use,
+and grants none before it has asked the other VMs (`inventories`). Owned by the
+actor of `router_state`.
 """
 
 from collections.abc import Callable
--- a/packages/daemon/foxtaildaled/stage_orders.py
+++ b/packages/daemon/foxtaildaled/stage_orders.py
@@ -1,7 +1,7 @@
 """Orders engines to change between the stages prefill and decode.
 
 The coordinator of a service knows its load and which engines should change
-(`balance`). Before it orders a change, it claims a lease in the store
+(`stage_balance`). Before it orders a change, it claims a lease in the store
 (`lease`). The outcome of an order is read from the list of backend servers and
 not from the reply: an order whose reply was lost may be executed seconds later.
 """
@@ -27,7 +27,7 @@
 
 
 class StageOrders:
-    """Orders stage changes; `step` is called by a loop."""
+    """Orders stage changes; `order_due_changes` is called by a loop."""
 
     __slots__ = (
         '_client',
--- a/packages/daemon/foxtaildaled/store_sync.py
+++ b/packages/daemon/foxtaildaled/store_sync.py
@@ -1,8 +1,8 @@
 """Loops that keep a router's state up to date.
 
 One entry VM, or one per data centre, reads the store, and the others send it
-requests (`storereaders`). A process that starts first requests the state from
-other VMs (`introductions`). Reads of the configuration wait for a change, since
+requests (`reader_choice`). A process that starts first requests the state from
+other VMs (`initial_state`). Reads of the configuration wait for a change, since
 it must be in force soon after it was accepted. Entries of servers change with
 every heartbeat, so such a wait would return at once. They are read at an
 interval that is a small part of the time bound for leaving servers. While the
@@ -59,7 +59,7 @@
 
 
 class TopicReader:
-    """Reads the changes of one keyed topic; a loop calls `step`."""
+    """Reads the changes of one keyed topic; a loop calls `read_once`."""
 
     __slots__ = (
         '_counts',
--- a/packages/daemon/foxtaildaled/tracked_flights.py
+++ b/packages/daemon/foxtaildaled/tracked_flights.py
@@ -60,7 +60,7 @@
 
 
 class _TrackedFlight:
-    """A flight that is registered until it is closed; a `ports.Flight`."""
+    """A `ports.ServerExchange` that is registered until it is closed."""
 
     __slots__ = ('_flight', '_on_head', '_open_flights', 'server')
 
@@ -98,7 +98,7 @@
 
 
 class TrackingWorkers:
-    """A `ports.Workers` that tracks flights and reads self-reports."""
+    """A `ports.ServerClient` that tracks flights and reads self-reports."""
 
     __slots__ = ('_open_flights', '_reports', '_workers')
 
--- a/packages/daemon/foxtaildaled/view.py
+++ b/packages/daemon/foxtaildaled/view.py
@@ -85,7 +85,7 @@
 
 
 class View:
-    """Updates the snapshot; a loop of the entry calls its `step`."""
+    """Updates the snapshot; a loop of the entry calls its `refresh`."""
 
     __slots__ = (
         '_address',
@@ -111,7 +111,7 @@
     _confirmed_at: float | None
     _lock: threading.Lock
     # Backend servers that refused requests because they are leaving; the keys
-    # are those of `members.key_of`.
+    # are those of `members.server_key`.
     _leaving: dict[str, None]
     # Highest revision that this entry has used. It is retained while the keeper
     # vouches for no preset, so that its next reply can't revert this entry to
--- a/packages/daemon/foxtaildaled/vm_eligibility.py
+++ b/packages/daemon/foxtaildaled/vm_eligibility.py
@@ -34,7 +34,10 @@
 
 
 class Eligibility:
-    """Tracks the fitness of this entry VM; `step` is called by a loop."""
+    """Tracks the fitness of this entry VM.
+
+    A loop calls `check_older_vms`.
+    """
 
     __slots__ = (
         '_clock',
--- a/tests/config_world.py
+++ b/tests/config_world.py
@@ -27,7 +27,7 @@
 FRESHNESS_S = 30.0
 # Outcome of the next append. `answered`: it takes effect and is confirmed.
 # `lost`: it takes effect without a reply. `dropped`: no effect and no reply.
-# `late`: no reply, and it takes effect when the history calls `land`.
+# `late`: no reply, and it takes effect when the history calls `apply_delayed`.
 AppendOutcome = Literal['answered', 'lost', 'dropped', 'late']
 
 # CI runs the same histories each time; FOXTAILDALE_LONG=N runs N new ones.
--- a/tests/fakelog.py
+++ b/tests/fakelog.py
@@ -5,7 +5,7 @@
 
 
 class FakeLog:
-    """Holds the appended records; `keep` makes the oldest ones expire."""
+    """Holds the appended records; `expire_all_but` expires the oldest ones."""
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
--- a/tests/test_stage_balance.py
+++ b/tests/test_stage_balance.py
@@ -16,7 +16,7 @@
 from tests import engine_states
 
 _SERVICE = routes.Service(name='s', kv_tokens=63_000, slots=12)
-# Speeds of the engines that the constants of `balance` were computed for.
+# Speeds of the engines that the constants of `stage_balance` were computed for.
 _PREFILL_PER_S = 55_555.0
 _TOKEN_S = 0.00073
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -24,7 +24,7 @@
 
 
 def echo(msg: messages.Message) -> messages.Message:
-    """Answers a `Pull` with its own offset."""
+    """Answers a `StateRequest` with its own offset."""
     assert isinstance(msg, messages.StateRequest)
     return messages.StateReply(
         offset=msg.offset, digest='', state=b'', listing=None
