--- a/packages/daemon/foxtaildaled/chat_requests.py
+++ b/packages/daemon/foxtaildaled/chat_requests.py
@@ -18,7 +18,7 @@
 from foxtaildaled import completions
 from foxtaildaled import job as jobs
 from foxtaildaled import request_checks
-from foxtaildaled import request_context as contexts
+from foxtaildaled import request_context
 from foxtaildaled import sinks
 from foxtaildaled import slot_acquisition
 
@@ -46,7 +46,7 @@
     _cfg: options.Options
     _incarnation: str
     _gate: request_checks.RequestChecks
-    _replies: contexts.Replies
+    _replies: request_context.Replies
     _completions: completions.Completions
     _claiming: claim_client.ClaimClient
     _cancels: cancels.CancelQueue
@@ -58,7 +58,7 @@
         cfg: options.Options,
         incarnation: str,
         checks: request_checks.RequestChecks,
-        replies: contexts.Replies,
+        replies: request_context.Replies,
         completion_runner: completions.Completions,
         claim_desk: claim_client.ClaimClient,
         cancel_queue: cancels.CancelQueue,
@@ -73,7 +73,7 @@
         self._cancels = cancel_queue
         self._clock = clock
 
-    def complete(self, context: contexts.RequestContext) -> None:
+    def complete(self, context: request_context.RequestContext) -> None:
         """Serves a request for a new completion."""
         try:
             req = chat.decode(context.exchange.body)
@@ -107,7 +107,7 @@
             result.answer,
         )
 
-    def resume_stream(self, context: contexts.RequestContext) -> None:
+    def resume_stream(self, context: request_context.RequestContext) -> None:
         """Resumes a stream that began on another connection or VM."""
         try:
             event = streams.parse_event_id(
@@ -134,7 +134,7 @@
 
     def _make_job(
         self,
-        context: contexts.RequestContext,
+        context: request_context.RequestContext,
         service: values.Service,
         req: chat.ChatReq,
     ) -> jobs.Job:
@@ -154,7 +154,10 @@
         )
 
     def _run_claimed(
-        self, context: contexts.RequestContext, job: jobs.Job, sink: sinks.Sink
+        self,
+        context: request_context.RequestContext,
+        job: jobs.Job,
+        sink: sinks.Sink,
     ) -> slot_acquisition.FinalResult:
         refusal = self._claiming.claim(context, job.service_name, 'chat')
         if refusal is not None:
@@ -177,7 +180,7 @@
 
     def _cancel_on_disconnect(
         self,
-        context: contexts.RequestContext,
+        context: request_context.RequestContext,
         server: values.BackendServer,
         event: streams.EventId,
     ) -> threading.Event:
--- a/packages/daemon/foxtaildaled/claim_client.py
+++ b/packages/daemon/foxtaildaled/claim_client.py
@@ -15,7 +15,7 @@
 from foxtaildale import ports
 from foxtaildale import tickets
 from foxtaildale import values
-from foxtaildaled import request_context as contexts
+from foxtaildaled import request_context
 from foxtaildaled import slot_acquisition
 
 # Timeout for the decision of a claim by the log, seconds.
@@ -35,14 +35,14 @@
     # Incarnation of this entry process.
     _holder: str
     _peers: ports.Peers
-    _replies: contexts.Replies
+    _replies: request_context.Replies
 
     def __init__(
         self,
         cfg: options.Options,
         holder: str,
         peers: ports.Peers,
-        replies: contexts.Replies,
+        replies: request_context.Replies,
     ) -> None:
         self._cfg = cfg
         self._replies = replies
@@ -50,7 +50,7 @@
         self._peers = peers
 
     def claim(
-        self, context: contexts.RequestContext, name: str, call: str
+        self, context: request_context.RequestContext, name: str, call: str
     ) -> slot_acquisition.FinalResult | None:
         """Claims a request's key; returns None if the request may run."""
         if not context.key:
@@ -95,7 +95,7 @@
             return
 
     def _not_run_outcome(
-        self, context: contexts.RequestContext, name: str
+        self, context: request_context.RequestContext, name: str
     ) -> values.Outcome:
         return self._replies.make_outcome(
             codes.LOG_DOWN, context.request, name, context.snapshot
@@ -103,7 +103,7 @@
 
     def _handle_reply(
         self,
-        context: contexts.RequestContext,
+        context: request_context.RequestContext,
         name: str,
         reply: messages.Message,
     ) -> slot_acquisition.FinalResult | None:
@@ -144,7 +144,7 @@
 
 
 def _log_unavailable(
-    context: contexts.RequestContext,
+    context: request_context.RequestContext,
 ) -> slot_acquisition.FinalResult:
     code = claims.refusal_code(codes.LOG_DOWN, context.is_first_attempt)
     return slot_acquisition.FinalResult(code, (), _RETRY_AFTER_S)
--- a/packages/daemon/foxtaildaled/entry.py
+++ b/packages/daemon/foxtaildaled/entry.py
@@ -27,7 +27,7 @@
 from foxtaildaled import outcome_records
 from foxtaildaled import plain_requests
 from foxtaildaled import request_checks
-from foxtaildaled import request_context as contexts
+from foxtaildaled import request_context
 from foxtaildaled import view
 
 _OUTCOMES_PATH: Final = '/v1/outcomes/'
@@ -57,7 +57,7 @@
     _gate: request_checks.RequestChecks
     _chats: chat_requests.ChatRequests
     _calls: plain_requests.PlainRequests
-    _replies: contexts.Replies
+    _replies: request_context.Replies
     _records: outcome_records.OutcomeRecords
 
     def __init__(
@@ -68,7 +68,7 @@
         checks: request_checks.RequestChecks,
         chat_handler: chat_requests.ChatRequests,
         plain_handler: plain_requests.PlainRequests,
-        replies: contexts.Replies,
+        replies: request_context.Replies,
         outcome_records: outcome_records.OutcomeRecords,
     ) -> None:
         self._entry_vm = entry_vm
@@ -82,7 +82,7 @@
     def handle(self, exchange: callers.Exchange) -> None:
         """Handles one request of a caller."""
         request = f'{self._entry_vm}-{uuid.uuid4().hex[:16]}'
-        context = contexts.RequestContext(
+        context = request_context.RequestContext(
             exchange, request, self._view.snapshot
         )
         route = self._route(exchange.method, exchange.path)
@@ -93,7 +93,7 @@
 
     def _route(
         self, method: str, path: str
-    ) -> Callable[[contexts.RequestContext], None] | None:
+    ) -> Callable[[request_context.RequestContext], None] | None:
         exact = {
             ('POST', '/v1/chat/completions'): self._chats.complete,
             ('GET', '/v1/streams'): self._chats.resume_stream,
@@ -108,7 +108,7 @@
             return self._send_outcome
         return None
 
-    def _send_key_prefix(self, context: contexts.RequestContext) -> None:
+    def _send_key_prefix(self, context: request_context.RequestContext) -> None:
         prefix = context.snapshot.key_prefix
         if prefix:
             self._replies.respond_document(context, KeysReply(prefix))
@@ -117,10 +117,10 @@
             context,
             '',
             codes.LOG_DOWN,
-            retry_after_s=contexts.DEFAULT_RETRY_AFTER_S,
+            retry_after_s=request_context.DEFAULT_RETRY_AFTER_S,
         )
 
-    def _send_outcome(self, context: contexts.RequestContext) -> None:
+    def _send_outcome(self, context: request_context.RequestContext) -> None:
         outcome = self._records.find(
             context.exchange.path.removeprefix(_OUTCOMES_PATH)
         )
--- a/packages/daemon/foxtaildaled/plain_requests.py
+++ b/packages/daemon/foxtaildaled/plain_requests.py
@@ -11,7 +11,7 @@
 from foxtaildaled import claim_client
 from foxtaildaled import plain_services
 from foxtaildaled import request_checks
-from foxtaildaled import request_context as visits
+from foxtaildaled import request_context
 from foxtaildaled import ticket_handler
 
 PREFIX: Final = '/v1/services/'
@@ -37,7 +37,7 @@
     __slots__ = ('_claiming', '_desk', '_gate', '_plain', '_replies')
 
     _gate: request_checks.RequestChecks
-    _replies: visits.Replies
+    _replies: request_context.Replies
     _plain: plain_services.PlainServices
     _desk: ticket_handler.TicketHandler
     _claiming: claim_client.ClaimClient
@@ -46,7 +46,7 @@
         self,
         *,
         admission: request_checks.RequestChecks,
-        replies: visits.Replies,
+        replies: request_context.Replies,
         services: plain_services.PlainServices,
         ticket_desk: ticket_handler.TicketHandler,
         claim_desk: claim_client.ClaimClient,
@@ -57,7 +57,7 @@
         self._desk = ticket_desk
         self._claiming = claim_desk
 
-    def serve_call(self, visit: visits.RequestContext) -> None:
+    def serve_call(self, visit: request_context.RequestContext) -> None:
         """Serves one request to a plain service.
 
         A service may require a ticket or a claim for each request.
@@ -79,7 +79,7 @@
                 visit, name, self._call_service(visit, name, call)
             )
 
-    def issue_tickets(self, visit: visits.RequestContext) -> None:
+    def issue_tickets(self, visit: request_context.RequestContext) -> None:
         """Issues tickets."""
         try:
             req = msgspec.json.decode(visit.exchange.body, type=TicketsReq)
@@ -106,11 +106,11 @@
             visit,
             req.service,
             codes.NO_WITNESS,
-            retry_after_s=visits.DEFAULT_RETRY_AFTER_S,
+            retry_after_s=request_context.DEFAULT_RETRY_AFTER_S,
         )
 
     def _call_with_ticket(
-        self, visit: visits.RequestContext, name: str, call: str
+        self, visit: request_context.RequestContext, name: str, call: str
     ) -> None:
         if not visit.ticket:
             self._refuse_ticket(visit, name, codes.TICKET_NEEDED)
@@ -123,7 +123,10 @@
         self._send_ticket_reply(visit, name, reply)
 
     def _send_ticket_reply(
-        self, visit: visits.RequestContext, name: str, reply: messages.RunReply
+        self,
+        visit: request_context.RequestContext,
+        name: str,
+        reply: messages.RunReply,
     ) -> None:
         if reply.outcome.request == visit.request:
             self._replies.record(reply.outcome)
@@ -136,14 +139,14 @@
         self._replies.respond_outcome(visit, reply.outcome, new_tickets)
 
     def _refuse_ticket(
-        self, visit: visits.RequestContext, name: str, code: codes.Code
+        self, visit: request_context.RequestContext, name: str, code: codes.Code
     ) -> None:
         self._replies.refuse(
             visit, name, code, fresh_tickets=self._desk.issue_tickets(name, 1)
         )
 
     def _call_with_claim(
-        self, visit: visits.RequestContext, name: str, call: str
+        self, visit: request_context.RequestContext, name: str, call: str
     ) -> None:
         refusal = self._claiming.claim(visit, name, call)
         if refusal is not None:
@@ -166,7 +169,7 @@
         )
 
     def _call_service(
-        self, visit: visits.RequestContext, name: str, call: str
+        self, visit: request_context.RequestContext, name: str, call: str
     ) -> plain_services.Result:
         return self._plain.call(
             visit.snapshot, name, call, visit.exchange.body, visit.request
@@ -174,7 +177,7 @@
 
     def _send_result(
         self,
-        visit: visits.RequestContext,
+        visit: request_context.RequestContext,
         name: str,
         result: plain_services.Result,
     ) -> None:
--- a/packages/daemon/foxtaildaled/request_checks.py
+++ b/packages/daemon/foxtaildaled/request_checks.py
@@ -13,7 +13,7 @@
 from foxtaildale import tickets
 from foxtaildale import values
 from foxtaildaled import account_limits
-from foxtaildaled import request_context as contexts
+from foxtaildaled import request_context
 from foxtaildaled import ticket_handler
 
 
@@ -33,14 +33,14 @@
 
     _handler: ticket_handler.TicketHandler
     _limits: account_limits.LocalShares
-    _replies: contexts.Replies
+    _replies: request_context.Replies
     # Whether the entry is shutting down.
     stopping: bool
 
     def __init__(
         self,
         handler: ticket_handler.TicketHandler,
-        replies: contexts.Replies,
+        replies: request_context.Replies,
         account_limits: account_limits.LocalShares,
     ) -> None:
         self._handler = handler
@@ -49,7 +49,7 @@
         self._limits = account_limits
         self.stopping = False
 
-    def check_account(self, context: contexts.RequestContext) -> bool:
+    def check_account(self, context: request_context.RequestContext) -> bool:
         """Returns whether a client account has the caller's key.
 
         If no account has the key, the request is refused. Without a preset the
@@ -72,7 +72,7 @@
 
     def admit(
         self,
-        context: contexts.RequestContext,
+        context: request_context.RequestContext,
         name: str,
         kind: str,
         call: str = '',
@@ -98,7 +98,7 @@
             return None
         code = context.refusal_code(rejection.code)
         again_s = (
-            contexts.DEFAULT_RETRY_AFTER_S
+            request_context.DEFAULT_RETRY_AFTER_S
             if code.status == 503
             else rejection.again_s
         )
@@ -113,7 +113,7 @@
 
     def _check_request(
         self,
-        context: contexts.RequestContext,
+        context: request_context.RequestContext,
         service: values.Service | None,
         name: str,
         kind: str,
@@ -135,7 +135,7 @@
         )
 
     def _check_limit(
-        self, context: contexts.RequestContext
+        self, context: request_context.RequestContext
     ) -> Rejection | None:
         account = context.account
         if account is None or not account.limit.rate:
@@ -158,7 +158,9 @@
             verdict.wait_s,
         )
 
-    def _void_ticket(self, context: contexts.RequestContext, call: str) -> bool:
+    def _void_ticket(
+        self, context: request_context.RequestContext, call: str
+    ) -> bool:
         """Voids the ticket of a refused request.
 
         Returns whether the request is certain never to run. Otherwise the
