--- a/packages/daemon/foxtaildaled/loops.py
+++ b/packages/daemon/foxtaildaled/loops.py
@@ -148,7 +148,7 @@
     )
     owner.run(
         lambda state, _: setattr(
-            state.plans, 'on_unsurveyed', inventory_loop.wake
+            state.plans, 'on_inventory_needed', inventory_loop.wake
         )
     )
     read_config = make_reader(codec.config_topic, store_sync.CONFIG_WAIT_S)
