--- a/packages/adapters/foxtaildale_adapters/admin.py
+++ b/packages/adapters/foxtaildale_adapters/admin.py
@@ -1,7 +1,8 @@
-"""The HTTP server that faces operators: liveness, readiness, metrics, state.
+"""HTTP server for operators: liveness, readiness, metrics and state.
 
-It is the callers' server with a handler of its own and a few threads, on an
-address of its own, so that busy callers can't hide a process from operators.
+It uses the same server class as the callers' server, with its own handler, a
+few threads of its own and its own address, so that operators can reach a
+process while callers occupy all threads of the callers' server.
 """
 
 from collections.abc import Callable
@@ -19,14 +20,14 @@
 
 
 class Admin:
-    """Serves operators.
+    """HTTP server for operators.
 
     Args:
         address: 'IP:PORT' to bind; port 0 lets the kernel choose.
-        ready: Why the process is not ready; empty if it is.
-        state: The state of the process as JSON.
-        metrics: The metrics in the text exposition format.
-        look_s: Time between looks for idle connections, seconds.
+        ready: Returns why the process is not ready; empty if it is ready.
+        state: Returns the state of the process as JSON.
+        metrics: Returns the metrics in the text exposition format.
+        look_s: Time between checks for expired idle connections, seconds.
     """
 
     __slots__ = ('_metrics', '_ready', '_server', '_state')
@@ -47,19 +48,19 @@
         )
 
     def start(self) -> str:
-        """Binds and serves; returns the bound address."""
+        """Binds the address and starts to serve; returns the bound address."""
         return self._server.start()
 
     def close(self) -> None:
-        """Unbinds."""
+        """Stops the server and closes its address."""
         self._server.close()
 
     def handle(self, exchange: callers.Exchange) -> None:
-        """Answers one operator."""
+        """Responds to one request of an operator."""
         if exchange.path == '/livez':
             exchange.respond(200, TEXT, b'live\n')
         elif exchange.path == '/readyz':
-            self._answer_ready(exchange)
+            self._respond_ready(exchange)
         elif exchange.path == '/metrics':
             exchange.respond(200, METRICS, self._metrics())
         elif exchange.path == '/state':
@@ -72,7 +73,7 @@
                 incoming.error_body(codes.BAD_REQUEST, figures, ''),
             )
 
-    def _answer_ready(self, exchange: callers.Exchange) -> None:
+    def _respond_ready(self, exchange: callers.Exchange) -> None:
         reason = self._ready()
         if reason:
             exchange.respond(503, TEXT, f'{reason}\n'.encode())
--- a/packages/adapters/foxtaildale_adapters/engines.py
+++ b/packages/adapters/foxtaildale_adapters/engines.py
@@ -1,8 +1,8 @@
-"""Model engines over HTTP; `backends` describes the interface.
+"""HTTP client of the model engines; `backends` describes the interface.
 
-Short calls share kept connections. A prefill or a transfer may take long and a
-stream lasts as long as its answer, so each of these takes a connection of its
-own: when it is closed the engine notices, and no other request suffers.
+Short calls reuse idle connections. A prefill or a transfer may take long, and a
+stream lasts as long as its response, so each of these uses a connection of its
+own: closing it notifies the engine and affects no other request.
 """
 
 import contextlib
@@ -17,17 +17,20 @@
 from foxtaildale_adapters import events
 from foxtaildale_adapters import exchange
 
-# Bound on the short calls: cancel, load, holdings, cache, orders; seconds.
+# Timeout of the short calls: cancel, load, holdings, cache, orders; seconds.
 SHORT_S: Final = 2.0
 
 _HEADERS: Final = {'Content-Type': 'application/json'}
-_ONCE: Final = {'Content-Type': 'application/json', 'Connection': 'close'}
+_CLOSE_HEADERS: Final = {
+    'Content-Type': 'application/json',
+    'Connection': 'close',
+}
 
 _T = TypeVar('_T')
 
 
 class Engines:
-    """Implements `ports.Engines` and `ports.Orders`."""
+    """Implements `ports.Engines` and `ports.Orders` over HTTP."""
 
     __slots__ = ('_exchange', '_short_s')
 
@@ -39,7 +42,7 @@
         self, address: str, req: backends.PrefillReq, timeout_s: float
     ) -> backends.PrefillReply:
         """Runs a prefill and returns when its result is ready."""
-        return self._long(
+        return self._call_on_new_connection(
             address, '/prefill', req, backends.PrefillReply, timeout_s
         )
 
@@ -47,14 +50,14 @@
         self, address: str, req: backends.ImportReq, timeout_s: float
     ) -> backends.ImportReply:
         """Transfers a KV cache to the decode worker at `address`."""
-        return self._long(
+        return self._call_on_new_connection(
             address, '/import', req, backends.ImportReply, timeout_s
         )
 
     def decode(
         self, address: str, req: backends.DecodeReq, silence_s: float
     ) -> events.Stream:
-        """Starts a stream; fails when silent for `silence_s`."""
+        """Starts a stream that fails if no data arrives for `silence_s`."""
         data = msgspec.json.encode(req)
         return self._stream(address, 'POST', '/decode', data, silence_s)
 
@@ -66,7 +69,7 @@
         holder: str,
         silence_s: float,
     ) -> events.Stream:
-        """Reads a stream on from a position."""
+        """Resumes a stream from a position."""
         path = (
             f'/streams/{exchange.quote(stream)}'
             f'?from={position}&holder={exchange.quote(holder)}'
@@ -76,43 +79,41 @@
     def cancel(
         self, address: str, req: backends.CancelReq
     ) -> backends.CancelReply:
-        """Frees what is held."""
-        return self._short(
-            address, 'POST', '/cancel', backends.CancelReply, req
-        )
+        """Cancels a request and frees the resources reserved for it."""
+        return self._call(address, 'POST', '/cancel', backends.CancelReply, req)
 
     def load(self, address: str) -> backends.Load:
-        """Reads the lagging load report."""
-        return self._short(address, 'GET', '/load', backends.Load)
+        """Reads the load report, which lags behind the actual load."""
+        return self._call(address, 'GET', '/load', backends.Load)
 
     def holdings(self, address: str) -> backends.Holdings:
-        """Reads what the engine holds."""
-        return self._short(address, 'GET', '/holdings', backends.Holdings)
+        """Reads the requests and resources that the engine holds."""
+        return self._call(address, 'GET', '/holdings', backends.Holdings)
 
     def cache_events(self, address: str, after: int) -> backends.CacheEvents:
-        """Reads cache events after a number."""
+        """Reads the cache events after sequence number `after`."""
         path = f'/cache?after={after}'
-        return self._short(address, 'GET', path, backends.CacheEvents)
+        return self._call(address, 'GET', path, backends.CacheEvents)
 
     def order(self, address: str, order: backends.Order) -> backends.OrderReply:
-        """Orders a wanted state."""
-        return self._short(
+        """Orders the backend server to change to the wanted state."""
+        return self._call(
             address, 'POST', '/orders', backends.OrderReply, order
         )
 
     def observe(self, address: str) -> backends.Observed:
-        """Reads what the backend server is in fact set to."""
-        return self._short(address, 'GET', '/orders', backends.Observed)
+        """Reads the actual state of the backend server."""
+        return self._call(address, 'GET', '/orders', backends.Observed)
 
-    def _short(
+    def _call(
         self,
         address: str,
         method: str,
         path: str,
-        kind: type[_T],
+        reply_type: type[_T],
         req: msgspec.Struct | None = None,
     ) -> _T:
-        answer = self._exchange.send(
+        response = self._exchange.send(
             address,
             method,
             path,
@@ -120,26 +121,26 @@
             body=None if req is None else msgspec.json.encode(req),
             headers=_HEADERS,
         )
-        return _decode(answer, kind)
+        return _decode(response, reply_type)
 
-    def _long(
+    def _call_on_new_connection(
         self,
         address: str,
         path: str,
         req: msgspec.Struct,
-        kind: type[_T],
+        reply_type: type[_T],
         timeout_s: float,
     ) -> _T:
-        answer = self._exchange.send(
+        response = self._exchange.send(
             address,
             'POST',
             path,
             timeout_s=timeout_s,
             body=msgspec.json.encode(req),
-            headers=_ONCE,
+            headers=_CLOSE_HEADERS,
             reuse=False,
         )
-        return _decode(answer, kind)
+        return _decode(response, reply_type)
 
     def _stream(
         self,
@@ -156,30 +157,34 @@
             connect_s=exchange.CONNECT_S,
             silence_s=silence_s,
             body=data,
-            headers=_ONCE,
+            headers=_CLOSE_HEADERS,
         )
         if resp.status == 200:
             return events.Stream(body.Body(resp, silence_s), silence_s)
         with contextlib.closing(resp):
-            raise _fault(exchange.Answer(resp.status, exchange.read(resp)))
+            raise _error(exchange.Answer(resp.status, exchange.read(resp)))
 
 
-def _decode(answer: exchange.Answer, kind: type[_T]) -> _T:
-    if answer.status != 200:
-        raise _fault(answer)
+def _decode(response: exchange.Answer, reply_type: type[_T]) -> _T:
+    if response.status != 200:
+        raise _error(response)
     try:
-        return msgspec.json.decode(answer.body, type=kind)
+        return msgspec.json.decode(response.body, type=reply_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        # Something answered, so the request may have had its effect.
+        # A response arrived, so the request may have been executed.
         raise errors.NoReplyError(f'not understood: {exc}') from exc
 
 
-def _fault(answer: exchange.Answer) -> errors.PortError:
-    """Returns the error for an answer that is no success."""
-    if answer.status >= 400:
+def _error(response: exchange.Answer) -> errors.PortError:
+    """Returns the error for an unsuccessful response."""
+    if response.status >= 400:
         try:
-            fault = msgspec.json.decode(answer.body, type=backends.BackendError)
-            return errors.RejectedError(fault.code, fault.message)
+            backend_error = msgspec.json.decode(
+                response.body, type=backends.BackendError
+            )
+            return errors.RejectedError(
+                backend_error.code, backend_error.message
+            )
         except (msgspec.DecodeError, UnicodeDecodeError):
             pass
     return errors.NoReplyError(f'status {answer.status} without a fault')
--- a/packages/adapters/foxtaildale_adapters/exchange.py
+++ b/packages/adapters/foxtaildale_adapters/exchange.py
@@ -1,13 +1,14 @@
-"""One HTTP request and its answer, with errors that tell what was sent.
+"""HTTP request and response, with errors that tell whether data was sent.
 
-The decisions need one thing of a failed request: may the other side have
-acted on it? So everything that `urllib3` can raise is sorted into
-`errors.UnreachableError` (nothing was sent) and `errors.AnswerLostError`
-(something was, or may have been). In doubt it is the second.
+After a failed request, callers must know whether the server may have executed
+it. Each exception of `urllib3` is therefore converted to
+`errors.UnreachableError` (nothing was sent) or `errors.NoReplyError` (data was
+or may have been sent). Uncertain cases become `errors.NoReplyError`.
 
-Nothing is repeated here. A connection that was silent past its timeout is
-closed, and so are the idle ones to the same address: a middlebox that lost
-one has often lost them all. The next request opens a new connection.
+This module retries nothing. After a timeout the connection is closed, and so
+are the idle connections to the same address, since a middlebox that lost the
+state of one connection has often lost that of all. The next request opens a new
+connection.
 """
 
 from collections.abc import Mapping
@@ -24,23 +25,23 @@
 from foxtaildale import errors
 from foxtaildale import ports
 
-# Bound on connecting, seconds.
+# Maximum timeout for opening a connection, seconds.
 CONNECT_S: Final = 1.0
-# Longest answer that is held in memory, bytes.
+# Maximum size of a response body, which is read into memory; bytes.
 MAX_BODY: Final = 16 * 1024 * 1024
-# An idle connection older than this is not used again, seconds: the other
-# side closes idle ones too, and a request that meets the close is lost.
+# Maximum idle time of the connections that are reused, seconds. The server also
+# closes idle connections, and a request sent on a closing connection is lost.
 IDLE_S: Final = 4.0
-# Addresses whose idle connections are kept.
+# Maximum number of addresses with idle connections.
 MAX_POOLS: Final = 256
-# Idle connections kept for one address.
+# Maximum number of idle connections to one address.
 MAX_IDLE: Final = 16
 
 _READ_BYTES: Final = 65536
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """Status, body and headers of an HTTP answer."""
+    """Status, body and headers of an HTTP response."""
 
     status: int
     body: bytes
@@ -48,11 +49,11 @@
 
 
 class TimeoutLostError(errors.NoReplyError):
-    """The answer was lost by silence, not by a closed connection."""
+    """The response timed out; the connection was not closed by the server."""
 
 
 class SilentError(errors.UnreachableError):
-    """The connection could not be opened in time."""
+    """Opening the connection timed out."""
 
 
 class _Pool:
@@ -73,7 +74,7 @@
     def __init__(self, clock: ports.Clock = time.monotonic) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        # In order of first use, for dropping the oldest.
+        # In order of creation; the oldest pool is evicted first.
         self._pools: dict[str, _Pool] = {}
 
     def send(
@@ -88,27 +89,29 @@
         headers: Mapping[str, str] | None = None,
         reuse: bool = True,
     ) -> Answer:
-        """Sends one request and reads the whole answer.
+        """Sends one request and reads the complete response.
 
         Args:
-            address: IP number and port.
+            address: IP address and port.
             method: HTTP method.
-            path: Path and query, quoted already.
-            timeout_s: Bound on the head of the answer, and on each silence
-                within its body.
-            whole_s: Bound on the whole body; as long as one silence if it is
-                not given.
+            path: Path and query, already quoted.
+            timeout_s: Timeout for the head of the response and for each read of
+                its body, seconds.
+            whole_s: Timeout for the complete body, seconds; `timeout_s` if
+                None.
             body: Bytes to send.
             headers: Headers to send.
-            reuse: Whether an idle connection may be used. One that closes
-                just then leaves it unknown whether the request arrived, so
-                what must not be repeated takes a new one.
+            reuse: Whether an idle connection may be used. If an idle connection
+                closes during the send, it is unknown whether the request
+                arrived, so a request that must not be repeated uses a new
+                connection.
 
         Raises:
             errors.UnreachableError: Nothing was sent.
-            errors.AnswerLostError: Sent, and no whole answer came.
+            errors.NoReplyError: The request was or may have been sent, but no
+                complete response arrived.
         """
-        conns = self._take(address) if reuse else _connect(address, 1)
+        conns = self._get_pool(address) if reuse else _connect(address, 1)
         try:
             resp = request(
                 conns,
@@ -129,7 +132,7 @@
             else:
                 resp.close()
         except (TimeoutLostError, SilentError):
-            self._drop(address)
+            self._discard_pool(address)
             raise
         return Answer(resp.status, data, tuple(resp.headers.items()))
 
@@ -143,12 +146,12 @@
             chunks.append(chunk)
             size += len(chunk)
             if size > MAX_BODY:
-                raise errors.NoReplyError(f'answer above {MAX_BODY} bytes')
-            # A sender that trickles never trips the socket's own timeout.
+                raise errors.NoReplyError(f'response exceeds {MAX_BODY} bytes')
+            # The socket's timeout doesn't limit a server that sends slowly.
             if self._clock() > deadline:
-                raise TimeoutLostError('answer not whole in time')
+                raise TimeoutLostError('response not complete in time')
 
-    def _take(self, address: str) -> urllib3.HTTPConnectionPool:
+    def _get_pool(self, address: str) -> urllib3.HTTPConnectionPool:
         now = self._clock()
         with self._lock:
             pool = self._pools.get(address)
@@ -161,8 +164,8 @@
             pool.used_at = now
             return pool.connections
 
-    def _drop(self, address: str) -> None:
-        # The pool closes its idle connections when nobody refers to it.
+    def _discard_pool(self, address: str) -> None:
+        # The pool closes its idle connections once it is no longer referenced.
         with self._lock:
             self._pools.pop(address, None)
 
@@ -177,15 +180,16 @@
     body: bytes | None = None,
     headers: Mapping[str, str] | None = None,
 ) -> urllib3.BaseHTTPResponse:
-    """Sends a request and reads the head of its answer.
+    """Sends a request and reads the head of its response.
 
     Raises:
         errors.UnreachableError: Nothing was sent.
-        errors.AnswerLostError: Sent, and no head of an answer came.
+        errors.NoReplyError: The request was or may have been sent, but no
+            response head arrived.
     """
     for value in (headers or {}).values():
         if not (value.isascii() and value.isprintable()):
-            raise errors.UnreachableError('header value not printable ASCII')
+            raise errors.UnreachableError('header value is not printable ASCII')
     try:
         return conns.urlopen(
             method,
@@ -199,7 +203,8 @@
             decode_content=False,
         )
     except (
-        # Also a ConnectTimeoutError, though it means refused.
+        # A subclass of ConnectTimeoutError, although the connection was
+        # refused.
         urllib3.exceptions.NewConnectionError,
         urllib3.exceptions.ClosedPoolError,
         urllib3.exceptions.EmptyPoolError,
@@ -215,10 +220,11 @@
 
 
 def read(resp: urllib3.BaseHTTPResponse) -> bytes:
-    """Reads what has come of an answer's body; empty at its end.
+    """Reads the available part of a response body; empty at its end.
 
     Raises:
-        errors.AnswerLostError: The body broke off or fell silent.
+        errors.NoReplyError: The connection closed within the body, or the read
+            timed out.
     """
     try:
         return resp.read1(_READ_BYTES)
@@ -230,40 +236,40 @@
         ValueError,
         AttributeError,
     ) as exc:
-        # AttributeError: the response was closed by another thread.
+        # AttributeError: another thread closed the response.
         raise errors.NoReplyError(str(exc)) from exc
 
 
-class _Unchunked(urllib3.connection.HTTPConnection):
-    """Speaks HTTP/1.0, to which a server may not answer in chunks.
+class _Http10Connection(urllib3.connection.HTTPConnection):
+    """HTTP/1.0 connection, on which a server may not send a chunked body.
 
-    A stream of tokens would pay for two more reads of a line with each.
+    In a chunked stream, each token would need two additional line reads.
     """
 
     _http_vsn = 10
     _http_vsn_str = 'HTTP/1.0'
 
 
-class _UnchunkedPool(urllib3.HTTPConnectionPool):
-    ConnectionCls = _Unchunked
+class _Http10Pool(urllib3.HTTPConnectionPool):
+    ConnectionCls = _Http10Connection
 
 
 def connect(address: str) -> urllib3.HTTPConnectionPool:
-    """Returns a pool for one stream, whose body ends with its connection."""
-    return _connect(address, 1, _UnchunkedPool)
+    """Returns a pool for one stream, whose body ends when the server closes."""
+    return _connect(address, 1, _Http10Pool)
 
 
 def quote(text: str) -> str:
-    """Returns `text` as one segment of a path."""
+    """Returns `text` quoted as one path segment."""
     return urllib.parse.quote(text, safe='')
 
 
 def _connect(
     address: str,
     maxsize: int,
-    kind: type[urllib3.HTTPConnectionPool] = urllib3.HTTPConnectionPool,
+    pool_class: type[urllib3.HTTPConnectionPool] = urllib3.HTTPConnectionPool,
 ) -> urllib3.HTTPConnectionPool:
     host, _, port = address.rpartition(':')
     if not host or not port.isdecimal() or int(port) > 65535:
         raise errors.UnreachableError(f'not an address: {address!r}')
-    return kind(host, int(port), maxsize=maxsize, block=False)
+    return pool_class(host, int(port), maxsize=maxsize, block=False)
--- a/packages/adapters/foxtaildale_adapters/idle.py
+++ b/packages/adapters/foxtaildale_adapters/idle.py
@@ -1,12 +1,14 @@
-"""Connections to backend servers that served a request and may serve another.
-
-Connecting costs an engine a slot for a moment and the caller a round trip; on a
-small site half of all sends can do without. What a kept connection may bring is
-kept small: the other side closes idle ones, so a connection rests for less than
-its timeout; bytes that follow an answer would pass for the next one, so it rests
-for a moment first and is dropped if anything came. What remains, one that falls
-silent or closes just then, costs a request that may be sent again a moment, and
-no other may use one.
+"""Idle connections to backend servers, for reuse by later requests.
+
+A new connection briefly occupies a slot of the engine and costs the caller a
+round trip; on a small site half of all sends can reuse a connection. Reuse has
+two risks, and both are limited. The server closes idle connections, so a
+connection is reused only well within the server's idle timeout. Bytes that the
+server sends after a response would be taken for the next response, so a
+connection is reused only after a minimum idle time, and closed if it received
+anything. A connection may still close or stop responding just when it is
+reused. That delays a request that may be sent again; other requests must not
+reuse a connection.
 """
 
 import contextlib
@@ -18,62 +20,74 @@
 
 from foxtaildale import ports
 
-# Time for which a connection must have rested, and may at most, seconds. Late
-# bytes behind an answer come within some milliseconds of it.
+# Minimum and maximum idle time of a connection that is reused, seconds. Surplus
+# bytes after a response arrive within some milliseconds of it.
 REST_S: Final = 0.03
 MOST_S: Final = 3.0
-# Part of the idle timeout that a server tells in which a connection is used.
+# Fraction of the idle timeout reported by a server in which a connection is
+# reused.
 TOLD_PART: Final = 0.5
-# Connections kept for one address: what a server accepts is shared by all entry
-# VMs, and a request that finds none opens one.
+# Maximum number of idle connections to one address. All entry VMs share the
+# connections that a server accepts, and a request without an idle connection
+# opens a new one.
 MOST_EACH: Final = 4
-# Addresses remembered; those used last.
+# Maximum number of addresses with idle connections; the least recently used
+# address is evicted.
 MOST_ADDRESSES: Final = 256
 
 
-class _Kept:
-    __slots__ = ('conn', 'since', 'until')
+class _IdleConnection:
+    __slots__ = ('conn', 'idle_since', 'usable_until')
 
     def __init__(
         self,
         conn: urllib3.connection.HTTPConnection,
-        since: float,
-        until: float,
+        idle_since: float,
+        usable_until: float,
     ) -> None:
         self.conn = conn
-        self.since = since
-        self.until = until
+        self.idle_since = idle_since
+        self.usable_until = usable_until
 
 
 class Idle:
     """Idle connections by address; safe for concurrent use."""
 
-    __slots__ = ('_clock', '_kept', '_lock')
+    __slots__ = ('_clock', '_idle', '_lock')
 
     def __init__(self, clock: ports.Clock) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        # Those that rested least at the end.
-        self._kept: dict[str, list[_Kept]] = {}
+        # For each address in the order of `idle_since`.
+        self._idle: dict[str, list[_IdleConnection]] = {}
 
     def take(self, address: str) -> urllib3.connection.HTTPConnection | None:
-        """Returns a connection that may serve a request; None if none may."""
+        """Removes and returns a reusable connection; None if there is none."""
         now = self._clock()
         with self._lock:
-            known = self._kept.get(address, [])
-            rested = [kept for kept in known if now - kept.since >= REST_S]
-            fresh = [kept for kept in known if now - kept.since < REST_S]
-            self._kept[address] = fresh
-        found = None
-        # The one that rested least was last seen alive.
-        for kept in reversed(rested):
-            if found is None and now < kept.until and _is_quiet(kept.conn):
-                found = kept
-            elif now >= kept.until or found is None:
-                kept.conn.close()
+            entries = self._idle.get(address, [])
+            candidates = [
+                entry for entry in entries if now - entry.idle_since >= REST_S
+            ]
+            too_recent = [
+                entry for entry in entries if now - entry.idle_since < REST_S
+            ]
+            self._idle[address] = too_recent
+        reusable = None
+        # The connection with the shortest idle time is the least likely to be
+        # closed.
+        for entry in reversed(candidates):
+            if (
+                reusable is None
+                and now < entry.usable_until
+                and _is_quiet(entry.conn)
+            ):
+                reusable = entry
+            elif now >= entry.usable_until or reusable is None:
+                entry.conn.close()
             else:
-                self._put_back(address, kept)
-        return found.conn if found is not None else None
+                self._add(address, entry)
+        return reusable.conn if reusable is not None else None
 
     def put(
         self,
@@ -81,41 +95,45 @@
         conn: urllib3.connection.HTTPConnection,
         told_s: float | None,
     ) -> None:
-        """Keeps a connection, or closes it if there are enough.
+        """Stores an idle connection, or closes it if the address has enough.
 
         Args:
-            address: Of the server.
-            conn: A connection on which an answer was read to its end.
-            told_s: For how long the server keeps it, seconds; None if that
-                is not known.
+            address: Address of the server.
+            conn: Connection whose last response was read completely.
+            told_s: Idle timeout that the server reported, seconds; None if it
+                reported none.
         """
         now = self._clock()
-        span_s = MOST_S if told_s is None else min(MOST_S, TOLD_PART * told_s)
-        self._put_back(address, _Kept(conn, now, now + span_s))
+        max_idle_s = (
+            MOST_S if told_s is None else min(MOST_S, TOLD_PART * told_s)
+        )
+        self._add(address, _IdleConnection(conn, now, now + max_idle_s))
 
     def close(self) -> None:
-        """Closes all."""
+        """Closes all idle connections."""
         with self._lock:
-            dropped = [kept for known in self._kept.values() for kept in known]
-            self._kept.clear()
-        for kept in dropped:
-            kept.conn.close()
-
-    def _put_back(self, address: str, kept: _Kept) -> None:
+            evicted = [
+                entry for entries in self._idle.values() for entry in entries
+            ]
+            self._idle.clear()
+        for entry in evicted:
+            entry.conn.close()
+
+    def _add(self, address: str, entry: _IdleConnection) -> None:
         with self._lock:
-            known = self._kept.pop(address, [])
-            known.append(kept)
-            known.sort(key=lambda item: item.since)
-            dropped = known[:-MOST_EACH]
-            self._kept[address] = known[-MOST_EACH:]
-            if len(self._kept) > MOST_ADDRESSES:
-                dropped += self._kept.pop(next(iter(self._kept)))
-        for item in dropped:
+            entries = self._idle.pop(address, [])
+            entries.append(entry)
+            entries.sort(key=lambda item: item.idle_since)
+            evicted = entries[:-MOST_EACH]
+            self._idle[address] = entries[-MOST_EACH:]
+            if len(self._idle) > MOST_ADDRESSES:
+                evicted += self._idle.pop(next(iter(self._idle)))
+        for item in evicted:
             item.conn.close()
 
 
 def _is_quiet(conn: urllib3.connection.HTTPConnection) -> bool:
-    """Whether the other side neither sent anything nor closed."""
+    """Returns whether the server neither sent data nor closed."""
     if conn.sock is None:
         return False
     poll = select.poll()
--- a/packages/adapters/foxtaildale_adapters/logs.py
+++ b/packages/adapters/foxtaildale_adapters/logs.py
@@ -1,10 +1,11 @@
 """Logs as JSON lines through absl.logging.
 
-On standard error, written as they come; or, for processes under load, on
-standard output by a thread of its own (`setup_bounded`).
+`setup` writes each line to standard error in the thread that logs it.
+`setup_bounded`, for processes under load, writes to standard output from a
+separate thread and limits the number of lines.
 
 Every line has `at` (seconds since the epoch), `level`, `role`, `entry_vm` and
-`event`; fields of the event follow. Lines of libraries come in the same form.
+`event`; the fields of the event follow. Lines of libraries have the same format.
 """
 
 import logging
@@ -20,17 +21,17 @@
 from absl import logging as absl_logging
 import msgspec
 
-# Fields of every line.
-_OWN: Final = ('at', 'level', 'role', 'entry_vm', 'event')
-# Set on a record by `event`; a library's record has none.
-_FIELDS: Final = 'foxtaildale_fields'
+# Fields that every line has.
+_COMMON_FIELDS: Final = ('at', 'level', 'role', 'entry_vm', 'event')
+# Attribute that `event` sets on a log record; records of libraries lack it.
+_FIELDS_ATTRIBUTE: Final = 'foxtaildale_fields'
 
 
-# Bounds of a process under load: lines a second, beyond which they are counted
-# only, lines that wait for the writer, and characters of one line. A request
-# has four to six lines of some 250 characters and the smallest VM serves 40
-# requests a second at its best, so nothing is left out in ordinary times, and
-# the most is 100 KB a second.
+# Limits of a process under load: lines per second, above which lines are only
+# counted; lines queued for the writer; and characters per line. A request logs
+# four to six lines of about 250 characters and the smallest VM serves at most
+# 40 requests per second, so no line is dropped under normal load, and the
+# output is at most 100 KB per second.
 LINES_PER_S: Final = 400
 WAITING_LINES: Final = 2000
 LINE_CHARS: Final = 4000
@@ -38,55 +39,58 @@
 
 
 class _Bounded(logging.handlers.QueueHandler):
-    """Hands records to the writer; never waits for it.
+    """Queues records for the writer without ever blocking.
 
-    A reader of standard output that stops reading would else stop every
-    thread that has something to log, and with it every request.
+    Otherwise, if the reader of standard output stopped reading, every thread
+    that logs would block, and with it every request.
     """
 
-    def __init__(self, waiting: queue.Queue[Any]) -> None:
-        super().__init__(waiting)
-        self._guard = threading.Lock()
-        self._window_at = 0.0
-        self._lines = 0
-        self._left_out = 0
+    def __init__(self, pending: queue.Queue[Any]) -> None:
+        super().__init__(pending)
+        self._lock = threading.Lock()
+        self._window_started_at = 0.0
+        self._line_count = 0
+        self._dropped = 0
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        """Leaves the work of formatting to the writer."""
+        """Returns the record as it is; the writer formats it."""
         return record
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Queues a record, or counts it."""
-        with self._guard:
+        """Queues a record, or drops and counts it above the limits."""
+        with self._lock:
             now = time.monotonic()
-            told = 0
-            if now - self._window_at >= _WINDOW_S:
-                self._window_at = now
-                self._lines = 0
-                told, self._left_out = self._left_out, 0
-            self._lines += 1
-            if self._lines > LINES_PER_S and record.levelno < logging.ERROR:
-                self._left_out += 1
+            unreported = 0
+            if now - self._window_started_at >= _WINDOW_S:
+                self._window_started_at = now
+                self._line_count = 0
+                unreported, self._dropped = self._dropped, 0
+            self._line_count += 1
+            if (
+                self._line_count > LINES_PER_S
+                and record.levelno < logging.ERROR
+            ):
+                self._dropped += 1
                 return
         try:
-            if told:
-                self.queue.put_nowait(_left_out(told))
+            if unreported:
+                self.queue.put_nowait(_dropped_lines_record(unreported))
             self.queue.put_nowait(record)
         except queue.Full:
-            with self._guard:
-                self._left_out += 1 + told
+            with self._lock:
+                self._dropped += 1 + unreported
 
 
-def _left_out(count: int) -> logging.LogRecord:
+def _dropped_lines_record(count: int) -> logging.LogRecord:
     record = logging.LogRecord(
         'absl', logging.WARNING, '', 0, 'log lines left out', None, None
     )
-    setattr(record, _FIELDS, {'count': count})
+    setattr(record, _FIELDS_ATTRIBUTE, {'count': count})
     return record
 
 
 class _Formatter(logging.Formatter):
-    """Turns a record into one line of JSON."""
+    """Formats a record as one line of JSON."""
 
     def __init__(self, role: str, entry_vm: str) -> None:
         super().__init__()
@@ -101,51 +105,52 @@
             'entry_vm': self._entry_vm,
             'event': record.getMessage(),
         }
-        for name, value in getattr(record, _FIELDS, {}).items():
-            # A field never hides one of the line's own.
+        for name, value in getattr(record, _FIELDS_ATTRIBUTE, {}).items():
+            # A field of an event never replaces a field of every line.
             line.setdefault(name, value)
         if record.exc_info:
             line.setdefault('exc', self.formatException(record.exc_info))
         text = msgspec.json.encode(line, enc_hook=repr).decode()
         if len(text) <= LINE_CHARS:
             return text
-        short = {name: line[name] for name in _OWN}
-        short['cut'] = text[: LINE_CHARS // 2]
-        return msgspec.json.encode(short, enc_hook=repr).decode()
+        truncated = {name: line[name] for name in _COMMON_FIELDS}
+        truncated['cut'] = text[: LINE_CHARS // 2]
+        return msgspec.json.encode(truncated, enc_hook=repr).decode()
 
 
 def setup(role: str, entry_vm: str, level: str) -> None:
     """Directs all logs of the process to standard error.
 
     Args:
-        role: Role of the process, for every line.
-        entry_vm: Name of the VM, for every line.
+        role: Role of the process, written to every line.
+        entry_vm: Name of the VM, written to every line.
         level: Lowest severity that is logged: debug, info, warning, error.
     """
     if not flags.FLAGS.is_parsed():
-        # Else the library writes a line of plain text about it.
+        # Otherwise absl writes a warning as a line of plain text.
         flags.FLAGS.mark_as_parsed()
     flags.FLAGS['logtostderr'].value = True
     absl_logging.use_absl_handler()
     absl_logging.get_absl_handler().setFormatter(_Formatter(role, entry_vm))
-    # By name: absl's numbers are not those of the standard library.
+    # The level is passed by name, since absl's numbers differ from those of
+    # the standard library.
     absl_logging.set_verbosity(level)
 
 
 def setup_bounded(role: str, entry_vm: str, level: str) -> None:
-    """Directs all logs of the process to standard output, within bounds.
+    """Directs all logs of the process to standard output, within limits.
 
     Args:
-        role: Role of the process, for every line.
-        entry_vm: Name of the VM, for every line.
+        role: Role of the process, written to every line.
+        entry_vm: Name of the VM, written to every line.
         level: Lowest severity that is logged.
     """
     setup(role, entry_vm, level)
-    waiting: queue.Queue[Any] = queue.Queue(WAITING_LINES)
-    out = logging.StreamHandler(sys.stdout)
-    out.setFormatter(_Formatter(role, entry_vm))
-    logging.getLogger().handlers[:] = [_Bounded(waiting)]
-    listener = logging.handlers.QueueListener(waiting, out)
+    pending: queue.Queue[Any] = queue.Queue(WAITING_LINES)
+    handler = logging.StreamHandler(sys.stdout)
+    handler.setFormatter(_Formatter(role, entry_vm))
+    logging.getLogger().handlers[:] = [_Bounded(pending)]
+    listener = logging.handlers.QueueListener(pending, handler)
     listener.start()
 
 
@@ -154,9 +159,10 @@
 
     Args:
         level: One of the levels of `logging`.
-        name: What happened; a short constant text, with no figures in it.
-        **fields: Figures and names; what is no JSON is shown by its repr. An
-            `exc` field that is an exception brings its traceback.
+        name: What happened; a short constant text without values.
+        **fields: Values of the event; a value that JSON can't represent is
+            written as its repr. If `exc` is an exception, its traceback is
+            logged.
     """
     logger = absl_logging.get_absl_logger()
     if not logger.isEnabledFor(level):
@@ -166,5 +172,7 @@
     if isinstance(exc, BaseException):
         del fields['exc']
         exc_info = (type(exc), exc, exc.__traceback__)
-    # The name is no format string.
-    logger.log(level, '%s', name, exc_info=exc_info, extra={_FIELDS: fields})
+    # The name is not a format string.
+    logger.log(
+        level, '%s', name, exc_info=exc_info, extra={_FIELDS_ATTRIBUTE: fields}
+    )
--- a/packages/adapters/foxtaildale_adapters/platform.py
+++ b/packages/adapters/foxtaildale_adapters/platform.py
@@ -4,8 +4,8 @@
     GET  /log/STREAM?from=N&limit=K -> msgpack [first, end, [[offset, data]]]
     GET  /vms          JSON of `values.Listing`
 
-A read of lapsed records is answered 410 with {"first": n}. 503 means that the
-store is down and did nothing.
+A read of expired records returns status 410 with {"first": n}. Status 503
+means that the store is down and did nothing.
 """
 
 from collections.abc import Sequence
@@ -22,7 +22,7 @@
 from foxtaildale_adapters import breaker
 from foxtaildale_adapters import exchange
 
-# How long calls fail at once after one was left without an answer, seconds.
+# Time in which calls fail without being sent, after a call timed out; seconds.
 HOLD_OFF_S: Final = 1.0
 
 
@@ -38,13 +38,13 @@
 
 _T = TypeVar('_T')
 
-_first: Final = msgspec.json.Decoder(_First)
-_batch: Final = msgspec.msgpack.Decoder(_Batch)
+_first_decoder: Final = msgspec.json.Decoder(_First)
+_batch_decoder: Final = msgspec.msgpack.Decoder(_Batch)
 _listing: Final = msgspec.json.Decoder(values.Listing)
 
 
 class Platform:
-    """Implements `ports.Log` and `ports.Directory`."""
+    """Implements `ports.Log` and `ports.Directory` over HTTP."""
 
     __slots__ = (
         '_address',
@@ -70,28 +70,31 @@
         self._lock = threading.Lock()
 
     def append(self, stream: str, records: Sequence[bytes]) -> int:
-        """Appends all records at once and returns the first one's offset."""
+        """Appends all records atomically; returns the offset of the first."""
         body = msgspec.msgpack.encode(list(records))
-        answer = self._send('POST', f'/log/{exchange.quote(stream)}', body)
-        return _decode(_first, answer.body).first
+        response = self._send('POST', f'/log/{exchange.quote(stream)}', body)
+        return _decode(_first_decoder, response.body).first
 
     def read(self, stream: str, offset: int, limit: int = 1000) -> ports.Batch:
-        """Reads from an offset.
+        """Reads up to `limit` records from an offset.
 
         Raises:
-            errors.LapsedError: The offset is older than what is kept.
+            errors.RecordsExpiredError: The record at the offset has expired.
         """
         path = f'/log/{exchange.quote(stream)}?from={offset}&limit={limit}'
-        answer = self._send('GET', path)
-        found = _decode(_batch, answer.body)
+        response = self._send('GET', path)
+        batch = _decode(_batch_decoder, response.body)
         return ports.Batch(
-            found.first,
-            found.end,
-            tuple(ports.Record(at, data) for at, data in found.records),
+            batch.first,
+            batch.end,
+            tuple(
+                ports.Record(record_offset, data)
+                for record_offset, data in batch.records
+            ),
         )
 
     def listing(self) -> values.Listing:
-        """Reads the list."""
+        """Reads the list of VMs."""
         return _decode(_listing, self._send('GET', '/vms').body)
 
     def _send(
@@ -101,7 +104,7 @@
             if not self._breaker.admits(self._clock()):
                 raise errors.UnreachableError('the platform is not answering')
         try:
-            answer = self._exchange.send(
+            response = self._exchange.send(
                 self._address,
                 method,
                 path,
@@ -113,24 +116,26 @@
                 self._breaker.timed_out(self._clock())
             raise
         except BaseException:
-            # Refused or cut at once: costs nobody a wait.
+            # A connection that was refused or closed at once delays no caller.
             with self._lock:
                 self._breaker.answered()
             raise
         with self._lock:
             self._breaker.answered()
-        _check(answer)
-        return answer
+        _check(response)
+        return response
 
 
-def _check(answer: exchange.Answer) -> None:
-    if answer.status == 200:
+def _check(response: exchange.Answer) -> None:
+    if response.status == 200:
         return
-    if answer.status == 503:
+    if response.status == 503:
         raise errors.RejectedError('down')
-    if answer.status == 410:
-        raise errors.RecordsExpiredError(_decode(_first, answer.body).first)
-    if 400 <= answer.status < 500:
+    if response.status == 410:
+        raise errors.RecordsExpiredError(
+            _decode(_first_decoder, response.body).first
+        )
+    if 400 <= response.status < 500:
         raise errors.RejectedError('bad-request', f'status {answer.status}')
     raise errors.NoReplyError(f'status {answer.status}')
 
@@ -142,5 +147,5 @@
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        # Something answered, so the request may have had its effect.
+        # A response arrived, so the request may have been executed.
         raise errors.NoReplyError(f'not understood: {exc}') from exc
--- a/packages/adapters/foxtaildale_adapters/wakes.py
+++ b/packages/adapters/foxtaildale_adapters/wakes.py
@@ -1,4 +1,4 @@
-"""Wakes a thread that waits in a poll, from any other thread."""
+"""Wakes a thread that is blocked in a poll, from any other thread."""
 
 import os
 
@@ -20,16 +20,16 @@
         return self._fd
 
     def set(self) -> None:
-        """Wakes the thread that polls."""
+        """Makes the descriptor readable, which wakes the polling thread."""
         os.eventfd_write(self._fd, 1)
 
     def clear(self) -> None:
-        """Forgets all earlier calls of `set`."""
+        """Resets the descriptor after any number of calls of `set`."""
         try:
             os.eventfd_read(self._fd)
         except BlockingIOError:
             pass
 
     def close(self) -> None:
-        """Gives the descriptor back."""
+        """Closes the descriptor."""
         os.close(self._fd)
