--- a/packages/adapters/foxtaildale_adapters/engines.py
+++ b/packages/adapters/foxtaildale_adapters/engines.py
@@ -187,4 +187,4 @@
             )
         except (msgspec.DecodeError, UnicodeDecodeError):
             pass
-    return errors.NoReplyError(f'status {answer.status} without a fault')
+    return errors.NoReplyError(f'status {response.status} without a fault')
--- a/packages/adapters/foxtaildale_adapters/httpd.py
+++ b/packages/adapters/foxtaildale_adapters/httpd.py
@@ -1,15 +1,16 @@
-"""Cheroot's request, connection, gateway and server, made strict.
-
-A connection waits in the library's selector until its caller sends something;
-then a worker thread reads one whole request, calls the handler, and puts the
-connection back. What is not a request of ours is answered with a typed JSON
-error where an answer is possible, and the connection is closed.
-
-Four things differ from the library's ways. A request must arrive whole within
-one deadline, since a limit for each read lets a slow sender hold a thread for
-good. A connection takes no thread before it has sent a byte. And when every
-thread is busy the next caller is told so at once instead of waiting unseen.
-Threads are started as requests need them, since most VMs never need many.
+"""Strict versions of Cheroot's request, connection, gateway and server.
+
+A connection waits in the library's selector until its caller sends data. A
+worker thread then reads one complete request, calls the handler, and returns
+the connection to the selector. An invalid request receives a typed JSON error,
+if a response is possible, and its connection is closed.
+
+The server differs from the library in four ways. A request must arrive
+completely within one deadline, since with a timeout per read a slow sender
+could occupy a thread indefinitely. A connection occupies no thread before it
+has sent a byte. When every thread is busy, further requests are refused at
+once instead of being queued without a reply. Threads are started on demand,
+since most VMs never need many.
 """
 
 from collections.abc import Callable
@@ -30,89 +31,97 @@
 from foxtaildale_adapters import incoming
 from foxtaildale_adapters import logs
 
-# Idle connections kept open.
+# Maximum number of idle connections that stay open.
 IDLE_CONNECTIONS: Final = 1000
-# Threads that a server starts with. A VM of a site of 78 serves four requests
-# a second of a second or two each; those that need more start them.
+# Number of threads that a server starts with. A VM of a site of 78 serves four
+# requests per second, each of which takes one or two seconds; further threads
+# are started on demand.
 FIRST_THREADS: Final = 8
-# Requests that may wait for a thread for a moment.
+# Maximum number of requests that wait for a thread.
 BURST: Final = 8
-# When a caller that met only busy threads should come back, seconds.
+# Delay after which a caller refused for busy threads should retry, seconds.
 BUSY_RETRY_S: Final = 1
-# How long unread input is thrown away before a close, seconds.
+# How long unread input is read and discarded before a close, seconds.
 LINGER_S: Final = 1.0
 _READ_BYTES: Final = 4096
-# Our own headers carry identities and limits of a request.
+# Prefix of the headers that carry identities and limits of a request.
 OWN_PREFIX: Final = b'Foxtaildale-'
 _HEX_DIGITS: Final = b'0123456789abcdefABCDEF'
 _STATUS_TOO_LARGE: Final = 413
 _STATUS_TIMEOUT: Final = 408
 
 
-# Headers whose repetition leaves open where the body ends or whose request it
-# is; two parties that choose differently see two different requests.
-_ONCE: Final = frozenset((b'Content-Length', b'Transfer-Encoding', b'Host'))
+# Headers that may occur only once. If they were repeated, the end of the body or
+# the target of the request would be ambiguous, and two parsers could read two
+# different requests.
+_UNIQUE_HEADERS: Final = frozenset(
+    (b'Content-Length', b'Transfer-Encoding', b'Host')
+)
 
 
-class _Headers(server.HeaderReader):
-    """Refuses heads that another parser would read otherwise."""
+class _HeaderReader(server.HeaderReader):
+    """Rejects request heads that another parser could read differently."""
 
     def __call__(
         self, rfile: files.Reader, hdict: dict[bytes, bytes] | None = None
     ) -> dict[bytes, bytes]:
-        found: dict[bytes, bytes] = {} if hdict is None else hdict
+        headers: dict[bytes, bytes] = {} if hdict is None else hdict
         size = 0
         while (line := rfile.readline()) != b'\r\n':
             size += len(line)
             if size > files.HEAD_BYTES:
-                raise ValueError('the head is too long')
+                raise ValueError('the request head is too long')
             if not line.endswith(b'\r\n'):
-                raise ValueError('a line of the head does not end in CRLF')
+                raise ValueError(
+                    'a line of the request head does not end in CRLF'
+                )
             name, colon, value = line.partition(b':')
             if not colon or not name or name.strip(b' \t') != name:
-                raise ValueError('a line of the head is not a header')
+                raise ValueError('a line of the request head is not a header')
             name, value = name.title(), value.strip()
-            if name not in found:
-                found[name] = value
-            elif name in _ONCE or name.startswith(OWN_PREFIX):
-                raise ValueError(f'header {name.decode("latin-1")} comes twice')
+            if name not in headers:
+                headers[name] = value
+            elif name in _UNIQUE_HEADERS or name.startswith(OWN_PREFIX):
+                raise ValueError(f'header {name.decode("latin-1")} is repeated')
             else:
-                found[name] += b', ' + value
-        return found
+                headers[name] += b', ' + value
+        return headers
 
 
 class _Request(server.HTTPRequest):
-    """Says with typed JSON what the library says with plain text."""
+    """Sends errors as typed JSON where the library sends plain text."""
 
-    header_reader = _Headers()
+    header_reader = _HeaderReader()
 
     def simple_response(self, status: str, msg: str = '') -> None:
         number = int(str(status)[:3])
         if number == _STATUS_TIMEOUT:
             self.refuse(codes.SLOW_REQUEST, limit_s=self.server.timeout)
         elif number == _STATUS_TOO_LARGE and 'headers' not in msg:
-            found = self.inheaders.get(b'Content-Length', b'').decode('latin-1')
-            self.too_large(found)
+            length = self.inheaders.get(b'Content-Length', b'').decode(
+                'latin-1'
+            )
+            self.too_large(length)
         else:
             text = f'{str(status)[4:]}: {msg}' if msg else str(status)[4:]
             self.refuse(codes.BAD_REQUEST, reason=text.rstrip('.'))
 
-    def too_large(self, found: str) -> None:
-        """Refuses a body, with the limit."""
+    def too_large(self, length: str) -> None:
+        """Refuses a body that is too large and reports the limit."""
         limit = self.server.max_request_body_size
         self.refuse(
-            codes.TOO_LARGE, found=found or f'over {limit}', limit=limit
+            codes.TOO_LARGE, found=length or f'over {limit}', limit=limit
         )
 
     def refuse(self, code: codes.Code, **figures: float | str) -> None:
-        """Sends an error and closes, throwing away what else is sent."""
+        """Sends an error, discards further input and closes the connection."""
         self.close_connection = True
         if self.sent_headers:
             return
         self.sent_headers = True
         self.conn.drop_input = True
-        names = b''.join(b'%b:\r\n' % name for name in self.inheaders)
-        sure = not incoming.has_identity(names)
+        header_lines = b''.join(b'%b:\r\n' % name for name in self.inheaders)
+        sure = not incoming.has_identity(header_lines)
         self.conn.answer(code, figures, sure=sure)
 
 
@@ -128,22 +137,22 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         hangups.keep_alive(sock)
         files.bound_sends(sock, http_server.timeout)
-        # False until it has been put with the idle ones once.
+        # Whether the connection was ever added to the idle connections.
         self.parked = False
         self.drop_input = False
 
     def communicate(self) -> bool:
         try:
             self.rfile.begin(self.server.read_s or self.server.timeout)
-            keep: bool = super().communicate()  # type: ignore[no-untyped-call]
-            return keep and not self.server.draining
+            keep_open: bool = super().communicate()  # type: ignore[no-untyped-call]
+            return keep_open and not self.server.draining
         finally:
             self.server.count(-1)
 
     def answer(
         self, code: codes.Code, figures: incoming.Figures, *, sure: bool
     ) -> None:
-        """Sends an error and nothing after it."""
+        """Sends an error as the last response of the connection."""
         retry_s = BUSY_RETRY_S if code is codes.ENTRY_BUSY else 0
         body = incoming.error_body(
             code, figures, self.server.entry_vm, retry_s, sure=sure
@@ -163,14 +172,14 @@
 
     def close(self) -> None:
         if self.drop_input:
-            self._drop_input()
+            self._discard_input()
         super().close()
 
-    def _drop_input(self) -> None:
-        """Reads on for a moment after an early error.
+    def _discard_input(self) -> None:
+        """Reads and discards input for a short time after an early error.
 
-        A close with unread input sends a reset, and the caller's system then
-        throws the error away before the caller has read it.
+        Closing a socket with unread input sends a reset, and the caller's
+        operating system then discards the error before the caller reads it.
         """
         try:
             self.socket.shutdown(socket.SHUT_WR)
@@ -181,11 +190,11 @@
             pass
 
 
-class _ChunkFile:
-    """Checks the size lines of a chunked body.
+class _ChunkReader:
+    """Validates the size lines of a chunked body.
 
-    The library's int() takes '-5' for the end of the body and '0x5' for a
-    size, so a broken body would pass for a whole one.
+    The library's int() accepts '-5' as the end of the body and '0x5' as a
+    size, so a malformed body would be accepted as complete.
     """
 
     __slots__ = ('_reader', 'read')
@@ -204,13 +213,13 @@
 
 
 class _Gateway(server.Gateway):
-    """Reads the body, calls the handler, and cuts what it left open."""
+    """Reads the body, calls the handler, and aborts unfinished responses."""
 
     req: _Request
 
     def respond(self) -> None:
         req = self.req
-        body = self._body()
+        body = self._read_body()
         if body is None:
             return
         exchange = incoming.Exchange(req, body, req.server.watcher)
@@ -227,9 +236,9 @@
             logs.event(logging.ERROR, 'handler failed', exc=exc)
         finally:
             exchange.end()
-            self._close(exchange)
+            self._finish_response(exchange)
 
-    def _close(self, exchange: incoming.Exchange) -> None:
+    def _finish_response(self, exchange: incoming.Exchange) -> None:
         if not exchange.started:
             code = codes.FAILED
             entry_vm = self.req.server.entry_vm
@@ -242,11 +251,15 @@
             exchange.cut()
             self.req.close_connection = True
 
-    def _body(self) -> bytes | None:
-        """Returns the whole body, or None after answering with an error."""
+    def _read_body(self) -> bytes | None:
+        """Returns the complete body, or None after sending an error."""
         req = self.req
         try:
-            return self._read_chunks() if req.chunked_read else self._read()
+            return (
+                self._read_chunked_body()
+                if req.chunked_read
+                else self._read_sized_body()
+            )
         except TimeoutError:
             req.refuse(codes.SLOW_REQUEST, limit_s=req.server.timeout)
         except cheroot_errors.MaxSizeExceeded:
@@ -260,9 +273,9 @@
             req.too_large('')
         return None
 
-    def _read(self) -> bytes:
+    def _read_sized_body(self) -> bytes:
         length = self.req.inheaders.get(b'Content-Length', b'0')
-        # The library's int() also takes '-1', which reads to the end.
+        # The library's int() also accepts '-1', which reads to the end.
         if not length.isdigit():
             raise ValueError('the Content-Length header is not a number')
         data: bytes = self.req.rfile.read()
@@ -272,61 +285,65 @@
             )
         return data
 
-    def _read_chunks(self) -> bytes:
+    def _read_chunked_body(self) -> bytes:
         if b'Content-Length' in self.req.inheaders:
-            raise ValueError('Content-Length and Transfer-Encoding exclude')
-        # Small reads: the library joins what a read takes chunk by chunk,
-        # which is quadratic in the size of the read.
-        parts = []
-        self.req.rfile.rfile = _ChunkFile(self.req.conn.rfile)
-        while part := self.req.rfile.read(_READ_BYTES):
-            parts.append(part)
+            raise ValueError(
+                'Content-Length and Transfer-Encoding exclude each other'
+            )
+        # The reads are small because the library concatenates the chunks of a
+        # read one by one, which is quadratic in the size of the read.
+        chunks = []
+        self.req.rfile.rfile = _ChunkReader(self.req.conn.rfile)
+        while chunk := self.req.rfile.read(_READ_BYTES):
+            chunks.append(chunk)
         self.req.rfile.rfile = self.req.conn.rfile
         for _ in self.req.rfile.read_trailer_lines():
             pass
-        # Whatever this caller takes for the end of a body, no second
-        # request is read behind it.
+        # No second request is read from this connection, since the caller
+        # might see the end of the body at another position.
         self.req.close_connection = True
-        return b''.join(parts)
+        return b''.join(chunks)
 
 
-class _Threads(threadpool.ThreadPool):
-    """The library's pool, which grows when every thread is busy.
+class _ThreadPool(threadpool.ThreadPool):
+    """Thread pool of the library that grows when every thread is busy.
 
-    Started at once, the 96 of each VM were 7,500 for 78 VMs, nearly all of them
-    idle. Those that were started stay: a burst comes again.
+    If all 96 threads of each VM were started at once, 78 VMs would have 7,500
+    threads, nearly all of them idle. Started threads are never stopped, since
+    bursts recur.
     """
 
     server: 'HttpServer'
-    # Of the library.
+    # Set by the library.
     _threads: list[threading.Thread]
     _spawn_worker: Callable[[], threading.Thread]
 
     def put(self, obj: _Connection) -> None:
-        """Queues a connection; called by the selector's thread alone."""
+        """Queues a connection; only the selector's thread calls this."""
         if len(self._threads) < min(self.max, self.server.busy):
-            self._add()
+            self._start_thread()
         super().put(obj)
 
-    def _add(self) -> None:
-        # Not the library's `grow`, which sleeps until the thread runs and
-        # would hold up every other connection meanwhile.
+    def _start_thread(self) -> None:
+        # The library's `grow` is not used: it sleeps until the thread runs,
+        # which would delay every other connection.
         try:
             self._threads.append(self._spawn_worker())
         except RuntimeError as exc:
-            # The request waits for one of the threads that there are.
+            # The request waits for one of the running threads.
             logs.event(logging.WARNING, 'thread not started', exc=exc)
 
 
 class HttpServer(server.HTTPServer):
-    """The library's server with our connections."""
+    """HTTP server of the library with strict connections."""
 
     # Set by the library.
     _connections: Any
 
     ConnectionClass = _Connection
     request_queue_size = 512
-    # After this the connections in use are shut down, seconds.
+    # Delay after which a closing server shuts down the connections in use,
+    # seconds.
     shutdown_timeout = 1
     keep_alive_conn_limit = IDLE_CONNECTIONS
     max_request_header_size = files.HEAD_BYTES
@@ -340,52 +357,54 @@
     ) -> None:
         super().__init__(address, _Gateway, server_name='foxtaildale')
         self.expiration_interval = look_s
-        first = min(FIRST_THREADS, threads)
-        self.requests = _Threads(self, min=first, max=threads)
+        initial_threads = min(FIRST_THREADS, threads)
+        self.requests = _ThreadPool(self, min=initial_threads, max=threads)
         self.handler = handler
         self.threads = threads
         self.entry_vm = ''
-        # Whether answers close their connections.
+        # Whether each response closes its connection.
         self.draining = False
         self.accepting = True
-        # Time for a request to arrive whole, seconds; 0: the idle timeout.
+        # Deadline for a request to arrive completely, seconds; 0 selects the
+        # idle timeout.
         self.read_s = 0.0
-        # Whether a caller that closed its sending side may still listen.
+        # Whether a caller that closed its sending side may still wait for its
+        # response.
         self.half_close = True
         self.watcher = hangups.Watcher(
             lambda exc: logs.event(logging.ERROR, 'watch failed', exc=exc)
         )
-        # Requests that a thread works on or that wait for one.
+        # Number of requests that a thread handles or that wait for a thread.
         self.busy = 0
         self.idle_again = threading.Condition()
 
     def count(self, change: int) -> None:
-        """Counts requests in progress."""
+        """Changes the number of requests in progress."""
         with self.idle_again:
             self.busy += change
             if not self.busy:
                 self.idle_again.notify_all()
 
     def process_conn(self, conn: _Connection) -> None:
-        """Parks a new connection; hands one that sent something on."""
+        """Adds a new connection to the selector; queues one that sent data."""
         if not conn.parked:
             conn.parked = True
             self._connections.put(conn)
             return
         if self.busy >= self.threads + BURST:
-            self._turn_away(conn)
+            self._reject_busy(conn)
             return
         self.count(1)
         self.requests.put(conn)
 
     def put_conn(self, conn: _Connection) -> None:
-        """Parks a connection again, unless the server closed meanwhile."""
+        """Returns a connection to the selector, unless the server closed."""
         try:
             super().put_conn(conn)
         except (ValueError, OSError, KeyError):
             conn.close()
 
-    def _turn_away(self, conn: _Connection) -> None:
+    def _reject_busy(self, conn: _Connection) -> None:
         head = conn.rfile.head()
         conn.answer(
             codes.ENTRY_BUSY,
@@ -395,13 +414,13 @@
         conn.close()
 
     def stop_accepting(self) -> None:
-        """Takes what the kernel has accepted already, then closes the port.
+        """Processes connections that the kernel accepted, then closes the port.
 
-        Closing at once would reset callers whose request is under way.
+        Closing at once would reset callers whose requests are in transit.
         """
         self.draining = True
-        # The attribute stays: the selector's thread may be about to use it,
-        # and the library passes over a closed socket, but not over None.
+        # The attribute is not set to None: the selector's thread may be about
+        # to use it, and the library ignores a closed socket, but not None.
         sock = self.socket
         self._connections._selector.unregister(sock.fileno())
         sock.setblocking(False)
@@ -412,5 +431,5 @@
     def error_log(
         self, msg: str = '', level: int = 20, traceback: bool = False
     ) -> None:
-        """Logs what the library has to say."""
+        """Logs a message of the library."""
         logs.event(level, 'http server', message=msg)
--- a/packages/adapters/foxtaildale_adapters/logs.py
+++ b/packages/adapters/foxtaildale_adapters/logs.py
@@ -48,7 +48,7 @@
     def __init__(self, pending: queue.Queue[Any]) -> None:
         super().__init__(pending)
         self._lock = threading.Lock()
-        self._window_started_at = 0.0
+        self._window_at = 0.0
         self._line_count = 0
         self._dropped = 0
 
@@ -61,8 +61,8 @@
         with self._lock:
             now = time.monotonic()
             unreported = 0
-            if now - self._window_started_at >= _WINDOW_S:
-                self._window_started_at = now
+            if now - self._window_at >= _WINDOW_S:
+                self._window_at = now
                 self._line_count = 0
                 unreported, self._dropped = self._dropped, 0
             self._line_count += 1
--- a/packages/adapters/foxtaildale_adapters/platform.py
+++ b/packages/adapters/foxtaildale_adapters/platform.py
@@ -136,8 +136,8 @@
             _decode(_first_decoder, response.body).first
         )
     if 400 <= response.status < 500:
-        raise errors.RejectedError('bad-request', f'status {answer.status}')
-    raise errors.NoReplyError(f'status {answer.status}')
+        raise errors.RejectedError('bad-request', f'status {response.status}')
+    raise errors.NoReplyError(f'status {response.status}')
 
 
 def _decode(
