--- a/packages/adapters/foxtaildale_adapters/httpd.py
+++ b/packages/adapters/foxtaildale_adapters/httpd.py
@@ -51,9 +51,9 @@
 _STATUS_TIMEOUT: Final = 408
 
 
-# Headers that may occur only once. If they were repeated, the end of the body or
-# the target of the request would be ambiguous, and two parsers could read two
-# different requests.
+# Headers that may occur only once. If they were repeated, the end of the body
+# or the target of the request would be ambiguous, and two parsers could read
+# two different requests.
 _UNIQUE_HEADERS: Final = frozenset(
     (b'Content-Length', b'Transfer-Encoding', b'Host')
 )
@@ -144,8 +144,8 @@
     def communicate(self) -> bool:
         try:
             self.rfile.begin(self.server.read_s or self.server.timeout)
-            keep_open: bool = super().communicate()  # type: ignore[no-untyped-call]
-            return keep_open and not self.server.draining
+            keep: bool = super().communicate()  # type: ignore[no-untyped-call]
+            return keep and not self.server.draining
         finally:
             self.server.count(-1)
 
--- a/packages/adapters/foxtaildale_adapters/idle.py
+++ b/packages/adapters/foxtaildale_adapters/idle.py
@@ -7,8 +7,8 @@
 server sends after a response would be taken for the next response, so a
 connection is reused only after a minimum idle time, and closed if it received
 anything. A connection may still close or stop responding just when it is
-reused. That delays a request that may be sent again; other requests must not
-reuse a connection.
+reused. This delays a request that may be sent again. A request that must not be
+sent twice therefore never reuses a connection.
 """
 
 import contextlib
@@ -58,7 +58,7 @@
     def __init__(self, clock: ports.Clock) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        # For each address in the order of `idle_since`.
+        # By address; each list is sorted by `idle_since`.
         self._idle: dict[str, list[_IdleConnection]] = {}
 
     def take(self, address: str) -> urllib3.connection.HTTPConnection | None:
--- a/packages/adapters/foxtaildale_adapters/logs.py
+++ b/packages/adapters/foxtaildale_adapters/logs.py
@@ -5,7 +5,8 @@
 separate thread and limits the number of lines.
 
 Every line has `at` (seconds since the epoch), `level`, `role`, `entry_vm` and
-`event`; the fields of the event follow. Lines of libraries have the same format.
+`event`; the fields of the event follow. Lines of libraries have the same
+format.
 """
 
 import logging
