--- a/packages/adapters/foxtaildale_adapters/engines.py
+++ b/packages/adapters/foxtaildale_adapters/engines.py
@@ -172,7 +172,7 @@
         return msgspec.json.decode(response.body, type=reply_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         # A response arrived, so the request may have been executed.
-        raise errors.NoReplyError(f'not understood: {exc}') from exc
+        raise errors.NoReplyError(f'response cannot be decoded: {exc}') from exc
 
 
 def _error(response: exchange.Answer) -> errors.PortError:
@@ -187,4 +187,6 @@
             )
         except (msgspec.DecodeError, UnicodeDecodeError):
             pass
-    return errors.NoReplyError(f'status {response.status} without a fault')
+    return errors.NoReplyError(
+        f'status {response.status} without an error body'
+    )
--- a/packages/adapters/foxtaildale_adapters/platform.py
+++ b/packages/adapters/foxtaildale_adapters/platform.py
@@ -148,4 +148,4 @@
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         # A response arrived, so the request may have been executed.
-        raise errors.NoReplyError(f'not understood: {exc}') from exc
+        raise errors.NoReplyError(f'response cannot be decoded: {exc}') from exc
