--- a/packages/adapters/foxtaildale_adapters/body.py
+++ b/packages/adapters/foxtaildale_adapters/body.py
@@ -1,9 +1,10 @@
-"""The body of a long answer, read block by block as it comes.
+"""The body of a streamed response, read block by block.
 
-The first block is read through `urllib3`, which may hold bytes that came with
-the head. Where the body ends with its connection, all further ones are received
-from the socket itself, in one system call each: the library's layers and its
-separate wait for the timeout cost more than all the rest of a token.
+The first block is read through `urllib3`, which may have buffered bytes that
+arrived with the headers. If the body ends when its connection closes, all
+further blocks are received from the socket directly, with one system call
+each: the layers of the library and its separate wait for the timeout cost more
+than all other work for a token.
 """
 
 import os
@@ -17,13 +18,18 @@
 from foxtaildale import errors
 from foxtaildale_adapters import exchange
 
-_BLOCK: Final = 65536
-# Headers of a body that does not simply end with its connection.
-_FRAMED: Final = ('transfer-encoding', 'content-length', 'content-encoding')
+# Maximum size of a block received from the socket, bytes.
+_BLOCK_BYTES: Final = 65536
+# Headers of a body whose end is not marked by the end of its connection.
+_FRAMING_HEADERS: Final = (
+    'transfer-encoding',
+    'content-length',
+    'content-encoding',
+)
 
 
 class Body:
-    """Blocks of one body; `close` may be called from any thread."""
+    """Blocks of one response body; `close` may be called from any thread."""
 
     __slots__ = (
         '_closed',
@@ -40,22 +46,23 @@
     ) -> None:
         self._resp = resp
         self._silence_s = silence_s
-        self._framed = any(name in resp.headers for name in _FRAMED)
-        # A second handle of the connection, once the first block was read.
+        self._framed = any(name in resp.headers for name in _FRAMING_HEADERS)
+        # A duplicate descriptor of the connection; set after the first block.
         self._sock: socket.socket | None = None
-        # A handle that is closed while another thread receives on it may
-        # become another stream's in between, and that thread would read the
-        # other stream's answer. So the reader itself closes it then.
+        # A descriptor that is closed while another thread receives on it may
+        # be reused for another stream, and that thread would read the other
+        # stream's response. So while a read is in progress, the reading thread
+        # closes the descriptor itself.
         self._lock = threading.Lock()
         self._reading = False
         self._closed = False
 
     def read(self) -> bytes:
-        """Waits for a block; empty at the end.
+        """Waits for a block; empty at the end of the body.
 
         Raises:
-            errors.AnswerLostError: The connection broke, was closed by
-                `close`, or was silent for too long.
+            errors.NoReplyError: The connection broke, was closed by `close`,
+                or was silent for too long.
         """
         with self._lock:
             if self._closed:
@@ -66,15 +73,16 @@
                 return self._receive(self._sock)
             block = exchange.read(self._resp)
             if block and not self._framed:
-                self._sock = self._take_socket()
+                self._sock = self._duplicate_socket()
             return block
         finally:
             self.give_back()
 
     def lend(self) -> socket.socket | None:
-        """Lends the socket to a reader of its own, until `give_back`.
+        """Passes the socket to an external reader, until `give_back`.
 
-        None if bytes may be held back by the library, or it is closed.
+        Returns None if the library may hold buffered bytes, or if the body is
+        closed.
         """
         with self._lock:
             if self._sock is None or self._closed:
@@ -83,7 +91,7 @@
             return self._sock
 
     def give_back(self) -> None:
-        """Ends the loan; the socket is closed if `close` was called."""
+        """Ends a read of the socket, and closes it if `close` was called."""
         with self._lock:
             self._reading = False
             if self._closed:
@@ -101,27 +109,27 @@
                 else:
                     self._resp.shutdown()
             except (OSError, RuntimeError, ValueError):
-                pass  # The other side closed it first.
+                pass  # The peer closed the connection first.
             if not self._reading:
                 self._release()
 
     def _receive(self, sock: socket.socket) -> bytes:
         try:
-            return sock.recv(_BLOCK)
+            return sock.recv(_BLOCK_BYTES)
         except BlockingIOError as exc:
-            raise exchange.TimeoutLostError('silent') from exc
+            raise exchange.TimeoutLostError('no data in time') from exc
         except OSError as exc:
             raise errors.NoReplyError(str(exc)) from exc
 
-    def _take_socket(self) -> socket.socket | None:
+    def _duplicate_socket(self) -> socket.socket | None:
         try:
             sock = socket.socket(fileno=os.dup(self._resp.fileno()))
         except OSError:
             return None
         sock.settimeout(None)
-        whole, part = divmod(self._silence_s, 1.0)
-        limit = struct.pack('ll', int(whole), max(1, int(part * 1e6)))
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, limit)
+        seconds, fraction = divmod(self._silence_s, 1.0)
+        timeout = struct.pack('ll', int(seconds), max(1, int(fraction * 1e6)))
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, timeout)
         return sock
 
     def _release(self) -> None:
--- a/packages/adapters/foxtaildale_adapters/breaker.py
+++ b/packages/adapters/foxtaildale_adapters/breaker.py
@@ -1,39 +1,42 @@
-"""A breaker for calls to a system that may hang.
+"""A circuit breaker for calls to a system that may hang.
 
-A hung system answers nothing, so every call to it costs the whole timeout. If
-each request of a caller paid that, one slow store would hold every thread of
-an entry VM. After one timeout the breaker fails calls at once for a hold-off,
-then lets a single call through to try.
+A hung system does not respond, so every call to it takes the full timeout. If
+each caller's request waited that long, one slow store would block every thread
+of an entry VM. After one timeout the breaker rejects calls immediately for the
+hold-off time, then admits a single trial call.
 """
 
 
 class Breaker:
-    """Decides whether a call may be made; takes the time as `now` seconds."""
+    """Decides whether a call may be made.
 
-    __slots__ = ('_hold_off_s', '_open_until', '_trying')
+    The caller passes the current time as `now`, in seconds.
+    """
+
+    __slots__ = ('_hold_off_s', '_open_until', '_trial_in_flight')
 
     def __init__(self, hold_off_s: float) -> None:
         self._hold_off_s = hold_off_s
-        # None while closed.
+        # Time until which calls are rejected, seconds; None while closed.
         self._open_until: float | None = None
-        # Whether the one trial call is out.
-        self._trying = False
+        # Whether the trial call is in flight.
+        self._trial_in_flight = False
 
     def admits(self, now: float) -> bool:
-        """Says whether a call may go; a trial call counts as gone."""
+        """Returns whether a call may be made; a trial call counts as made."""
         if self._open_until is None:
             return True
-        if now < self._open_until or self._trying:
+        if now < self._open_until or self._trial_in_flight:
             return False
-        self._trying = True
+        self._trial_in_flight = True
         return True
 
     def answered(self) -> None:
-        """Notes that the system answered, whatever it said."""
+        """Records that the system responded, whatever the result."""
         self._open_until = None
-        self._trying = False
+        self._trial_in_flight = False
 
     def timed_out(self, now: float) -> None:
-        """Notes a call that got no answer in time."""
+        """Records that a call timed out."""
         self._open_until = now + self._hold_off_s
-        self._trying = False
+        self._trial_in_flight = False
--- a/packages/adapters/foxtaildale_adapters/events.py
+++ b/packages/adapters/foxtaildale_adapters/events.py
@@ -1,7 +1,7 @@
-"""Reads the pieces of one stream of server-sent events.
+"""Reads the chunks of one stream of server-sent events.
 
-A stream has a connection of its own. Closing the stream closes that, which is
-how the engine notices that its reader has gone.
+Each stream has its own connection. Closing the stream closes the connection, by
+which the engine detects that its reader has disconnected.
 """
 
 import socket
@@ -15,66 +15,78 @@
 from foxtaildale import errors
 from foxtaildale import ports
 
-# Longest event, bytes; an engine that sends more without an end is broken.
+# Maximum size of an event, bytes; an engine that sends more without a separator
+# is faulty.
 MAX_EVENT: Final = 1024 * 1024
 
-_END: Final = b'\n\n'
-_DATA: Final = b'data: '
+_EVENT_SEPARATOR: Final = b'\n\n'
+_DATA_PREFIX: Final = b'data: '
 
-_piece: Final = msgspec.json.Decoder(backends.Chunk)
-_last: Final = msgspec.json.Decoder(backends.StreamEnd)
+_chunk_decoder: Final = msgspec.json.Decoder(backends.Chunk)
+_end_decoder: Final = msgspec.json.Decoder(backends.StreamEnd)
 
 
 class Body(Protocol):
-    """Blocks of bytes from an engine."""
+    """A response body from an engine, read in blocks of bytes."""
 
     def read(self) -> bytes:
-        """Waits for a block; empty at the end.
+        """Waits for a block; empty at the end of the body.
 
         Raises:
-            errors.AnswerLostError: The connection broke or was silent.
+            errors.NoReplyError: The connection broke or was silent.
         """
 
     def lend(self) -> socket.socket | None:
-        """Lends the socket, or None if blocks must come from `read`."""
+        """Passes the socket to an external reader, until `give_back`.
+
+        Returns None if blocks must be read through `read`.
+        """
 
     def give_back(self) -> None:
-        """Ends the loan."""
+        """Ends the external read of the socket."""
 
     def close(self) -> None:
         """Closes the connection; may be called from any thread."""
 
 
 def parse(event: bytes) -> backends.Chunk | backends.StreamEnd | None:
-    """Returns what one event holds; None if it has no data, as a comment.
+    """Decodes one event; returns None for one without data, as a comment.
 
     Raises:
-        errors.AnswerLostError: It is neither a piece nor the end.
+        errors.NoReplyError: The event is neither a chunk nor the end of the
+            stream.
     """
-    start = event.find(_DATA)
+    start = event.find(_DATA_PREFIX)
     if start < 0:
         return None
-    data = event[start + len(_DATA) :]
+    data = event[start + len(_DATA_PREFIX) :]
     try:
-        return _piece.decode(data)
+        return _chunk_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError):
         pass
     try:
-        return _last.decode(data)
+        return _end_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise errors.NoReplyError(f'not an event: {exc}') from exc
+        raise errors.NoReplyError(f'event cannot be decoded: {exc}') from exc
 
 
 class Stream:
-    """Iterates over the events of a stream up to its `Last`.
+    """Iterates over the events of a stream up to its `StreamEnd`.
 
-    Iteration raises `errors.AnswerLostError` when the engine is silent too
-    long, when the connection ends before `Last`, or when an event can't be
-    understood. Pieces are passed on as they came: whether they belong to the
-    request is judged by who knows the request.
+    Iteration raises `errors.NoReplyError` when the engine is silent for too
+    long, when the connection closes before `StreamEnd`, or when an event can't
+    be decoded. Chunks are returned as received: the caller, which knows the
+    request, checks whether they belong to it.
     """
 
-    __slots__ = ('_body', '_clock', '_ready', '_rest', 'ended', 'silence_s')
+    __slots__ = (
+        '_body',
+        '_clock',
+        '_partial_event',
+        '_ready',
+        'ended',
+        'silence_s',
+    )
 
     def __init__(
         self,
@@ -84,13 +96,13 @@
     ) -> None:
         self._body = body
         self._clock = clock
-        # Longest time without an event, seconds.
+        # Maximum time without an event, seconds.
         self.silence_s = silence_s
-        # Events that have come and were not handed on, latest first.
+        # Events that were decoded and not returned yet, latest first.
         self._ready: list[backends.Chunk | backends.StreamEnd] = []
-        # Start of an event whose end has not come.
-        self._rest = b''
-        # Whether no more events will come.
+        # Start of an event that was received in part.
+        self._partial_event = b''
+        # Whether the stream has no more events.
         self.ended = False
 
     def __iter__(self) -> 'Stream':
@@ -100,7 +112,7 @@
         if not self._ready:
             if self.ended:
                 raise StopIteration
-            self._fill()
+            self._read_events()
         event = self._ready.pop()
         if type(event) is backends.StreamEnd:
             self.ended = True
@@ -110,50 +122,52 @@
 
     @property
     def pending(self) -> bool:
-        """Whether an event can be had without waiting."""
+        """Whether an event is available without waiting."""
         return bool(self._ready)
 
     def feed(self, block: bytes) -> None:
-        """Takes a block that was read elsewhere; empty at the end.
+        """Decodes a block read elsewhere; empty at the end of the body.
 
         Raises:
-            errors.AnswerLostError: It can't be understood, or the stream ends
-                before its last event.
+            errors.NoReplyError: The block can't be decoded, or the body ends
+                before the `StreamEnd`.
         """
         if not block:
-            raise errors.NoReplyError('stream ended before its last')
-        found = (self._rest + block).split(_END)
-        self._rest = found.pop()
-        if len(self._rest) > MAX_EVENT:
+            raise errors.NoReplyError('stream ended before its last event')
+        parts = (self._partial_event + block).split(_EVENT_SEPARATOR)
+        self._partial_event = parts.pop()
+        if len(self._partial_event) > MAX_EVENT:
             raise errors.NoReplyError(f'event above {MAX_EVENT} bytes')
-        fresh = [event for event in map(parse, found) if event is not None]
-        if fresh:
-            fresh.reverse()
-            self._ready[:0] = fresh
+        new_events = [event for event in map(parse, parts) if event is not None]
+        if new_events:
+            new_events.reverse()
+            self._ready[:0] = new_events
 
     def lend(self) -> socket.socket | None:
-        """Lends the socket to whoever will `feed`, until `give_back`.
+        """Passes the socket to a reader that calls `feed`, until `give_back`.
 
-        None while events are pending or bytes may be held by the library.
+        Returns None while events are pending, after the end of the stream, and
+        while the HTTP library may hold buffered bytes.
         """
         if self._ready or self.ended:
             return None
         return self._body.lend()
 
     def give_back(self) -> None:
-        """Ends the loan."""
+        """Ends the external read of the socket."""
         self._body.give_back()
 
     def close(self) -> None:
         """Closes the connection; may be called from any thread."""
         self._body.close()
 
-    def _fill(self) -> None:
+    def _read_events(self) -> None:
         deadline = self._clock() + self.silence_s
         try:
             while not self._ready:
                 self.feed(self._body.read())
-                # Bytes that make no event keep the socket's timeout quiet.
+                # Bytes that complete no event reset the timeout of the socket,
+                # so the deadline is checked here.
                 if not self._ready and self._clock() > deadline:
                     raise errors.NoReplyError('no event in time')
         except BaseException:
--- a/packages/adapters/foxtaildale_adapters/flow.py
+++ b/packages/adapters/foxtaildale_adapters/flow.py
@@ -1,4 +1,4 @@
-"""The way of one answer's pieces from an engine's bytes to a caller's."""
+"""Relays the chunks of one streamed response from an engine to a caller."""
 
 from collections.abc import Iterable
 import socket
@@ -13,11 +13,11 @@
 from foxtaildale_adapters import events
 from foxtaildale_adapters import pump
 
-_END: Final = b'\n\n'
+_EVENT_SEPARATOR: Final = b'\n\n'
 
 
 class Taken:
-    """What an engine's stream had read ahead, and where to read on."""
+    """The read-ahead of an engine's stream, and the socket to read from next."""
 
     __slots__ = ('items', 'rest', 'sock')
 
@@ -27,34 +27,35 @@
         rest: bytes,
         sock: socket.socket | None,
     ) -> None:
-        # Read and understood, but not handed on yet.
+        # Events that were decoded and not returned yet.
         self.items = items
-        # Start of an event whose end has not come.
+        # Start of an event that was received in part.
         self.rest = rest
-        # A handle of the connection for `Flow.run`, to be closed by who took
-        # it; None if the stream must be read through its iterator.
+        # A duplicate descriptor of the connection for `Flow.run`, which the
+        # caller of `take_over` closes; None if the stream must be read through
+        # its iterator.
         self.sock = sock
 
 
 def take_over(stream: events.Stream) -> Taken:
-    """Takes a stream from its iterator, after the first event.
+    """Detaches a stream from its iterator, after the first event.
 
     The stream still owns the connection: closing it ends `Flow.run`.
 
     Raises:
-        errors.AnswerLostError: The stream was closed.
+        errors.NoReplyError: The stream was closed.
     """
-    # Private fields of neighbours: this belongs there as a method.
+    # This reads private fields of `events.Stream`; it should be a method there.
     items = list(reversed(stream._ready))
     stream._ready.clear()
-    return Taken(items, stream._rest, _handle(stream._body))
+    return Taken(items, stream._partial_event, _duplicate_socket(stream._body))
 
 
-def _handle(source: events.Body) -> socket.socket | None:
+def _duplicate_socket(source: events.Body) -> socket.socket | None:
     if not isinstance(source, body.Body) or source._sock is None:
         return None
-    # Under the lock of `close`: the number of a closed handle may already
-    # be another stream's.
+    # `close` takes the same lock. Without it, the descriptor could be closed
+    # and reused for another stream before it is duplicated.
     with source._lock:
         try:
             return source._sock.dup()
@@ -63,29 +64,33 @@
 
 
 class Caller(Protocol):
-    """Where the framed pieces go; `incoming.Exchange` is one."""
+    """Receives the framed chunks; `incoming.Exchange` implements it."""
 
     def offer(self, data: bytes) -> bool:
-        """Sends without waiting; False if `flush` must follow."""
+        """Sends without blocking; returns False if `flush` must follow."""
 
     def flush(self) -> bool:
-        """Waits until all is sent; False if the caller is gone."""
+        """Waits until all is sent.
+
+        Returns False if the caller disconnected.
+        """
 
 
 class Flow:
-    """Checks, frames and sends the pieces of one answer.
+    """Checks, frames and sends the chunks of one response.
 
-    All pieces of a block leave in one send. `run` reads through the pump, and
-    takes over itself for as long as the caller reads slower than the engine
-    writes.
+    All chunks of a block are sent in one call. `run` reads through the pump.
+    While the caller reads more slowly than the engine writes, `run` itself
+    sends the rest, in the stream's own thread.
 
     Args:
-        exchange: The caller's exchange; its answer has been started.
-        checker: Knows which pieces belong to the answer.
-        framer: Frames them.
+        exchange: The caller's exchange, on which the response was started.
+        checker: Checks which chunks belong to the response.
+        framer: Frames chunks for the caller.
         clock: Monotonic seconds.
-        times: Receives when each piece was sent on.
-        rest: Start of an event that was read already.
+        times: List to which the time of sending of each chunk is appended,
+            seconds of `clock`.
+        rest: Start of an event that was already received in part.
     """
 
     __slots__ = (
@@ -93,7 +98,7 @@
         '_clock',
         '_exchange',
         '_framer',
-        '_rest',
+        '_partial_event',
         '_times',
         'fault',
         'last',
@@ -114,49 +119,52 @@
         self._framer = framer
         self._clock = clock
         self._times = times
-        self._rest = rest
-        # What is wrong with the stream, a value of `streams.Verdict`.
+        self._partial_event = rest
+        # The fault of the stream, a value of `streams.Verdict`; empty if none.
         self.fault = ''
-        # The end of the whole answer.
+        # The end of a complete response.
         self.last: backends.StreamEnd | None = None
 
     def run(
         self, carrier: pump.Pump, sock: socket.socket, silence_s: float
     ) -> None:
-        """Reads until the answer is whole, at fault, or the caller is gone.
+        """Reads until the response completes or fails or the caller disconnects.
 
         Raises:
-            errors.AnswerLostError: The engine's stream broke or was silent.
+            errors.NoReplyError: The stream of the engine broke or was silent.
         """
         while not self.ended:
             carrier.carry(sock, self, silence_s)
-            # Waits here, in the stream's own thread, for a slow caller.
+            # Waits for a slow caller in the stream's own thread.
             if not self._exchange.flush():
                 return
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more is wanted of the stream."""
+        """Whether the response is complete or faulty."""
         return self.last is not None or bool(self.fault)
 
     def feed(self, block: bytes) -> bool:
-        """Takes bytes of the engine; see `pump.Feed`."""
-        found = (self._rest + block).split(_END)
-        self._rest = found.pop()
-        if len(self._rest) > events.MAX_EVENT:
-            raise errors.NoReplyError('event without an end')
+        """Processes bytes from the engine; see `pump.Feed`."""
+        parts = (self._partial_event + block).split(_EVENT_SEPARATOR)
+        self._partial_event = parts.pop()
+        if len(self._partial_event) > events.MAX_EVENT:
+            raise errors.NoReplyError('event without a separator')
         return self.take(
-            item for item in map(events.parse, found) if item is not None
+            item for item in map(events.parse, parts) if item is not None
         )
 
     def take(
         self, items: Iterable[backends.Chunk | backends.StreamEnd]
     ) -> bool:
-        """Takes pieces; False if the flow ended or the caller lags behind."""
+        """Relays chunks.
+
+        Returns False if the flow ended or the caller must be flushed.
+        """
         framed: list[bytes] = []
         for item in items:
             if isinstance(item, backends.StreamEnd):
-                self._end(item, framed)
+                self._handle_end(item, framed)
                 break
             verdict = self._checker.check_chunk(item)
             if verdict is streams.Verdict.ACCEPTED:
@@ -168,11 +176,13 @@
                 break
         sent = self._exchange.offer(b''.join(framed))
         now = self._clock()
-        pieces = len(framed) - (self.last is not None)
-        self._times.extend([now] * pieces)
+        chunk_count = len(framed) - (self.last is not None)
+        self._times.extend([now] * chunk_count)
         return sent and not self.ended
 
-    def _end(self, last: backends.StreamEnd, framed: list[bytes]) -> None:
+    def _handle_end(
+        self, last: backends.StreamEnd, framed: list[bytes]
+    ) -> None:
         verdict = self._checker.check_end(last)
         if verdict is streams.Verdict.COMPLETE:
             self.last = last
--- a/packages/adapters/foxtaildale_adapters/hangups.py
+++ b/packages/adapters/foxtaildale_adapters/hangups.py
@@ -1,15 +1,16 @@
-"""Notices callers that hang up, also while nothing is sent to them.
-
-TCP tells a closed connection from a half-closed one only in part. A reset is
-plain: the caller is gone. A FIN may mean `close` (nobody listens any more) or
-`shutdown` of the sending side alone (the caller still waits for its answer),
-and both look the same until something is sent: then a closed caller's system
-answers with a reset. So a FIN is followed by a probe, bytes that a listening
-caller must skip, and by more probes while it goes on waiting. A closed caller
-is thus noticed one round trip after its FIN. One that vanishes without a FIN
-is noticed by TCP keepalive.
-
-Without this an engine's slot would stay held for a caller that nobody serves.
+"""Detects callers that disconnect, also while nothing is sent to them.
+
+TCP distinguishes a closed connection from a half-closed one only in part. A
+reset means that the caller disconnected. A FIN may mean `close` (the caller no
+longer reads) or `shutdown` of its sending side alone (the caller still waits
+for its response). Both look the same until something is sent; the host of a
+closed caller then responds with a reset. So after a FIN the watcher sends a
+probe, bytes that a reading caller must skip, and further probes while the
+caller still waits. A closed caller is thus detected one round trip after its
+FIN. A caller that disappears without a FIN is detected by TCP keepalive.
+
+Without this, a slot of an engine would stay occupied for a caller that has
+disconnected.
 """
 
 from collections.abc import Callable
@@ -24,12 +25,13 @@
 
 # Time between probes of a caller that sent a FIN, seconds.
 PROBE_S: Final = 1.0
-# TCP keepalive: idle time, time between probes (both seconds), and probes.
+# TCP keepalive: idle time and time between probes, both in seconds, and number
+# of probes.
 _KEEPALIVE: Final = (10, 5, 3)
 
 
 def keep_alive(sock: socket.socket) -> None:
-    """Lets the kernel notice a caller that vanished without a FIN."""
+    """Enables TCP keepalive, to detect a caller lost without a FIN."""
     idle_s, between_s, count = _KEEPALIVE
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, idle_s)
@@ -38,12 +40,12 @@
 
 
 def look(sock: socket.socket | int) -> tuple[bool, bool]:
-    """Returns whether a socket was reset, and whether a FIN came."""
+    """Returns whether a socket was reset, and whether a FIN was received."""
     poll = select.poll()
     try:
         poll.register(sock, select.POLLRDHUP)
     except ValueError:
-        # Closed on this side.
+        # The socket was closed on this side.
         return True, True
     events = poll.poll(0)
     if not events:
@@ -54,23 +56,25 @@
 
 
 def writable(sock: socket.socket) -> bool:
-    """Whether a few bytes can be sent without waiting."""
+    """Returns whether a few bytes can be sent without blocking."""
     poll = select.poll()
     poll.register(sock, select.POLLOUT)
     return bool(poll.poll(0))
 
 
-class _Watched:
-    """One connection under watch."""
+class _WatchedConnection:
+    """One watched connection."""
 
     __slots__ = ('callback', 'fin', 'probe')
 
     def __init__(
         self, probe: Callable[[], bool], callback: Callable[[], None]
     ) -> None:
-        # Sends bytes that a listening caller skips; False if it can't.
+        # Sends bytes that a reading caller skips; returns False if sending
+        # failed.
         self.probe = probe
         self.callback = callback
+        # Whether a FIN was received.
         self.fin = False
 
 
@@ -79,7 +83,7 @@
 
     Args:
         clock: Monotonic seconds.
-        on_error: Called with what a callback raised.
+        on_error: Called with an exception raised by a callback.
     """
 
     __slots__ = (
@@ -89,7 +93,7 @@
         '_lock',
         '_on_error',
         '_thread',
-        '_wake',
+        '_wakeup',
         '_watched',
     )
 
@@ -101,12 +105,13 @@
         self._clock = clock
         self._on_error = on_error
         self._closing = False
-        # Guards the table against a descriptor that is closed and used anew.
+        # Guards `_watched`, since a descriptor may be closed and reused for
+        # another connection.
         self._lock = threading.Lock()
-        self._watched: dict[int, _Watched] = {}
+        self._watched: dict[int, _WatchedConnection] = {}
         self._epoll = select.epoll()
-        self._wake = wakes.Wake()
-        self._epoll.register(self._wake.fileno(), select.EPOLLIN)
+        self._wakeup = wakes.Wake()
+        self._epoll.register(self._wakeup.fileno(), select.EPOLLIN)
         self._thread = threading.Thread(
             target=self._run, name='hangups', daemon=True
         )
@@ -116,15 +121,15 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Ends the thread; nothing is called back after this."""
+        """Stops the thread; no callback is called after this."""
         with self._lock:
-            # Handlers that outlive the server still call `remove`.
+            # Handlers that run longer than the server still call `remove`.
             self._watched.clear()
             self._closing = True
-        self._wake.set()
+        self._wakeup.set()
         self._thread.join()
         self._epoll.close()
-        self._wake.close()
+        self._wakeup.close()
 
     def add(
         self,
@@ -132,16 +137,16 @@
         probe: Callable[[], bool],
         callback: Callable[[], None],
     ) -> None:
-        """Calls back once when the caller behind `fd` is gone."""
+        """Calls `callback` once when the caller on `fd` has disconnected."""
         with self._lock:
             if self._closing:
                 return
-            self._watched[fd] = _Watched(probe, callback)
-            # Edge-triggered: a FIN that stays is reported once.
+            self._watched[fd] = _WatchedConnection(probe, callback)
+            # Edge-triggered, so that a FIN is reported only once.
             self._epoll.register(fd, select.EPOLLRDHUP | select.EPOLLET)
 
     def remove(self, fd: int) -> None:
-        """Ends a watch; call it before the descriptor is closed."""
+        """Stops watching `fd`; must be called before `fd` is closed."""
         with self._lock:
             if self._watched.pop(fd, None) is not None:
                 self._epoll.unregister(fd)
@@ -151,8 +156,8 @@
         while not self._closing:
             wait_s = max(0.0, next_probe - self._clock())
             for fd, _ in self._epoll.poll(wait_s):
-                if fd == self._wake.fileno():
-                    self._wake.clear()
+                if fd == self._wakeup.fileno():
+                    self._wakeup.clear()
                 else:
                     self._notice(fd)
             if self._clock() >= next_probe:
@@ -164,10 +169,11 @@
             watched = self._watched.get(fd)
             if watched is None:
                 return
-            # The event may be of a connection that had the descriptor before.
+            # The event may belong to an earlier connection with the same
+            # descriptor, so the state is polled again.
             reset, fin = look(fd)
         if reset:
-            self._end(fd, watched)
+            self._report_disconnect(fd, watched)
         elif fin:
             watched.fin = True
             self._probe(fd, watched)
@@ -182,11 +188,11 @@
         for fd, watched in half_closed:
             self._probe(fd, watched)
 
-    def _probe(self, fd: int, watched: _Watched) -> None:
+    def _probe(self, fd: int, watched: _WatchedConnection) -> None:
         if not watched.probe():
-            self._end(fd, watched)
+            self._report_disconnect(fd, watched)
 
-    def _end(self, fd: int, watched: _Watched) -> None:
+    def _report_disconnect(self, fd: int, watched: _WatchedConnection) -> None:
         with self._lock:
             if self._watched.get(fd) is not watched:
                 return
@@ -195,5 +201,6 @@
         try:
             watched.callback()
         except Exception as exc:
-            # One bad callback must not leave all other callers unwatched.
+            # A failing callback must not stop the thread, which watches all
+            # other callers.
             self._on_error(exc)
--- a/packages/adapters/foxtaildale_adapters/metrics.py
+++ b/packages/adapters/foxtaildale_adapters/metrics.py
@@ -1,11 +1,11 @@
-"""Metrics of a process: counted here, kept and formatted by aioprometheus.
+"""Metrics of a process: recorded here, aggregated by aioprometheus.
 
-Every metric is declared in `Metrics`. What happens is only noted; it goes into
-the library's collectors when somebody asks for the metrics, or when many notes
-have gathered. So a request pays for one append to a list, and a process loads
-the library, which brings asyncio with it, when it first needs it and not before
-its first answer. The
-library's own updates are a read and a write apart, so all go through one lock.
+Every metric is declared in `Metrics`. Observations are only appended to a list;
+they are passed to the collectors of the library when the metrics are rendered,
+or when the list is long. So a request costs one append to a list, and a process
+imports the library, which imports asyncio, when it first needs it and not
+before its first response. One lock guards all metrics, since an update in the
+library is a read followed by a write, and not atomic.
 """
 
 from __future__ import annotations
@@ -18,20 +18,21 @@
 if TYPE_CHECKING:
     from aioprometheus import collectors
 
-# Upper bounds of the histograms' buckets, seconds; close around the targets
-# for the first answer (0.34 s) and between tokens (29 ms).
+# Upper bounds of the histograms' buckets, seconds. The buckets are narrow around
+# the targets for the first token (0.34 s) and between tokens (29 ms).
 FIRST_ANSWER_S: Final = (
     0.01, 0.02, 0.05, 0.1, 0.2, 0.34, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0,
 )  # fmt: skip
 BETWEEN_TOKENS_S: Final = (
     0.002, 0.005, 0.01, 0.02, 0.029, 0.04, 0.06, 0.1, 0.2, 0.5, 1.0, 5.0,
 )  # fmt: skip
-# Series of one counter. Names of client accounts come and go with the
-# configuration; each that was ever counted would stay for the process's life.
+# Maximum number of series of one counter. The names of client accounts change
+# with the configuration, and a series is kept until the process ends.
 SERIES: Final = 2000
-# Stands for what is counted beyond that.
+# First label value of what is counted beyond that limit.
 OTHER: Final = 'other'
-# Notes of one histogram that wait for the library; 64 KB of memory at most.
+# Maximum number of observations that a histogram buffers before it passes them
+# to the library; bounds the buffer to 64 KB of memory.
 PENDING: Final = 2000
 
 
@@ -47,7 +48,7 @@
         self._name = name
         self._doc = doc
         self._labels = labels
-        # By the values of the labels, in their order.
+        # Sums by label values, in the order of the labels.
         self._sums: dict[tuple[str, ...], float] = {}
 
     def add(self, amount: float, *values: str) -> None:
@@ -58,17 +59,17 @@
             self._sums[values] = self._sums.get(values, 0) + amount
 
     def set(self, total: float, *values: str) -> None:
-        """Takes over a sum that is kept elsewhere."""
+        """Replaces the sum by a total that is counted elsewhere."""
         with self._lock:
             self._sums[values] = total
 
     def collect(self, registry: collectors.Registry) -> None:
-        """Hands the sums to a registry; the caller holds the lock."""
+        """Adds the sums to a registry; the caller holds the lock."""
         from aioprometheus import collectors
 
-        found = collectors.Counter(self._name, self._doc, registry=registry)
+        collector = collectors.Counter(self._name, self._doc, registry=registry)
         for values, total in self._sums.items():
-            found.set(dict(zip(self._labels, values, strict=True)), total)
+            collector.set(dict(zip(self._labels, values, strict=True)), total)
 
 
 class Histogram:
@@ -97,37 +98,42 @@
         self._doc = doc
         self._buckets = buckets
         self._labels = labels
-        # Of the library; None until it is needed.
+        # The collector of the library; None until it is needed.
         self._collector: collectors.Histogram | None = None
-        # Observed and not yet in the collector.
+        # Observations that were not passed to the collector yet.
         self._pending: list[tuple[tuple[str, ...], float]] = []
 
     def observe(self, seconds: Iterable[float], *values: str) -> None:
-        """Adds observations; a stream's are cheapest all at its end."""
+        """Records durations.
+
+        For a stream, one call with all values at its end costs least.
+        """
         with self._lock:
             self._pending.extend((values, value) for value in seconds)
             if len(self._pending) > PENDING:
-                self._keep()
+                self._flush()
 
     def collect(self, registry: collectors.Registry) -> None:
-        """Hands all observations to a registry; the caller holds the lock."""
-        registry.register(self._keep())
+        """Adds all observations to a registry; the caller holds the lock."""
+        registry.register(self._flush())
 
-    def _keep(self) -> collectors.Histogram:
+    def _flush(self) -> collectors.Histogram:
         from aioprometheus import collectors
 
-        found = self._collector
-        if found is None:
-            found = self._collector = collectors.Histogram(
+        collector = self._collector
+        if collector is None:
+            collector = self._collector = collectors.Histogram(
                 self._name,
                 self._doc,
                 registry=collectors.Registry(),
                 buckets=self._buckets,
             )
         for values, value in self._pending:
-            found.observe(dict(zip(self._labels, values, strict=True)), value)
+            collector.observe(
+                dict(zip(self._labels, values, strict=True)), value
+            )
         self._pending.clear()
-        return found
+        return collector
 
 
 class Metrics:
--- a/packages/adapters/foxtaildale_adapters/peers.py
+++ b/packages/adapters/foxtaildale_adapters/peers.py
@@ -1,18 +1,18 @@
-"""ZeroMQ between the system's own processes: the asking side.
+"""ZeroMQ between the system's own processes: the requesting side.
 
-Any thread calls `Peers.ask`. One background thread owns the sockets: it opens
-a DEALER for each address when it is first asked for, sends what waits, and
-matches replies to askers by sequence number.
+Any thread calls `Peers.request`. One background thread owns the sockets: it
+opens a DEALER for each address on the first request to it, sends what is
+queued, and matches replies to requests by sequence number.
 
-A socket is one connection and never reconnects. When it closes, or when
-nothing was heard for the silence bound although heartbeats were sent, it is
-dropped, and the next ask opens a fresh one. That is what helps against
-connections that go silent for good while new ones work: waiting longer on the
-old one never ends, and libzmq's own reconnect would not notice.
+A socket is one connection and never reconnects. It is closed when its
+connection closes, or when nothing was received for the silence limit although
+heartbeats were sent; the next request opens a new one. Some connections go
+silent for good while new connections to the same address work: waiting longer
+on the old one does not help, and the reconnect of libzmq would not detect it.
 
-What can be said of effects is decided by one state for each ask, changed under
-one lock: the asker may abandon it only while it waits, and it counts as sent
-before libzmq gets to see it.
+One state per request, changed under one lock, decides whether the request may
+have had an effect: the calling thread may abandon it only while it waits, and
+the request counts as sent before it is passed to libzmq.
 """
 
 import collections
@@ -31,11 +31,11 @@
 from foxtaildale_adapters import connections
 from foxtaildale_adapters import wakes
 
-# A connection that nobody asked over for this long is closed, seconds.
+# Time without a request after which a connection is closed, seconds.
 IDLE_S: Final = 60.0
-# Sequence number of heartbeats; asks count from 1.
-_SEQUENCE: Final = connections.SEQUENCE_BYTES
-_HEARTBEAT: Final = bytes(_SEQUENCE)
+# Sequence number of heartbeats; those of requests start at 1.
+_SEQUENCE_BYTES: Final = connections.SEQUENCE_BYTES
+_HEARTBEAT: Final = bytes(_SEQUENCE_BYTES)
 _PING: Final = messages.encode(messages.Ping())
 
 
@@ -44,7 +44,8 @@
 
     Args:
         heartbeat_s: Time between heartbeats of a connection, seconds.
-        silence_s: A connection that was not heard for this long is replaced.
+        silence_s: Time without a received message after which a
+            connection is closed, seconds.
         clock: Monotonic seconds.
     """
 
@@ -56,12 +57,12 @@
         '_heartbeat_s',
         '_incoming',
         '_lock',
-        '_numbers',
         '_poller',
+        '_sequence_numbers',
         '_silence_s',
         '_sockets',
         '_thread',
-        '_wake',
+        '_wakeup',
         'counts',
     )
 
@@ -71,16 +72,16 @@
         silence_s: float,
         clock: ports.Clock = time.monotonic,
     ) -> None:
-        # What passed, for metrics and the state dump.
+        # Counts of messages and bytes, for metrics and the state dump.
         self.counts = connections.Counts()
         self._heartbeat_s = heartbeat_s
         self._silence_s = silence_s
         self._clock = clock
         self._closing = False
-        self._numbers = itertools.count(1)
-        # Guards the state of every ask.
+        self._sequence_numbers = itertools.count(1)
+        # Guards the state of every request.
         self._lock = threading.Lock()
-        # Asks that the background thread has not seen yet.
+        # Requests that the background thread has not processed yet.
         self._incoming: collections.deque[tuple[str, connections.Ask]] = (
             collections.deque()
         )
@@ -90,7 +91,7 @@
         # Both sockets of each connection.
         self._sockets: dict[connections.Dealer, connections.Connection] = {}
         self._poller = zmq.Poller()
-        self._wake = wakes.Wake()
+        self._wakeup = wakes.Wake()
         self._thread = threading.Thread(
             target=self._run, name='peers', daemon=True
         )
@@ -103,81 +104,86 @@
 
         Args:
             address: 'IP:PORT' of a `wire.Responder`.
-            msg: What to ask.
-            timeout_s: Longest wait, seconds.
+            msg: The request.
+            timeout_s: Maximum wait, seconds.
 
         Raises:
-            errors.UnreachableError: Surely nothing was sent.
-            errors.AnswerLostError: It may have been sent; no answer came.
-            errors.RejectedError: The reply is a `Fail`.
+            errors.UnreachableError: Nothing was sent.
+            errors.NoReplyError: The message may have been sent; no reply was
+                received.
+            errors.RejectedError: The reply is an `ErrorReply`.
         """
-        ask = self._put(address, _payload(msg))
-        return self._wait(address, ask, timeout_s)
+        request = self._enqueue(address, _encode_payload(msg))
+        return self._wait_for_reply(address, request, timeout_s)
 
     def request_all(
         self, addresses: Sequence[str], msg: messages.Message, timeout_s: float
     ) -> dict[str, messages.Message]:
-        """Sends a message to several and waits for their replies together.
+        """Sends a message to several addresses and waits for the replies.
 
         Args:
             addresses: Each 'IP:PORT' of a `wire.Responder`.
-            msg: What to ask.
-            timeout_s: Longest wait for all of them, seconds.
+            msg: The request.
+            timeout_s: Maximum wait for all replies together, seconds.
 
         Returns:
-            The replies that came in time, by address; no `Fail`.
+            The replies received in time, by address, without error replies.
         """
-        payload = _payload(msg)
-        end = self._clock() + timeout_s
-        asks = [(address, self._put(address, payload)) for address in addresses]
+        payload = _encode_payload(msg)
+        deadline = self._clock() + timeout_s
+        requests = [
+            (address, self._enqueue(address, payload)) for address in addresses
+        ]
         replies = {}
-        for address, ask in asks:
-            left_s = max(0.0, end - self._clock())
+        for address, request in requests:
+            left_s = max(0.0, deadline - self._clock())
             with contextlib.suppress(errors.PortError):
-                replies[address] = self._wait(address, ask, left_s)
+                replies[address] = self._wait_for_reply(
+                    address, request, left_s
+                )
         return replies
 
     def close(self) -> None:
-        """Ends every ask and closes every connection."""
+        """Fails every pending request and closes every connection."""
         with self._lock:
             if self._closing:
                 return
             self._closing = True
-        self._wake.set()
+        self._wakeup.set()
         self._thread.join()
         self._context.destroy(linger=0)
 
-    def _put(self, address: str, payload: bytes) -> connections.Ask:
-        """Hands an ask to the background thread.
+    def _enqueue(self, address: str, payload: bytes) -> connections.Ask:
+        """Queues a request for the background thread.
 
         Raises:
-            errors.UnreachableError: The asking side was closed.
+            errors.UnreachableError: `close` was called.
         """
-        ask = connections.Ask(next(self._numbers), payload)
+        request = connections.Ask(next(self._sequence_numbers), payload)
         if self._closing:
             raise errors.UnreachableError('closed')
-        self._incoming.append((address, ask))
-        self._wake.set()
-        return ask
+        self._incoming.append((address, request))
+        self._wakeup.set()
+        return request
 
-    def _wait(
-        self, address: str, ask: connections.Ask, timeout_s: float
+    def _wait_for_reply(
+        self, address: str, request: connections.Ask, timeout_s: float
     ) -> messages.Message:
-        if not ask.done.wait(timeout_s):
-            self._give_up(address, ask)
-        if ask.exc is not None:
-            raise ask.exc
-        return self._read(address, ask.reply or b'')
-
-    def _give_up(self, address: str, ask: connections.Ask) -> None:
-        """Settles an ask whose time is over, unless it was settled just now."""
+        if not request.done.wait(timeout_s):
+            self._abandon(address, request)
+        if request.exc is not None:
+            raise request.exc
+        return self._decode_reply(address, request.reply or b'')
+
+    def _abandon(self, address: str, request: connections.Ask) -> None:
+        """Fails a request that timed out, unless it has just completed."""
         with self._lock:
-            if ask.done.is_set():
+            if request.done.is_set():
                 return
-            ask.exc = ask.lost(f'{address}: no answer in time')
-            ask.done.set()
+            request.exc = request.lost(f'{address}: no reply in time')
+            request.done.set()
 
-    def _read(self, address: str, data: bytes) -> messages.Message:
+    def _decode_reply(self, address: str, data: bytes) -> messages.Message:
         try:
             reply = messages.decode(data)
         except errors.DecodeError as exc:
@@ -187,56 +193,58 @@
             raise errors.RejectedError(reply.code, reply.message)
         return reply
 
-    # All below runs in the background thread.
+    # All methods below run in the background thread.
 
     def _run(self) -> None:
-        self._poller.register(self._wake.fileno(), zmq.POLLIN)
-        next_beat = self._clock() + self._heartbeat_s
+        self._poller.register(self._wakeup.fileno(), zmq.POLLIN)
+        next_heartbeat = self._clock() + self._heartbeat_s
         while not self._closing:
-            wait_s = max(0.0, next_beat - self._clock())
+            wait_s = max(0.0, next_heartbeat - self._clock())
             for key, _ in self._poller.poll(int(wait_s * 1000) + 1):
-                self._serve(key)
+                self._handle_event(key)
             now = self._clock()
-            if now >= next_beat:
-                self._beat(now)
-                next_beat = now + self._heartbeat_s
+            if now >= next_heartbeat:
+                self._send_heartbeats(now)
+                next_heartbeat = now + self._heartbeat_s
         for conn in list(self._connections.values()):
-            self._drop(conn, 'closed')
-        self._take_incoming()
-        self._wake.close()
+            self._close_connection(conn, 'closed')
+        self._process_incoming()
+        self._wakeup.close()
 
-    def _serve(self, key: connections.Dealer | int) -> None:
+    def _handle_event(self, key: connections.Dealer | int) -> None:
         if isinstance(key, int):
-            self._wake.clear()
-            self._take_incoming()
+            self._wakeup.clear()
+            self._process_incoming()
             return
         conn = self._sockets.get(key)
         if conn is None:
-            # Dropped earlier in this round.
+            # The connection was closed earlier in this loop.
             return
         if key is conn.monitor:
-            # Replies that came before the end still count.
+            # Replies received before the connection closed are still valid.
             self._receive(conn)
-            self._drop(conn, 'connection closed')
+            self._close_connection(conn, 'connection closed')
             return
         self._receive(conn)
         self._send(conn)
 
-    def _take_incoming(self) -> None:
+    def _process_incoming(self) -> None:
         now = self._clock()
         while self._incoming:
-            address, ask = self._incoming.popleft()
+            address, request = self._incoming.popleft()
             if self._closing:
-                self._settle(ask, errors.UnreachableError('closed'))
+                self._fail_request(request, errors.UnreachableError('closed'))
                 continue
             conn = self._connections.get(address)
             if conn is None:
                 conn = self._open(address, now)
             if conn is None:
-                self._settle(ask, errors.UnreachableError(f'bad {address!r}'))
+                self._fail_request(
+                    request, errors.UnreachableError(f'bad address {address!r}')
+                )
                 continue
             conn.asked_at = now
-            conn.waiting.append(ask)
+            conn.waiting.append(request)
             self._send(conn)
 
     def _open(self, address: str, now: float) -> connections.Connection | None:
@@ -257,22 +265,22 @@
         return conn
 
     def _send(self, conn: connections.Connection) -> None:
-        """Sends what waits, as far as the connection takes it."""
+        """Sends queued requests until the connection would block."""
         while conn.waiting:
-            ask = conn.waiting[0]
+            request = conn.waiting[0]
             with self._lock:
-                if ask.done.is_set():
+                if request.done.is_set():
                     conn.waiting.popleft()
                     continue
-                if not self._push(conn, ask.sequence, ask.payload):
+                if not self._try_send(conn, request.sequence, request.payload):
                     break
-                ask.sent = True
+                request.sent = True
             conn.waiting.popleft()
-            conn.pending[ask.sequence] = ask
+            conn.pending[request.sequence] = request
         wanted = zmq.POLLIN | (zmq.POLLOUT if conn.waiting else 0)
         self._poller.modify(conn.sock, wanted)
 
-    def _push(
+    def _try_send(
         self, conn: connections.Connection, sequence: bytes, data: bytes
     ) -> bool:
         try:
@@ -290,57 +298,65 @@
             except zmq.Again:
                 return
             conn.heard_at = self._clock()
-            if len(frames) != 1 or len(frames[0]) < _SEQUENCE:
+            if len(frames) != 1 or len(frames[0]) < _SEQUENCE_BYTES:
                 self.counts.dropped += 1
                 continue
-            sequence, data = frames[0][:_SEQUENCE], frames[0][_SEQUENCE:]
+            sequence, data = (
+                frames[0][:_SEQUENCE_BYTES],
+                frames[0][_SEQUENCE_BYTES:],
+            )
             self.counts.received += 1
             self.counts.received_bytes += len(data)
             if sequence != _HEARTBEAT:
-                self._match(conn, sequence, data)
+                self._complete_request(conn, sequence, data)
 
-    def _match(
+    def _complete_request(
         self, conn: connections.Connection, sequence: bytes, data: bytes
     ) -> None:
-        """Hands a reply to the one who asked, and to nobody else."""
-        ask = conn.pending.pop(sequence, None)
-        if ask is None:
+        """Completes the pending request that has this sequence number."""
+        request = conn.pending.pop(sequence, None)
+        if request is None:
             self.counts.late += 1
             return
         with self._lock:
-            if ask.done.is_set():
+            if request.done.is_set():
                 self.counts.late += 1
                 return
-            ask.reply = data
-            ask.done.set()
+            request.reply = data
+            request.done.set()
 
-    def _beat(self, now: float) -> None:
-        """Sends heartbeats; replaces the silent, closes the unused."""
+    def _send_heartbeats(self, now: float) -> None:
+        """Sends heartbeats; closes silent and unused connections."""
         for conn in list(self._connections.values()):
             if now - conn.heard_at > self._silence_s:
-                # One would notice asks to this address failing one after
-                # the other while a fresh process reaches it well.
+                # Otherwise every request to this address would fail while a
+                # new connection to it works.
                 self.counts.silent += 1
-                self._drop(conn, 'connection silent')
+                self._close_connection(conn, 'connection silent')
             elif now - conn.asked_at > IDLE_S and not conn.pending:
-                self._drop(conn, 'unused')
+                self._close_connection(conn, 'unused')
             else:
-                self._forget_abandoned(conn)
-                self._push(conn, _HEARTBEAT, _PING)
+                self._remove_abandoned(conn)
+                self._try_send(conn, _HEARTBEAT, _PING)
 
-    def _forget_abandoned(self, conn: connections.Connection) -> None:
-        """Drops given-up asks, which an unanswering peer would pile up."""
+    def _remove_abandoned(self, conn: connections.Connection) -> None:
+        """Removes abandoned requests.
+
+        They would accumulate while a peer does not reply.
+        """
         conn.waiting = collections.deque(
-            ask for ask in conn.waiting if not ask.done.is_set()
+            request for request in conn.waiting if not request.done.is_set()
         )
         conn.pending = {
-            ask.sequence: ask
-            for ask in conn.pending.values()
-            if not ask.done.is_set()
+            request.sequence: request
+            for request in conn.pending.values()
+            if not request.done.is_set()
         }
 
-    def _drop(self, conn: connections.Connection, reason: str) -> None:
-        """Closes a connection and settles its asks."""
+    def _close_connection(
+        self, conn: connections.Connection, reason: str
+    ) -> None:
+        """Closes a connection and fails its requests."""
         self._poller.unregister(conn.sock)
         self._poller.unregister(conn.monitor)
         del self._sockets[conn.sock]
@@ -348,19 +364,21 @@
         del self._connections[conn.address]
         conn.close()
         text = f'{conn.address}: {reason}'
-        for ask in conn.pending.values():
-            self._settle(ask, errors.NoReplyError(text))
-        for ask in conn.waiting:
-            self._settle(ask, errors.UnreachableError(text))
+        for request in conn.pending.values():
+            self._fail_request(request, errors.NoReplyError(text))
+        for request in conn.waiting:
+            self._fail_request(request, errors.UnreachableError(text))
 
-    def _settle(self, ask: connections.Ask, exc: errors.PortError) -> None:
+    def _fail_request(
+        self, request: connections.Ask, exc: errors.PortError
+    ) -> None:
         with self._lock:
-            if not ask.done.is_set():
-                ask.exc = exc
-                ask.done.set()
+            if not request.done.is_set():
+                request.exc = exc
+                request.done.set()
 
 
-def _payload(msg: messages.Message) -> bytes:
+def _encode_payload(msg: messages.Message) -> bytes:
     payload = messages.encode(msg)
     if len(payload) > messages.MAX_BYTES:
         raise errors.UnreachableError(
--- a/packages/adapters/foxtaildale_adapters/probe.py
+++ b/packages/adapters/foxtaildale_adapters/probe.py
@@ -1,11 +1,11 @@
-"""Asks whether anything listens at a backend server's address."""
+"""Checks whether a process listens at a backend server's address."""
 
 import socket
 from typing import Final
 
 from foxtaildale import ports
 
-# Longest wait for a connection, seconds.
+# Maximum wait for a connection, seconds.
 PROBE_S: Final = 0.15
 
 
@@ -15,7 +15,7 @@
     __slots__ = ()
 
     def check(self, address: str) -> ports.ProbeResult:
-        """Returns what became of a connection to 'IP:PORT'."""
+        """Returns the result of connecting to 'IP:PORT'."""
         host, _, port = address.rpartition(':')
         try:
             socket.create_connection((host, int(port)), PROBE_S).close()
--- a/packages/adapters/foxtaildale_adapters/services.py
+++ b/packages/adapters/foxtaildale_adapters/services.py
@@ -2,9 +2,10 @@
 
     POST /CALL, header `Foxtaildale-Request` -> any status and body
 
-A call may be one that must not run twice, so nothing is repeated and every
-call takes a connection of its own: an idle one that closes, or that something
-in between has forgotten, would leave a request's fate unknown for nothing.
+A call may be one that must not run twice, so no call is retried and every call
+opens its own connection. If a call reused an idle connection that the service
+closes, or that a middlebox on the path has dropped, it would be needlessly
+unknown whether the request ran.
 """
 
 from typing import Final
@@ -12,7 +13,7 @@
 from foxtaildale import ports
 from foxtaildale_adapters import exchange
 
-# Lets the service recognise a request.
+# Carries the request id, by which the service recognises a request.
 REQUEST_HEADER: Final = 'Foxtaildale-Request'
 
 
@@ -32,8 +33,8 @@
         request: str,
         timeout_s: float,
     ) -> ports.Reply:
-        """Sends one call; `request` lets the service recognise it."""
-        answer = self._exchange.send(
+        """Sends one call; the service recognises it by the id `request`."""
+        response = self._exchange.send(
             address,
             'POST',
             '/' + exchange.quote(call),
@@ -46,4 +47,4 @@
             },
             reuse=False,
         )
-        return ports.Reply(answer.status, answer.body)
+        return ports.Reply(response.status, response.body)
