--- a/packages/adapters/foxtaildale_adapters/flow.py
+++ b/packages/adapters/foxtaildale_adapters/flow.py
@@ -17,7 +17,7 @@
 
 
 class Taken:
-    """The read-ahead of an engine's stream, and the socket to read from next."""
+    """The buffered input of an engine's stream, and its socket."""
 
     __slots__ = ('items', 'rest', 'sock')
 
@@ -128,7 +128,7 @@
     def run(
         self, carrier: pump.Pump, sock: socket.socket, silence_s: float
     ) -> None:
-        """Reads until the response completes or fails or the caller disconnects.
+        """Reads until the response ends or fails or the caller disconnects.
 
         Raises:
             errors.NoReplyError: The stream of the engine broke or was silent.
--- a/packages/adapters/foxtaildale_adapters/metrics.py
+++ b/packages/adapters/foxtaildale_adapters/metrics.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from aioprometheus import collectors
 
-# Upper bounds of the histograms' buckets, seconds. The buckets are narrow around
+# Upper bounds of the histograms' buckets, seconds. The buckets are narrow near
 # the targets for the first token (0.34 s) and between tokens (29 ms).
 FIRST_ANSWER_S: Final = (
     0.01, 0.02, 0.05, 0.1, 0.2, 0.34, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0,
