--- a/packages/adapters/foxtaildale_adapters/flight.py
+++ b/packages/adapters/foxtaildale_adapters/flight.py
@@ -1,11 +1,12 @@
-"""One request to one backend server, with a connection to itself.
+"""One request to one backend server, on a connection used by it alone.
 
-A connection that served a request to its end may serve another that can be sent
-again (`idle`). One that must not run twice takes a new connection: on an idle
-one that the other side just closed it is not known whether the request arrived.
+After a complete response, the connection may be reused for another request that
+is safe to send twice (`idle`). A request that must not run twice uses a new
+connection: if the backend server has just closed an idle connection, it is
+unknown whether the request arrived.
 
-`cancel` may be called from any thread at any time; it shuts the connection
-down, which wakes the thread that waits on it and tells the backend server.
+`cancel` may be called from any thread at any time. It shuts the connection
+down, which wakes the thread that waits on it and notifies the backend server.
 """
 
 from collections.abc import Mapping
@@ -23,23 +24,23 @@
 from foxtaildale_adapters import exchange
 from foxtaildale_adapters import idle
 
-# Bound on connecting, seconds. Round trips take a few milliseconds. A lost
-# opening packet is sent again after one second, by when another server could
-# have answered; nothing was sent, so trying one is always allowed.
+# Connection timeout, seconds. Round trips take a few milliseconds. TCP resends a
+# lost SYN after one second, by when another server could have replied. No
+# request was sent at that point, so trying another server is always safe.
 CONNECT_S: Final = 0.2
-# Bytes that were sent and not acknowledged for this long end the connection,
-# milliseconds: a machine behind a partition sends no reset.
+# TCP closes the connection if sent bytes stay unacknowledged for this long,
+# milliseconds. A machine behind a network partition sends no reset.
 UNACKNOWLEDGED_MS: Final = 4000
 _READ_BYTES: Final = 65536
-# As the library tells the version of an answer.
+# Value with which the library reports version HTTP/1.1 of a response.
 _HTTP_1_1: Final = 11
-_OPTIONS: Final[list[tuple[int, int, int | bytes]]] = [
+_SOCKET_OPTIONS: Final[list[tuple[int, int, int | bytes]]] = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
 ]
 # Errors of the library, of the protocol parser, and of a socket that another
 # thread closed.
-_LOST: Final = (
+_CONNECTION_ERRORS: Final = (
     urllib3.exceptions.HTTPError,
     http.client.HTTPException,
     OSError,
@@ -49,7 +50,7 @@
 
 
 class Answer:
-    """Status line and headers as they came."""
+    """Status and headers of a response, as received."""
 
     __slots__ = ('headers', 'status')
 
@@ -67,6 +68,7 @@
         '_address',
         '_body',
         '_cancelled',
+        '_complete',
         '_conn',
         '_headers',
         '_idle',
@@ -74,7 +76,6 @@
         '_method',
         '_resp',
         '_target',
-        '_whole',
     )
 
     def __init__(
@@ -95,42 +96,43 @@
             target: Path and query as they are sent.
             headers: Headers as they are sent.
             body: Bytes to send.
-            idle_conns: Where a connection is taken from, if there is one, and
-                kept. None for a request that must not be sent twice.
+            idle_conns: Pool from which an idle connection is taken, if there is
+                one, and to which it is returned. None for a request that must
+                not be sent twice.
         """
         self._address = address
         self._idle = idle_conns
-        kept = idle_conns.take(address) if idle_conns is not None else None
-        self._conn = kept or _connection(address)
+        idle_conn = idle_conns.take(address) if idle_conns is not None else None
+        self._conn = idle_conn or _connection(address)
         self._method = method
         self._target = target
         self._headers = dict(headers)
         names = {name.lower() for name in headers}
         for name in ('User-Agent', 'Accept-Encoding'):
-            # The library would add its own.
+            # The library would add its own header.
             if name.lower() not in names:
                 self._headers[name] = urllib3.util.SKIP_HEADER
         self._body = body
-        # Whether the answer was read to its proper end.
-        self._whole = False
+        # Whether the response body was read to its regular end.
+        self._complete = False
         self._resp: urllib3.BaseHTTPResponse | None = None
-        # Guards the flag: a cancel before the socket exists must keep it from
-        # being used at all.
+        # Guards `_cancelled`: a cancellation before the socket exists must
+        # prevent any use of the socket.
         self._lock = threading.Lock()
         self._cancelled = False
 
     def send(self, timeout_s: float) -> None:
-        """Connects and sends the whole request.
+        """Connects and sends the complete request.
 
         Raises:
             errors.UnreachableError: Nothing was sent.
-            errors.BrokenOffError: A part may have been.
+            errors.ConnectionBrokenError: A part may have been sent.
         """
         self._conn.timeout = min(timeout_s, CONNECT_S)
         try:
             if self._conn.sock is None:
                 self._conn.connect()
-        except _LOST as exc:
+        except _CONNECTION_ERRORS as exc:
             self.cancel()
             raise errors.UnreachableError(str(exc)) from exc
         with self._lock:
@@ -148,55 +150,55 @@
                 decode_content=False,
             )
         except BrokenPipeError:
-            # The other side answered before it had read a long body; `answer`
-            # reads what it said.
+            # The backend server responded before it had read a long body;
+            # `answer` reads the response.
             pass
-        except _LOST as exc:
+        except _CONNECTION_ERRORS as exc:
             self.cancel()
             raise errors.ConnectionBrokenError(str(exc)) from exc
 
     def answer(self, timeout_s: float) -> Answer:
-        """Waits for the head of the answer.
+        """Waits for the head of the response.
 
         Raises:
-            errors.AnswerLostError: None came, or what came is none.
+            errors.NoReplyError: No response arrived, or it is malformed.
         """
         try:
-            self._wait_at_most(timeout_s)
+            self._set_timeout(timeout_s)
             self._conn.timeout = timeout_s
             resp = self._conn.getresponse()
             _check_framing(resp)
         except TimeoutError as exc:
             self.cancel()
             raise exchange.TimeoutLostError('no answer in time') from exc
-        except _LOST as exc:
+        except _CONNECTION_ERRORS as exc:
             self.cancel()
             raise errors.ConnectionBrokenError(str(exc)) from exc
         self._resp = resp
         return Answer(resp.status, tuple(resp.headers.items()))
 
     def read(self, timeout_s: float) -> bytes:
-        """Waits for a piece of the body; empty at its proper end.
+        """Waits for a chunk of the body; returns b'' at its regular end.
 
         Raises:
-            errors.AnswerLostError: The body broke off or fell silent.
+            errors.NoReplyError: The body ended early or timed out.
         """
         if self._resp is None:
-            raise errors.InvariantError('a body is read behind its head')
+            raise errors.InvariantError('body read before the response head')
         try:
-            self._wait_at_most(timeout_s)
+            self._set_timeout(timeout_s)
             data = self._resp.read1(_READ_BYTES)
-            self._whole = not data
+            self._complete = not data
             return data
         except urllib3.exceptions.ReadTimeoutError as exc:
             self.cancel()
             raise exchange.TimeoutLostError('silent') from exc
-        except _LOST as exc:
+        except _CONNECTION_ERRORS as exc:
             self.cancel()
             raise errors.ConnectionBrokenError(str(exc)) from exc
 
     def cancel(self) -> None:
-        """Ends the connection now; may be called more than once."""
+        """Shuts the connection down; may be called more than once."""
         with self._lock:
             self._cancelled = True
             sock = self._conn.sock
@@ -206,33 +208,33 @@
                 elif self._resp is not None:
                     self._resp.shutdown()
             except (OSError, RuntimeError, ValueError):
-                pass  # The other side closed it first.
+                pass  # The backend server closed it first.
 
     def close(self) -> None:
-        """Frees the connection; only the thread that reads calls it."""
-        if self._keep():
+        """Releases the connection; only the reading thread may call it."""
+        if self._return_to_pool():
             return
         self.cancel()
         if self._resp is not None:
             self._resp.close()
         self._conn.close()
 
-    def _keep(self) -> bool:
-        """Keeps the connection for another request, if it may serve one."""
-        if self._idle is None or self._resp is None or not self._whole:
+    def _return_to_pool(self) -> bool:
+        """Returns the connection to the pool if it can be reused."""
+        if self._idle is None or self._resp is None or not self._complete:
             return False
-        if not _may_serve_another(self._resp):
+        if not _is_reusable(self._resp):
             return False
         with self._lock:
             if self._cancelled or self._conn.sock is None:
                 return False
-            # A late cancel must not meet the next request.
+            # A late cancellation must not affect the next request.
             conn, self._conn = self._conn, _connection(self._address)
             resp, self._resp = self._resp, None
-        self._idle.put(self._address, conn, _told_s(resp))
+        self._idle.put(self._address, conn, _keep_alive_s(resp))
         return True
 
-    def _wait_at_most(self, timeout_s: float) -> None:
+    def _set_timeout(self, timeout_s: float) -> None:
         sock = self._conn.sock
         if sock is not None:
             sock.settimeout(max(0.001, timeout_s))
@@ -241,12 +243,12 @@
 def _connection(address: str) -> urllib3.connection.HTTPConnection:
     host, _, port = address.rpartition(':')
     return urllib3.connection.HTTPConnection(
-        host, int(port), timeout=CONNECT_S, socket_options=_OPTIONS
+        host, int(port), timeout=CONNECT_S, socket_options=_SOCKET_OPTIONS
     )
 
 
-def _may_serve_another(resp: urllib3.BaseHTTPResponse) -> bool:
-    """Whether the other side leaves the connection open behind an answer."""
+def _is_reusable(resp: urllib3.BaseHTTPResponse) -> bool:
+    """Whether the server keeps the connection open after a response."""
     names = resp.headers.get('Connection', '').lower()
     framed = 'Content-Length' in resp.headers or resp.headers.get(
         'Transfer-Encoding'
@@ -254,8 +256,8 @@
     return bool(framed) and resp.version == _HTTP_1_1 and 'close' not in names
 
 
-def _told_s(resp: urllib3.BaseHTTPResponse) -> float | None:
-    """Returns how long the other side says that it keeps the connection."""
+def _keep_alive_s(resp: urllib3.BaseHTTPResponse) -> float | None:
+    """Returns the timeout of the Keep-Alive header, seconds."""
     for part in resp.headers.get('Keep-Alive', '').split(','):
         name, _, value = part.strip().partition('=')
         if name.lower() == 'timeout' and value.isdecimal():
@@ -264,18 +266,18 @@
 
 
 def _check_framing(resp: urllib3.BaseHTTPResponse) -> None:
-    """Refuses lengths that the library reads in its own way.
+    """Rejects framing that the library would interpret differently.
 
     Raises:
-        ValueError: The end of the body can't be told.
+        ValueError: The end of the body can't be determined.
     """
     if not 200 <= resp.status <= 599:
         raise ValueError(f'status {resp.status}')
     length = resp.headers.get('Content-Length')
     coding = resp.headers.get('Transfer-Encoding')
     if length is not None and not (length.isascii() and length.isdigit()):
-        raise ValueError('the length is not a number')
+        raise ValueError('Content-Length is not a number')
     if coding is not None and coding.strip().lower() != 'chunked':
         raise ValueError('unknown transfer coding')
     if coding is not None and length is not None:
-        raise ValueError('two ways to tell the end of the body')
+        raise ValueError('both Content-Length and Transfer-Encoding')
--- a/packages/adapters/foxtaildale_adapters/incoming.py
+++ b/packages/adapters/foxtaildale_adapters/incoming.py
@@ -1,4 +1,4 @@
-"""One request of a caller and the answer to it."""
+"""An HTTP request of a caller and the response to it."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -18,12 +18,14 @@
 JSON: Final = {'Content-Type': 'application/json'}
 EVENT_STREAM: Final = 'text/event-stream'
 _LAST_CHUNK: Final = b'0\r\n\r\n'
-# Probes: an interim response before the answer, a comment line within an
-# event stream. Clients must skip both.
-_INTERIM: Final = b'HTTP/1.1 100 Continue\r\n\r\n'
-_COMMENT: Final = b'3\r\n:\n\n\r\n'
-
-# Said to a caller whose earlier try may be running elsewhere.
+# Probes that detect whether a caller still reads: an interim response before
+# the final one, or a comment line within an event stream. HTTP and event stream
+# clients must ignore both.
+_INTERIM_RESPONSE: Final = b'HTTP/1.1 100 Continue\r\n\r\n'
+_COMMENT_CHUNK: Final = b'3\r\n:\n\n\r\n'
+
+# Added to the error message for a caller whose earlier attempt may be running
+# at another VM.
 EARLIER: Final = 'This is of this try alone; an earlier one may have run.'
 _IDENTITIES: Final = (b'idempotency-key:', b'foxtaildale-ticket:')
 
@@ -31,7 +33,7 @@
 
 
 def has_identity(head: bytes) -> bool:
-    """Whether what came of a request's head names a key or a ticket."""
+    """Whether the received part of a request head names a key or a ticket."""
     lowered = head.partition(b'\r\n\r\n')[0].lower()
     return any(name in lowered for name in _IDENTITIES)
 
@@ -44,16 +46,16 @@
     *,
     sure: bool = True,
 ) -> bytes:
-    """Returns the JSON body of an error that no request id stands for.
+    """Returns the JSON body of an error that has no request id.
 
     Args:
-        code: What is wrong.
-        figures: For its sentence.
-        entry_vm: Where it was found.
-        retry_after_s: When to come back, seconds.
-        sure: Whether "not run" may be said. A caller under a key or ticket
-            takes it for an answer to its earlier tries too, and one of them
-            may be running at another VM.
+        code: Error code.
+        figures: Values for the placeholders of the message.
+        entry_vm: Entry VM that detected the error.
+        retry_after_s: Time after which the caller may retry, seconds.
+        sure: Whether the body may report "not run". A caller that sent a key
+            or ticket applies the report to its earlier attempts too, and one
+            of them may be running at another VM.
     """
     ran, message = code.ran, code.sentence.format(**figures)
     if not sure and ran == 'no':
@@ -70,29 +72,30 @@
 
 
 class Handler(Protocol):
-    """What serves the incoming."""
+    """Handles the requests of callers."""
 
     def handle(self, exchange: 'Exchange') -> None:
-        """Answers one request before it returns."""
+        """Sends the response to one request before returning."""
 
 
 class Exchange:
-    """A request that arrived whole, and its answer.
+    """A completely received request and its response.
 
-    One thread answers, by `respond` alone or by `start`, `send` and
-    `finish`. An exchange that was started and not finished is cut, so that no
-    caller takes a part for the whole.
+    One thread sends the response, either with `respond` alone or with `start`,
+    `send` and `finish`. The connection of an exchange that was started but not
+    finished is closed, so that no caller mistakes a partial response for a
+    complete one.
     """
 
     __slots__ = (
         '_chunked',
+        '_disconnected',
         '_events',
-        '_gone',
         '_lock',
         '_req',
-        '_rest',
         '_sock',
         '_state',
+        '_unsent',
         '_watcher',
         'body',
         'headers',
@@ -113,7 +116,7 @@
         self.query: str = req.qs.decode('latin-1')
         # Path and query as the caller sent them.
         self.target: str = req.uri.decode('latin-1')
-        # Names in lower case.
+        # Header names are in lower case.
         self.headers: dict[str, str] = {
             name.decode('latin-1').lower(): value.decode('latin-1')
             for name, value in req.inheaders.items()
@@ -122,33 +125,33 @@
         self._req = req
         self._sock: socket.socket = req.conn.socket
         self._watcher = watcher
-        # Keeps probes out of the middle of an answer.
+        # Prevents a probe from being sent in the middle of a response.
         self._lock = threading.Lock()
         self._state = 'waiting'
         self._chunked = False
-        # Whether the answer is an event stream.
+        # Whether the response is an event stream.
         self._events = False
-        self._gone = False
-        # What `offer` could not send yet.
-        self._rest = b''
+        self._disconnected = False
+        # Bytes that `offer` has not sent yet.
+        self._unsent = b''
 
     @property
     def started(self) -> bool:
-        """Whether a byte of the answer may have left."""
+        """Whether a byte of the response may have been sent."""
         return self._state != 'waiting'
 
     @property
     def finished(self) -> bool:
-        """Whether the whole answer was sent."""
+        """Whether the complete response was sent."""
         return self._state == 'finished'
 
     def respond(
         self, status: int, headers: Mapping[str, str], body: bytes
     ) -> bool:
-        """Sends a whole answer.
+        """Sends a complete response.
 
         Returns:
-            False if the caller is gone.
+            False if the caller disconnected.
         """
         self._begin(status, headers, len(body))
         if not self._write(self._head(body)):
@@ -157,10 +160,10 @@
         return True
 
     def start(self, status: int, headers: Mapping[str, str]) -> bool:
-        """Sends the head of an answer whose body follows in pieces.
+        """Sends the head of a response whose body follows in chunks.
 
         Returns:
-            False if the caller is gone.
+            False if the caller disconnected.
         """
         self._begin(status, headers, None)
         sent = self._write(self._head(b''))
@@ -168,44 +171,46 @@
         return sent
 
     def send(self, data: bytes) -> bool:
-        """Sends a piece of the body at once; of an event stream, whole events.
+        """Sends a chunk of the body immediately.
+
+        A chunk of an event stream must consist of complete events.
 
         Returns:
-            False if the caller is gone or does not read.
+            False if the caller disconnected or does not read.
         """
         if not data:
-            return not self._gone
+            return not self._disconnected
         return self._write(self._chunk(data))
 
     def offer(self, data: bytes) -> bool:
-        """Sends a piece of the body as far as it goes without waiting.
+        """Sends as much of a body chunk as is possible without blocking.
 
         Returns:
-            False if `flush` must be called before more is offered, which may
-            wait for the caller to read.
+            False if `flush`, which may wait for the caller to read, must be
+            called before the next chunk.
         """
         if not data:
-            return not self._gone
+            return not self._disconnected
         chunk = self._chunk(data)
         with self._lock:
-            if self._gone or self._rest:
-                self._rest += chunk
+            if self._disconnected or self._unsent:
+                self._unsent += chunk
                 return False
             try:
                 sent = self._sock.send(chunk, socket.MSG_DONTWAIT)
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self._gone = True
+                self._disconnected = True
                 return False
-            self._rest = chunk[sent:]
-        return not self._rest
+            self._unsent = chunk[sent:]
+        return not self._unsent
 
     def flush(self) -> bool:
-        """Waits until all that was offered is sent.
+        """Waits until all chunks passed to `offer` are sent.
 
         Returns:
-            False if the caller is gone or does not read.
+            False if the caller disconnected or does not read.
         """
         return self._write(b'')
 
@@ -213,43 +218,44 @@
         """Ends the body.
 
         Returns:
-            False if the caller is gone.
+            False if the caller disconnected.
         """
         if self._chunked and not self._write(_LAST_CHUNK):
             return False
-        if self._gone:
+        if self._disconnected:
             return False
         self._state = 'finished'
         return True
 
     def gone(self) -> bool:
-        """Whether the caller hung up, as far as TCP tells; see `hangups`."""
-        if not self._gone:
+        """Whether TCP reports that the caller disconnected; see `hangups`."""
+        if not self._disconnected:
             reset, fin = hangups.look(self._sock)
-            if reset or (fin and not self._listening()):
-                self._gone = True
-        return self._gone
+            if reset or (fin and not self._still_reads()):
+                self._disconnected = True
+        return self._disconnected
 
     def watch(self, callback: Callable[[], None]) -> None:
-        """Calls back once, from another thread, when the caller hangs up.
+        """Registers a callback for the disconnection of the caller.
 
-        The callback must be quick. It is not called after the exchange.
+        Another thread calls it at most once, and never after the exchange has
+        ended. It must return quickly.
         """
 
-        def note() -> None:
-            self._gone = True
+        def on_hangup() -> None:
+            self._disconnected = True
             callback()
 
-        self._watcher.add(self._sock.fileno(), self._listening, note)
+        self._watcher.add(self._sock.fileno(), self._still_reads, on_hangup)
 
     def end(self) -> None:
-        """Ends the watch; called by the server when the handler is through."""
+        """Removes the watch; the server calls it after the handler returned."""
         if self._sock.fileno() >= 0:
             self._watcher.remove(self._sock.fileno())
 
     def cut(self) -> None:
-        """Ends the connection now, whatever was sent."""
-        self._gone = True
+        """Closes the connection immediately, even within a response."""
+        self._disconnected = True
         try:
             self._sock.shutdown(socket.SHUT_RDWR)
         except OSError:
@@ -264,10 +270,10 @@
             phrase = http.HTTPStatus(status).phrase
         except ValueError:
             phrase = 'Other'
-        # The library's own code wants bytes here, its stub says str.
-        line: Any = f'{status} {phrase}'.encode('latin-1')
-        req.status = line
-        # A caller must not send its next request to a stopping process.
+        # The library requires bytes here although its stub declares str.
+        status_line: Any = f'{status} {phrase}'.encode('latin-1')
+        req.status = status_line
+        # A caller must not send its next request to a process that is stopping.
         if req.server.draining:
             req.close_connection = True
         req.outheaders = [
@@ -279,18 +285,18 @@
         self._state = 'started'
 
     def _head(self, body: bytes) -> bytes:
-        """Returns the head with `body` behind it, for a single send."""
-        catcher = _Catcher()
+        """Returns the head followed by `body`, for a single send."""
+        buffer = _HeadBuffer()
         wfile: Any = self._req.conn.wfile
-        self._req.conn.wfile = catcher
+        self._req.conn.wfile = buffer
         try:
             self._req.ensure_headers_sent()
         finally:
             self._req.conn.wfile = wfile
         self._chunked = self._req.chunked_write
-        # The last chunk is `finish`'s; the library must not add another.
+        # `finish` sends the last chunk; the library must not add another.
         self._req.chunked_write = False
-        return catcher.data + (body if self.method != 'HEAD' else b'')
+        return buffer.data + (body if self.method != 'HEAD' else b'')
 
     def _chunk(self, data: bytes) -> bytes:
         if self._chunked:
@@ -298,28 +304,29 @@
         return data
 
     def _write(self, data: bytes) -> bool:
-        if self._gone:
+        if self._disconnected:
             return False
         try:
             with self._lock:
-                data = self._rest + data
-                self._rest = b''
+                data = self._unsent + data
+                self._unsent = b''
                 self._sock.sendall(data)
         except OSError:
-            # Reset, or not reading for the whole timeout: in both cases a
-            # part of the data may be lost, so nothing may follow it.
+            # The connection was reset, or the caller did not read within the
+            # timeout. In both cases a part of the data may be lost, so nothing
+            # more may be sent.
             self.cut()
             return False
         return True
 
-    def _listening(self) -> bool:
+    def _still_reads(self) -> bool:
         """Whether a caller that sent a FIN still reads."""
         return self._req.server.half_close and self._probe()
 
     def _probe(self) -> bool:
-        """Sends bytes that a listening caller skips; False if it is gone."""
+        """Sends bytes that callers ignore; False if the caller disconnected."""
         if not self._lock.acquire(blocking=False):
-            # An answer is being sent just now, which probes as well.
+            # A response is being sent, which detects a disconnection as well.
             return True
         try:
             data = self._probe_bytes()
@@ -333,18 +340,18 @@
 
     def _probe_bytes(self) -> bytes:
         if self._state == 'waiting':
-            modern = self._req.response_protocol == 'HTTP/1.1'
-            return _INTERIM if modern else b''
-        if self._rest:
-            # In the middle of a chunk.
+            is_http_1_1 = self._req.response_protocol == 'HTTP/1.1'
+            return _INTERIM_RESPONSE if is_http_1_1 else b''
+        if self._unsent:
+            # A probe would corrupt the chunk that is partly sent.
             return b''
         if self._state == 'started' and self._events and self._chunked:
-            return _COMMENT
+            return _COMMENT_CHUNK
         return b''
 
 
-class _Catcher:
-    """Stands for the library's output file while it writes a head."""
+class _HeadBuffer:
+    """Replaces the library's output file while it writes a head."""
 
     __slots__ = ('data',)
 
@@ -352,5 +359,5 @@
         self.data = b''
 
     def write(self, data: bytes) -> None:
-        """Keeps what is written."""
+        """Appends the data to the buffer."""
         self.data += data
