--- a/packages/adapters/foxtaildale_adapters/__init__.py
+++ b/packages/adapters/foxtaildale_adapters/__init__.py
@@ -1,1 +1,4 @@
-"""Adapters: HTTP, ZeroMQ, the platform and logs behind the ports of the core."""
+"""Adapters for HTTP, ZeroMQ, the platform and logs.
+
+They implement the ports of the core.
+"""
--- a/packages/adapters/foxtaildale_adapters/callers.py
+++ b/packages/adapters/foxtaildale_adapters/callers.py
@@ -1,4 +1,4 @@
-"""The HTTP server that faces callers; `httpd` says how it treats them."""
+"""The HTTP server for callers; `httpd` describes its connection handling."""
 
 import threading
 from typing import Final
@@ -7,13 +7,13 @@
 from foxtaildale_adapters import httpd
 from foxtaildale_adapters import incoming
 
-# How long `close` waits for handlers that are still at work, seconds.
+# Timeout of `close` for handlers that are still running, seconds.
 CLOSE_S: Final = 3.0
-# Time between looks for connections that were idle for too long, which is also
-# how long a close waits, seconds. A look wakes a thread.
+# Interval between checks for connections that exceeded the idle timeout, and
+# maximum delay of a close, seconds. Each check wakes a thread.
 LOOK_S: Final = 0.1
-# An idle timeout of minus this closes every idle connection at the library's
-# next look, whatever the time of day did meanwhile; seconds.
+# The negated value, set as idle timeout, closes every idle connection at the
+# library's next check, even if the wall clock was adjusted; seconds.
 NEVER_IDLE_S: Final = 1e6
 
 Exchange = incoming.Exchange
@@ -21,20 +21,20 @@
 
 
 class Server:
-    """Serves callers.
+    """HTTP server for callers.
 
     Args:
-        address: 'IP:PORT' to bind; port 0 lets the kernel choose.
-        handler: Answers the exchanges, each in a thread of its own.
-        threads: Exchanges at once.
-        timeout_s: Time for a request to arrive whole, and longest wait for a
-            caller that does not read its answer, seconds.
-        max_body_bytes: Longest body taken.
-        entry_vm: Name for errors that no handler sees.
+        address: 'IP:PORT' to bind. With port 0 the kernel chooses the port.
+        handler: Handles the exchanges, each in its own thread.
+        threads: Maximum number of concurrent exchanges.
+        timeout_s: Timeout for the complete request to arrive, and for a caller
+            that does not read its response, seconds.
+        max_body_bytes: Maximum body length, bytes.
+        entry_vm: Entry VM to name in errors that occur before the handler.
         half_close: Whether a caller that closed its sending side may still
-            listen; it is probed then. Where callers never do that, a FIN
-            alone says that the caller is gone.
-        look_s: Time between looks for idle connections, seconds.
+            read; it is probed then. If callers never do that, a FIN alone
+            means that the caller disconnected.
+        look_s: Interval between checks for idle connections, seconds.
     """
 
     __slots__ = ('_server', '_thread')
@@ -62,7 +62,7 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> str:
-        """Binds and serves.
+        """Binds the address and starts serving.
 
         Returns:
             The bound address.
@@ -71,63 +71,67 @@
             errors.UnreachableError: The address can't be bound.
         """
         bound = threading.Event()
-        failed: list[OSError] = []
+        bind_errors: list[OSError] = []
 
-        def run() -> None:
+        def serve() -> None:
             try:
                 self._server.prepare()
             except OSError as exc:
-                failed.append(exc)
+                bind_errors.append(exc)
                 return
             finally:
                 bound.set()
             self._server.serve()
 
-        # The library's threads inherit that this one is a daemon: a handler
-        # that hangs can't keep a stopped process alive.
-        self._thread = threading.Thread(target=run, name='callers', daemon=True)
+        # The library's threads inherit the daemon flag of this thread, so a
+        # handler that hangs can't keep a stopped process alive.
+        self._thread = threading.Thread(
+            target=serve, name='callers', daemon=True
+        )
         self._thread.start()
         bound.wait()
-        if failed:
-            raise errors.UnreachableError(str(failed[0])) from failed[0]
+        if bind_errors:
+            raise errors.UnreachableError(str(bind_errors[0])) from bind_errors[
+                0
+            ]
         self._server.watcher.start()
         host, port = self._server.bind_addr
         return f'{host}:{port}'
 
     def on_limits(self, idle_s: float, read_s: float, body_bytes: int) -> None:
-        """Takes new limits; requests in progress keep what they began with.
+        """Sets new limits; requests in progress keep their previous limits.
 
         Args:
-            idle_s: How long a connection may wait for its next request.
-            read_s: Time for a request to arrive whole.
-            body_bytes: Longest body taken.
+            idle_s: Idle timeout of a connection, seconds.
+            read_s: Timeout for the complete request to arrive, seconds.
+            body_bytes: Maximum body length, bytes.
         """
         self._server.timeout = idle_s  # type: ignore[assignment]
         self._server.read_s = read_s
         self._server.max_request_body_size = body_bytes
 
     def announce_stop(self) -> None:
-        """Goes on accepting; every answer closes its connection."""
+        """Keeps accepting, but closes each connection after its response."""
         self._server.draining = True
 
     def stop_accepting(self) -> None:
-        """Takes no new connections; answers close the ones there are."""
+        """Stops accepting; existing connections close after their response."""
         if self._server.accepting:
             self._server.accepting = False
             self._server.stop_accepting()
 
     def close_idle(self) -> None:
-        """Closes connections that wait for a request, within a moment.
+        """Closes the connections that wait for a request at the next check.
 
-        One whose request is under way is answered and closes after it.
+        A connection with a request in progress closes after its response.
         """
         self._server.timeout = -NEVER_IDLE_S  # type: ignore[assignment]
 
     def drain(self, timeout_s: float) -> bool:
-        """Waits until every exchange ended.
+        """Waits until no exchange is in progress.
 
         Returns:
-            False if some were still going on at the timeout.
+            False if some were still in progress at the timeout.
         """
         with self._server.idle_again:
             return self._server.idle_again.wait_for(
@@ -135,19 +139,19 @@
             )
 
     def busy(self) -> int:
-        """Returns how many exchanges are going on."""
+        """Returns the number of exchanges in progress."""
         return self._server.busy
 
     def close(self) -> None:
         """Closes every connection, also those in use.
 
-        Takes a few seconds at most, whatever the handlers do.
+        Returns after a few seconds at most, even if handlers hang.
         """
         if self._thread is None or not self._thread.is_alive():
             return
         self.stop_accepting()
-        # The library waits for its threads without a bound; a handler that
-        # hangs would keep a stopped process alive for good.
+        # The library waits for its threads without a timeout, so a handler
+        # that hangs would keep a stopped process alive forever.
         stop = threading.Thread(target=self._server.stop, daemon=True)
         stop.start()
         stop.join(CLOSE_S)
--- a/packages/adapters/foxtaildale_adapters/connections.py
+++ b/packages/adapters/foxtaildale_adapters/connections.py
@@ -1,4 +1,4 @@
-"""One ZeroMQ connection to another process, and what is asked over it."""
+"""A ZeroMQ connection to another process and the requests sent over it."""
 
 import collections
 import threading
@@ -10,7 +10,7 @@
 from foxtaildale import messages
 
 SEQUENCE_BYTES: Final = 8
-_ENDED: Final = (
+_CLOSE_EVENTS: Final = (
     zmq.EVENT_CLOSED
     | zmq.EVENT_DISCONNECTED
     | zmq.EVENT_CONNECT_RETRIED
@@ -23,7 +23,7 @@
 
 
 class Counts:
-    """What passed over one side of the wire since the start."""
+    """Message counts of one side since its start."""
 
     __slots__ = (
         'dropped',
@@ -37,44 +37,44 @@
     )
 
     def __init__(self) -> None:
-        # Messages, and bytes of their payload.
+        # Numbers of messages, and bytes of their payload.
         self.sent = 0
         self.sent_bytes = 0
         self.received = 0
         self.received_bytes = 0
-        # Garbage, oversized frames and failed handshakes.
+        # Invalid messages, oversized frames and failed handshakes.
         self.dropped = 0
-        # Replies whose asker had given up.
+        # Replies that arrived after their request timed out.
         self.late = 0
-        # Connections opened, and of those given up for their silence.
+        # Connections opened, and those of them closed for lack of heartbeats.
         self.opened = 0
         self.silent = 0
 
 
 class Ask:
-    """One message on its way."""
+    """A request message that waits for its reply."""
 
     __slots__ = ('done', 'exc', 'payload', 'reply', 'sent', 'sequence')
 
     def __init__(self, sequence: int, payload: bytes) -> None:
         self.sequence = sequence.to_bytes(SEQUENCE_BYTES, 'big')
         self.payload = payload
-        # True as soon as a byte of it may leave this process.
+        # True as soon as a byte of the request may have left this process.
         self.sent = False
         self.reply: bytes | None = None
         self.exc: errors.PortError | None = None
-        # Set when reply or exc is there; also marks an abandoned ask.
+        # Set together with `reply` or `exc`, and when the request is abandoned.
         self.done = threading.Event()
 
     def lost(self, text: str) -> errors.PortError:
-        """Returns what can be said of an ask without an answer."""
+        """Returns the error for a request that got no reply."""
         if self.sent:
             return errors.NoReplyError(text)
         return errors.UnreachableError(text)
 
 
 class Connection:
-    """One socket, connected once."""
+    """A socket that is connected once and never reconnects."""
 
     __slots__ = (
         'address',
@@ -97,23 +97,23 @@
         self.address = address
         self.sock = context.socket(zmq.DEALER)
         self.sock.setsockopt(zmq.LINGER, 0)
-        # Messages go to completed connections only, so what was not handed
-        # over to libzmq was surely not sent.
+        # Messages are queued to established connections only, so a message
+        # that was not passed to libzmq was certainly not sent.
         self.sock.setsockopt(zmq.IMMEDIATE, 1)
         self.sock.setsockopt(zmq.RECONNECT_IVL, -1)
         self.sock.setsockopt(zmq.CONNECT_TIMEOUT, max(1, int(silence_s * 1000)))
         self.sock.setsockopt(zmq.MAXMSGSIZE, messages.MAX_BYTES + 1024)
-        self.monitor = self.sock.get_monitor_socket(_ENDED)
-        # Not handed to libzmq yet.
+        self.monitor = self.sock.get_monitor_socket(_CLOSE_EVENTS)
+        # Requests not yet passed to libzmq.
         self.waiting: collections.deque[Ask] = collections.deque()
-        # Sent, by sequence number.
+        # Sent requests by sequence number.
         self.pending: dict[bytes, Ask] = {}
         self.asked_at = now
         self.heard_at = now
         self.pinged_at = now
 
     def close(self) -> None:
-        """Closes the socket; what libzmq still holds is thrown away."""
+        """Closes the socket; messages queued in libzmq are discarded."""
         self.sock.disable_monitor()
         self.monitor.close(0)
         self.sock.close(0)
--- a/packages/adapters/foxtaildale_adapters/pump.py
+++ b/packages/adapters/foxtaildale_adapters/pump.py
@@ -1,12 +1,14 @@
-"""One thread that reads many streams from engines.
+"""A thread that reads the streams of many engine responses.
 
-With a thread for each stream every token costs a wake-up, a fight for the
-interpreter lock and a sleep, which is most of its price. Here each stream's
-own thread is parked and one thread takes whatever came, stream by stream.
+With one reading thread per stream, every token costs a wake-up, contention for
+the interpreter lock and a sleep, which are most of the cost of a token. Here
+the thread of each stream blocks, and one thread receives the available bytes of
+all streams in turn.
 
-It must never wait for a single stream: it receives without blocking, and what
-it feeds must not block either. A stream whose caller reads too slowly is given
-back to its own thread, which may wait; see `flow`.
+This thread must never wait for a single stream: it receives without blocking,
+and the `Feed` objects that it calls must not block either. A stream whose
+caller reads too slowly is returned to its own thread, which may wait; see
+`flow`.
 """
 
 import select
@@ -20,23 +22,23 @@
 from foxtaildale import ports
 from foxtaildale_adapters import wakes
 
-# Most that is taken from a stream before the next one's turn, bytes.
+# Maximum read from one stream before the next stream is read, bytes.
 BLOCK: Final = 65536
-# Time between looks for silent streams, seconds.
+# Interval between checks for streams that timed out, seconds.
 SWEEP_S: Final = 0.5
 
 
 class Feed(Protocol):
-    """Takes the bytes of one stream."""
+    """Consumes the bytes of one stream."""
 
     def feed(self, block: bytes) -> bool:
-        """Takes bytes without blocking; False if the pump shall let go."""
+        """Consumes bytes without blocking; False to end the reading."""
 
 
 class _Stream:
-    """One stream in the pump's care."""
+    """A registered stream."""
 
-    __slots__ = ('done', 'exc', 'feed', 'heard_at', 'silence_s', 'sock')
+    __slots__ = ('done', 'exc', 'feed', 'last_received_at', 'silence_s', 'sock')
 
     def __init__(
         self, sock: socket.socket, feed: Feed, silence_s: float, now: float
@@ -44,17 +46,17 @@
         self.sock = sock
         self.feed = feed
         self.silence_s = silence_s
-        self.heard_at = now
-        # Why the stream's thread must not go on; raised there.
+        self.last_received_at = now
+        # Exception to raise in the thread of the stream.
         self.exc: BaseException | None = None
         self.done = threading.Event()
 
 
 class Pump:
-    """Feeds streams as their bytes come.
+    """Reads registered streams and passes their bytes to `Feed` objects.
 
     Args:
-        clock: Monotonic seconds.
+        clock: Returns monotonic seconds.
     """
 
     __slots__ = (
@@ -70,38 +72,40 @@
     def __init__(self, clock: ports.Clock = time.monotonic) -> None:
         self._clock = clock
         self._closing = False
-        # No stream may be added once the thread has let go of all.
+        # Prevents a stream from being added after the thread released all.
         self._lock = threading.Lock()
         self._epoll = select.epoll()
         self._wake = wakes.Wake()
         self._epoll.register(self._wake.fileno(), select.EPOLLIN)
-        # By descriptor; a stream's thread adds, the pump's removes.
+        # Streams by file descriptor. The thread of a stream adds it, and the
+        # reading thread removes it.
         self._streams: dict[int, _Stream] = {}
         self._thread = threading.Thread(
             target=self._run, name='pump', daemon=True
         )
 
     def start(self) -> None:
-        """Starts the thread."""
+        """Starts the reading thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Ends the thread; streams still carried end as lost."""
+        """Stops the reading thread; remaining streams fail with `NoReplyError`."""
         with self._lock:
             self._closing = True
         self._wake.set()
         self._thread.join()
 
     def carry(self, sock: socket.socket, feed: Feed, silence_s: float) -> None:
-        """Feeds what comes on a socket until `feed` has enough.
+        """Passes the bytes of a socket to `feed` until it returns False.
 
-        Another thread ends it by shutting the connection down. Nobody may
-        close this handle of it meanwhile: its number could become another
-        stream's, whose bytes would then be fed here.
+        Blocks the calling thread. Another thread may end the reading early by
+        shutting the connection down. The socket must not be closed in the
+        meantime: another stream could get the same file descriptor, and its
+        bytes would then be passed to this `feed`.
 
         Raises:
-            errors.AnswerLostError: The stream broke, ended, or was silent
-                for `silence_s` seconds.
+            errors.NoReplyError: The stream broke, ended, or sent nothing for
+                `silence_s` seconds.
         """
         stream = _Stream(sock, feed, silence_s, self._clock())
         with self._lock:
@@ -114,49 +118,51 @@
             raise stream.exc
 
     def _run(self) -> None:
-        next_sweep = self._clock() + SWEEP_S
+        next_check = self._clock() + SWEEP_S
         while not self._closing:
-            wait_s = max(0.0, next_sweep - self._clock())
+            wait_s = max(0.0, next_check - self._clock())
             for fd, _ in self._epoll.poll(wait_s):
                 stream = self._streams.get(fd)
                 if stream is not None:
-                    self._take(fd, stream)
-            if self._clock() >= next_sweep:
-                self._sweep(self._clock())
-                next_sweep = self._clock() + SWEEP_S
+                    self._receive(fd, stream)
+            if self._clock() >= next_check:
+                self._check_timeouts(self._clock())
+                next_check = self._clock() + SWEEP_S
         for fd, stream in list(self._streams.items()):
-            self._end(fd, stream, errors.NoReplyError('closed'))
+            self._finish(fd, stream, errors.NoReplyError('closed'))
         self._epoll.close()
         self._wake.close()
 
-    def _take(self, fd: int, stream: _Stream) -> None:
+    def _receive(self, fd: int, stream: _Stream) -> None:
         try:
             block = stream.sock.recv(BLOCK, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return
         except OSError as exc:
-            self._end(fd, stream, errors.NoReplyError(str(exc)))
+            self._finish(fd, stream, errors.NoReplyError(str(exc)))
             return
         if not block:
-            text = 'stream ended before its last'
-            self._end(fd, stream, errors.NoReplyError(text))
+            text = 'stream ended before its last event'
+            self._finish(fd, stream, errors.NoReplyError(text))
             return
-        stream.heard_at = self._clock()
+        stream.last_received_at = self._clock()
         try:
-            going = stream.feed.feed(block)
+            wants_more = stream.feed.feed(block)
         except BaseException as exc:
-            # The fault is one stream's; the others go on.
-            self._end(fd, stream, exc)
+            # The fault affects this stream only; the others continue.
+            self._finish(fd, stream, exc)
             return
-        if not going:
-            self._end(fd, stream, None)
+        if not wants_more:
+            self._finish(fd, stream, None)
 
-    def _sweep(self, now: float) -> None:
+    def _check_timeouts(self, now: float) -> None:
         for fd, stream in list(self._streams.items()):
-            if now - stream.heard_at > stream.silence_s:
-                self._end(fd, stream, errors.NoReplyError('silent'))
+            if now - stream.last_received_at > stream.silence_s:
+                self._finish(fd, stream, errors.NoReplyError('silent'))
 
-    def _end(self, fd: int, stream: _Stream, exc: BaseException | None) -> None:
+    def _finish(
+        self, fd: int, stream: _Stream, exc: BaseException | None
+    ) -> None:
         del self._streams[fd]
         self._epoll.unregister(fd)
         stream.exc = exc
--- a/packages/adapters/foxtaildale_adapters/wire.py
+++ b/packages/adapters/foxtaildale_adapters/wire.py
@@ -1,12 +1,12 @@
-"""ZeroMQ between the system's own processes: the answering side.
+"""ZeroMQ between the system's own processes: the replying side.
 
-A message travels as one frame: a sequence number of eight bytes that the asker
-chose, then the bytes of `messages.encode`. A reply carries the sequence number
-of what it answers. `Responder` is the answering side; `Peers`, the asking side, lives in
-`peers.py` and is offered here too.
+A message is sent as one frame: a sequence number of eight bytes that the
+requester chose, then the bytes of `messages.encode`. A reply carries the
+sequence number of its request. `Responder` is the replying side; `Peers`, the
+requesting side, is defined in `peers.py` and exported here too.
 
-One thread reads the ROUTER socket and hands messages to a few workers, so a
-slow handler holds up neither heartbeats nor other askers.
+One thread reads the ROUTER socket and passes messages to a few worker threads,
+so a slow handler delays neither heartbeats nor other requesters.
 """
 
 import collections
@@ -27,19 +27,21 @@
 
 Handler = Callable[[messages.Message], messages.Message]
 
-# Messages that may wait for a worker; more are answered `Fail` at once, so
-# that askers hear of the overload instead of waiting it out.
+# Maximum number of messages that wait for a worker thread. Further messages are
+# replied to with `ErrorReply` immediately, so that requesters learn of the
+# overload without waiting for a timeout.
 QUEUE_LIMIT: Final = 10_000
-# How long `close` waits for handlers and for replies to leave, seconds.
+# Timeout of `close` for handlers to return and for replies to be sent, seconds.
 CLOSE_S: Final = 5.0
-# Room for frames just above the limit, which are counted; libzmq drops the
-# connection of anything longer before it is held in memory.
-_FRAME_BYTES: Final = messages.MAX_BYTES + 1024
-_PONG: Final = messages.encode(messages.Pong())
-_BUSY: Final = messages.encode(messages.ErrorReply(code='busy'))
+# Maximum frame size, bytes. It leaves room for frames just above the message
+# limit, which are counted. For a longer frame, libzmq closes the connection
+# before it stores the frame in memory.
+_MAX_FRAME_BYTES: Final = messages.MAX_BYTES + 1024
+_PONG_REPLY: Final = messages.encode(messages.Pong())
+_BUSY_REPLY: Final = messages.encode(messages.ErrorReply(code='busy'))
 _POLL_MS: Final = 500
 
-_HANDSHAKE_FAILED: Final = (
+_HANDSHAKE_FAILURES: Final = (
     zmq.EVENT_HANDSHAKE_FAILED_NO_DETAIL
     | zmq.EVENT_HANDSHAKE_FAILED_PROTOCOL
     | zmq.EVENT_HANDSHAKE_FAILED_AUTH
@@ -47,11 +49,11 @@
 
 
 class Responder:
-    """Answers the messages that reach one address.
+    """Replies to the messages that arrive at one address.
 
-    An exception of the handler becomes a `Fail`, but for a broken invariant:
-    that leaves the worker thread through `threading.excepthook`, where the
-    composition root stops the process.
+    An exception of the handler becomes an `ErrorReply`, except for
+    `InvariantError`: it ends the worker thread through `threading.excepthook`,
+    where the composition root stops the process.
     """
 
     __slots__ = (
@@ -59,9 +61,9 @@
         '_closing',
         '_context',
         '_handler',
-        '_jobs',
         '_monitor',
         '_outbox',
+        '_requests',
         '_router',
         '_thread',
         '_wake',
@@ -72,43 +74,43 @@
     def __init__(
         self, address: str, handler: Handler, workers: int = 4
     ) -> None:
-        # What passed, for metrics and the state dump.
+        # Message counts for metrics and the state dump.
         self.counts = connections.Counts()
         self._address = address
         self._handler = handler
         self._closing = False
-        # Identity, sequence number and message of each that waits.
-        self._jobs: queue.SimpleQueue[
+        # Identity, sequence number and message of each waiting request.
+        self._requests: queue.SimpleQueue[
             tuple[bytes, bytes, messages.Message] | None
         ] = queue.SimpleQueue()
-        # Replies that wait for the thread that owns the socket.
+        # Replies to be sent by the thread that owns the socket.
         self._outbox: collections.deque[tuple[bytes, bytes, bytes]] = (
             collections.deque()
         )
         self._context: zmq.Context[zmq.Socket[bytes]] = zmq.Context()
         self._router = self._context.socket(zmq.ROUTER)
-        self._monitor = self._router.get_monitor_socket(_HANDSHAKE_FAILED)
+        self._monitor = self._router.get_monitor_socket(_HANDSHAKE_FAILURES)
         self._wake = wakes.Wake()
         self._thread = threading.Thread(
             target=self._run, name='responder', daemon=True
         )
         self._workers = [
             threading.Thread(
-                target=self._work, name=f'responder-{number}', daemon=True
+                target=self._run_worker, name=f'responder-{number}', daemon=True
             )
             for number in range(workers)
         ]
 
     def start(self) -> str:
-        """Binds and serves.
+        """Binds the address and starts serving.
 
         Returns:
-            The bound address; port 0 lets the kernel choose.
+            The bound address. With port 0 the kernel chooses the port.
 
         Raises:
             errors.UnreachableError: The address can't be bound.
         """
-        self._router.setsockopt(zmq.MAXMSGSIZE, _FRAME_BYTES)
+        self._router.setsockopt(zmq.MAXMSGSIZE, _MAX_FRAME_BYTES)
         try:
             self._router.bind(f'tcp://{self._address}')
         except zmq.ZMQError as exc:
@@ -121,11 +123,11 @@
         return bound.rstrip(b'\x00').decode().removeprefix('tcp://')
 
     def close(self) -> None:
-        """Reads no more, lets handlers end, sends their replies, unbinds."""
+        """Stops reading, waits for handlers, sends their replies and unbinds."""
         started = self._thread.ident is not None
         if started:
             for _ in self._workers:
-                self._jobs.put(None)
+                self._requests.put(None)
             for worker in self._workers:
                 worker.join(CLOSE_S)
             self._closing = True
@@ -146,27 +148,27 @@
                 self._wake.clear()
             self._flush()
             if self._router in ready:
-                self._read()
+                self._read_all()
             if self._monitor in ready:
-                # What it says is not needed; the library's reader of it would
-                # bring asyncio into each start.
+                # The content of the event is not needed, and the library's
+                # parser of events would import asyncio at each startup.
                 self._monitor.recv_multipart()
                 self.counts.dropped += 1
         self._flush()
 
-    def _read(self) -> None:
-        """Takes everything that waits at the socket."""
+    def _read_all(self) -> None:
+        """Reads all messages that wait at the socket."""
         while True:
             try:
                 frames = self._router.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
                 return
-            self._take(frames)
+            self._receive(frames)
 
-    def _take(self, frames: list[bytes]) -> None:
-        # Anything may be connected to the port. What is no message of ours
-        # gets no reply: there is no sequence number to trust, and a reply to
-        # garbage would be garbage to its sender.
+    def _receive(self, frames: list[bytes]) -> None:
+        # Any process may connect to the port. Invalid input gets no reply: its
+        # sequence number can't be trusted, and its sender could not decode a
+        # reply.
         if len(frames) != 2 or len(frames[1]) < connections.SEQUENCE_BYTES:
             self.counts.dropped += 1
             return
@@ -181,11 +183,11 @@
         self.counts.received += 1
         self.counts.received_bytes += len(payload)
         if isinstance(msg, messages.Ping):
-            self._send(identity, sequence, _PONG)
-        elif self._jobs.qsize() >= QUEUE_LIMIT:
-            self._send(identity, sequence, _BUSY)
+            self._send(identity, sequence, _PONG_REPLY)
+        elif self._requests.qsize() >= QUEUE_LIMIT:
+            self._send(identity, sequence, _BUSY_REPLY)
         else:
-            self._jobs.put((identity, sequence, msg))
+            self._requests.put((identity, sequence, msg))
 
     def _flush(self) -> None:
         while self._outbox:
@@ -197,20 +199,20 @@
                 [identity, sequence + payload], zmq.NOBLOCK
             )
         except zmq.Again:
-            # The asker reads too slowly; it learns by its own timeout that
-            # the answer was lost.
+            # The requester reads too slowly. Its own timeout reports the loss
+            # of the reply.
             self.counts.dropped += 1
             return
         self.counts.sent += 1
         self.counts.sent_bytes += len(payload)
 
-    def _work(self) -> None:
-        while (job := self._jobs.get()) is not None:
-            identity, sequence, msg = job
-            self._outbox.append((identity, sequence, self._answer(msg)))
+    def _run_worker(self) -> None:
+        while (request := self._requests.get()) is not None:
+            identity, sequence, msg = request
+            self._outbox.append((identity, sequence, self._reply_to(msg)))
             self._wake.set()
 
-    def _answer(self, msg: messages.Message) -> bytes:
+    def _reply_to(self, msg: messages.Message) -> bytes:
         try:
             data = messages.encode(self._handler(msg))
         except errors.InvariantError:
