--- a/packages/adapters/foxtaildale_adapters/callers.py
+++ b/packages/adapters/foxtaildale_adapters/callers.py
@@ -71,13 +71,13 @@
             errors.UnreachableError: The address can't be bound.
         """
         bound = threading.Event()
-        bind_errors: list[OSError] = []
+        failures: list[OSError] = []
 
         def serve() -> None:
             try:
                 self._server.prepare()
             except OSError as exc:
-                bind_errors.append(exc)
+                failures.append(exc)
                 return
             finally:
                 bound.set()
@@ -90,10 +90,8 @@
         )
         self._thread.start()
         bound.wait()
-        if bind_errors:
-            raise errors.UnreachableError(str(bind_errors[0])) from bind_errors[
-                0
-            ]
+        if failures:
+            raise errors.UnreachableError(str(failures[0])) from failures[0]
         self._server.watcher.start()
         host, port = self._server.bind_addr
         return f'{host}:{port}'
--- a/packages/adapters/foxtaildale_adapters/flight.py
+++ b/packages/adapters/foxtaildale_adapters/flight.py
@@ -24,8 +24,8 @@
 from foxtaildale_adapters import exchange
 from foxtaildale_adapters import idle
 
-# Connection timeout, seconds. Round trips take a few milliseconds. TCP resends a
-# lost SYN after one second, by when another server could have replied. No
+# Connection timeout, seconds. Round trips take a few milliseconds. TCP resends
+# a lost SYN after one second, by when another server could have replied. No
 # request was sent at that point, so trying another server is always safe.
 CONNECT_S: Final = 0.2
 # TCP closes the connection if sent bytes stay unacknowledged for this long,
--- a/packages/adapters/foxtaildale_adapters/pump.py
+++ b/packages/adapters/foxtaildale_adapters/pump.py
@@ -38,14 +38,25 @@
 class _Stream:
     """A registered stream."""
 
-    __slots__ = ('done', 'exc', 'feed', 'last_received_at', 'silence_s', 'sock')
+    __slots__ = (
+        'consumer',
+        'done',
+        'exc',
+        'last_received_at',
+        'read_timeout_s',
+        'sock',
+    )
 
     def __init__(
-        self, sock: socket.socket, feed: Feed, silence_s: float, now: float
+        self,
+        sock: socket.socket,
+        consumer: Feed,
+        read_timeout_s: float,
+        now: float,
     ) -> None:
         self.sock = sock
-        self.feed = feed
-        self.silence_s = silence_s
+        self.consumer = consumer
+        self.read_timeout_s = read_timeout_s
         self.last_received_at = now
         # Exception to raise in the thread of the stream.
         self.exc: BaseException | None = None
@@ -89,25 +100,27 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Stops the reading thread; remaining streams fail with `NoReplyError`."""
+        """Stops the reading thread; open streams fail with `NoReplyError`."""
         with self._lock:
             self._closing = True
         self._wake.set()
         self._thread.join()
 
-    def carry(self, sock: socket.socket, feed: Feed, silence_s: float) -> None:
-        """Passes the bytes of a socket to `feed` until it returns False.
+    def carry(
+        self, sock: socket.socket, consumer: Feed, read_timeout_s: float
+    ) -> None:
+        """Passes the bytes of a socket to `consumer` until it returns False.
 
         Blocks the calling thread. Another thread may end the reading early by
         shutting the connection down. The socket must not be closed in the
         meantime: another stream could get the same file descriptor, and its
-        bytes would then be passed to this `feed`.
+        bytes would then be passed to this `consumer`.
 
         Raises:
             errors.NoReplyError: The stream broke, ended, or sent nothing for
-                `silence_s` seconds.
+                `read_timeout_s` seconds.
         """
-        stream = _Stream(sock, feed, silence_s, self._clock())
+        stream = _Stream(sock, consumer, read_timeout_s, self._clock())
         with self._lock:
             if self._closing:
                 raise errors.NoReplyError('closed')
@@ -147,7 +160,7 @@
             return
         stream.last_received_at = self._clock()
         try:
-            wants_more = stream.feed.feed(block)
+            wants_more = stream.consumer.feed(block)
         except BaseException as exc:
             # The fault affects this stream only; the others continue.
             self._finish(fd, stream, exc)
@@ -157,7 +170,7 @@
 
     def _check_timeouts(self, now: float) -> None:
         for fd, stream in list(self._streams.items()):
-            if now - stream.last_received_at > stream.silence_s:
+            if now - stream.last_received_at > stream.read_timeout_s:
                 self._finish(fd, stream, errors.NoReplyError('silent'))
 
     def _finish(
--- a/packages/adapters/foxtaildale_adapters/wire.py
+++ b/packages/adapters/foxtaildale_adapters/wire.py
@@ -123,7 +123,7 @@
         return bound.rstrip(b'\x00').decode().removeprefix('tcp://')
 
     def close(self) -> None:
-        """Stops reading, waits for handlers, sends their replies and unbinds."""
+        """Stops reading, waits for handlers, sends replies and unbinds."""
         started = self._thread.ident is not None
         if started:
             for _ in self._workers:
