--- a/packages/adapters/foxtaildale_adapters/connections.py
+++ b/packages/adapters/foxtaildale_adapters/connections.py
@@ -44,9 +44,9 @@
         self.received_bytes = 0
         # Invalid messages, oversized frames and failed handshakes.
         self.dropped = 0
-        # Replies that arrived after their request timed out.
+        # Replies that arrived after their request was abandoned.
         self.late = 0
-        # Connections opened, and those of them closed for lack of heartbeats.
+        # Connections opened, and those closed because nothing was received.
         self.opened = 0
         self.silent = 0
 
--- a/packages/adapters/foxtaildale_adapters/flight.py
+++ b/packages/adapters/foxtaildale_adapters/flight.py
@@ -170,7 +170,7 @@
             _check_framing(resp)
         except TimeoutError as exc:
             self.cancel()
-            raise exchange.TimeoutLostError('no answer in time') from exc
+            raise exchange.TimeoutLostError('no response in time') from exc
         except _CONNECTION_ERRORS as exc:
             self.cancel()
             raise errors.ConnectionBrokenError(str(exc)) from exc
@@ -192,7 +192,7 @@
             return data
         except urllib3.exceptions.ReadTimeoutError as exc:
             self.cancel()
-            raise exchange.TimeoutLostError('silent') from exc
+            raise exchange.TimeoutLostError('no data in time') from exc
         except _CONNECTION_ERRORS as exc:
             self.cancel()
             raise errors.ConnectionBrokenError(str(exc)) from exc
--- a/packages/adapters/foxtaildale_adapters/incoming.py
+++ b/packages/adapters/foxtaildale_adapters/incoming.py
@@ -26,7 +26,9 @@
 
 # Added to the error message for a caller whose earlier attempt may be running
 # at another VM.
-EARLIER: Final = 'This is of this try alone; an earlier one may have run.'
+EARLIER: Final = (
+    'This applies to this attempt only; an earlier attempt may have run.'
+)
 _IDENTITIES: Final = (b'idempotency-key:', b'foxtaildale-ticket:')
 
 Figures = Mapping[str, float | str]
