--- a/packages/client/foxtaildale_client/__init__.py
+++ b/packages/client/foxtaildale_client/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' program."""
+"""Command line program for operators."""
--- a/packages/client/foxtaildale_client/exits.py
+++ b/packages/client/foxtaildale_client/exits.py
@@ -1,24 +1,25 @@
-"""Exit statuses of the operators' program; part of its interface."""
+"""Exit statuses of the command line program; part of its interface."""
 
 import enum
 
 
 class Exit(enum.IntEnum):
-    """What a script may conclude from the status."""
+    """Exit status, for scripts to evaluate."""
 
-    # Done, and read back where something was changed.
+    # The command succeeded; a change was confirmed by reading the log back.
     OK = 0
-    # The change was decided against; it did not and will not take effect.
+    # The change was rejected; it did not and will not take effect.
     REJECTED = 1
-    # The command line is wrong; the library's own status.
+    # The command line is invalid; `argparse` exits with this status.
     USAGE = 2
-    # The change may or may not take effect; the output says how to ask again.
+    # The change may or may not take effect; the output names the command that
+    # queries the outcome.
     NOT_KNOWN = 3
-    # Something could not be reached; nothing was changed.
+    # A process or the platform was unreachable; nothing was changed.
     UNAVAILABLE = 4
-    # What was asked for does not exist.
+    # The requested object does not exist.
     NOT_FOUND = 5
-    # Status was read, and something in it needs a person.
+    # The status was read and contains problems that an operator must handle.
     DEGRADED = 6
-    # A file is wrong; 78 is `EX_CONFIG` of sysexits.
+    # A file is invalid; 78 is `EX_CONFIG` of sysexits.
     BAD_FILE = 78
--- a/packages/client/foxtaildale_client/explain.py
+++ b/packages/client/foxtaildale_client/explain.py
@@ -1,8 +1,8 @@
-"""Finds out what became of a request, in the log's stream of outcomes.
+"""Looks up the outcome of a request in the log's stream of outcomes.
 
-Entries write their outcomes there in batches: a record is a msgpack list of
-`values.Outcome`. The newest records are looked at first, since people ask
-about what has just happened and the stream is long.
+Entries append their outcomes to the stream in batches: a record is a msgpack
+list of `values.Outcome`. The newest records are searched first, since
+operators mostly query recent requests and the stream is long.
 """
 
 from collections.abc import Iterator
@@ -19,8 +19,8 @@
 from foxtaildale_client import text
 
 STREAM: Final = 'outcomes'
-# Records in one read.
-_BATCH: Final = 200
+# Maximum number of records per read.
+_BATCH_RECORDS: Final = 200
 
 _decoder: Final = msgspec.msgpack.Decoder(list[values.Outcome])
 
@@ -31,25 +31,25 @@
     outcomes: tuple[values.Outcome, ...]
 
     def text(self) -> str:
-        """Lines for people."""
-        return '\n\n'.join(_explanation(one) for one in self.outcomes)
+        """Returns the human-readable output."""
+        return '\n\n'.join(_explanation(outcome) for outcome in self.outcomes)
 
 
 def explain(log: ports.Log, request: str) -> results.Result:
-    """Explains a request.
+    """Returns the recorded outcomes of a request.
 
     Raises:
         errors.PortError: The log could not be read.
     """
     for records in _newest_first(log):
-        found = [
-            one
+        outcomes = [
+            outcome
             for record in records
-            for one in _outcomes(record)
-            if one.request == request
+            for outcome in _outcomes(record)
+            if outcome.request == request
         ]
-        if found:
-            return Explained(outcomes=tuple(found))
+        if outcomes:
+            return Explained(outcomes=tuple(outcomes))
     return results.Problem(
         status=exits.Exit.NOT_FOUND,
         problems=(f'no outcome of {request} is in the log (any more)',),
@@ -59,11 +59,11 @@
 def _newest_first(log: ports.Log) -> Iterator[tuple[ports.Record, ...]]:
     first, end = _bounds(log)
     while end > first:
-        start = max(first, end - _BATCH)
+        start = max(first, end - _BATCH_RECORDS)
         try:
             yield log.read(STREAM, start, end - start).records
         except errors.RecordsExpiredError as exc:
-            # Records lapse while we go towards them.
+            # Records can expire while the stream is read backwards.
             first = exc.first
             continue
         end = start
--- a/packages/client/foxtaildale_client/main.py
+++ b/packages/client/foxtaildale_client/main.py
@@ -1,8 +1,7 @@
-"""The operators' program `foxtaildale`.
+"""Command line program `foxtaildale` for operators.
 
 Parses the command line, opens the clients of the platform and of the
-processes, runs one command and prints what it gave back. Exit statuses are
-those of `exits.Exit`.
+processes, runs one command and prints its result. Exit statuses are those of `exits.Exit`.
 """
 
 from collections.abc import Callable
@@ -31,20 +30,24 @@
 from foxtaildale_client import story
 from foxtaildale_client import submit
 
-# Where the platform is, unless the command line says so.
-_PLATFORM: Final = os.environ.get('FOXTAILDALE_PLATFORM', '127.0.0.1:9000')
-# Heartbeat and silence of connections to keepers, seconds.
-_HEARTBEAT_S: Final = 0.5
-_SILENCE_S: Final = 2.0
+# Default address of the platform.
+_DEFAULT_PLATFORM: Final = os.environ.get(
+    'FOXTAILDALE_PLATFORM', '127.0.0.1:9000'
+)
+# Heartbeat interval of connections to keepers, seconds.
+_HEARTBEAT_INTERVAL_S: Final = 0.5
+# Time without a reply after which a keeper or the platform counts as
+# unreachable, seconds.
+_PEER_TIMEOUT_S: Final = 2.0
 
 
 class State(results.Result, frozen=True):
-    """The state of a process, as it gave it."""
+    """The state of a process, as the process reported it."""
 
     state: msgspec.Raw
 
     def text(self) -> str:
-        """Lines for people."""
+        """Returns the human-readable output."""
         return msgspec.json.format(bytes(self.state), indent=2).decode()
 
 
@@ -54,13 +57,13 @@
     :param file: JSON with comments; docs/SETTINGS.md names the fields.
     :param json: Print JSON.
     """
-    return _run(lambda: presets.check(_read(file), str(file)), json)
+    return _run(lambda: presets.check(_read_file(file), str(file)), json)
 
 
 def publish(
     file: pathlib.Path,
     *,
-    platform: str = _PLATFORM,
+    platform: str = _DEFAULT_PLATFORM,
     patience_s: float = 10.0,
     json: bool = False,
 ) -> int:
@@ -68,12 +71,12 @@
 
     :param file: JSON with comments; docs/SETTINGS.md names the fields.
     :param platform: Address of the platform.
-    :param patience_s: How long to pursue the outcome, seconds.
+    :param patience_s: Maximum time to wait for the outcome, seconds.
     :param json: Print JSON.
     """
     return _run(
         lambda: presets.publish(
-            _submitter(platform, patience_s), _read(file), str(file)
+            _submitter(platform, patience_s), _read_file(file), str(file)
         ),
         json,
     )
@@ -83,7 +86,7 @@
     preset: str,
     *,
     expects: int | None = None,
-    platform: str = _PLATFORM,
+    platform: str = _DEFAULT_PLATFORM,
     patience_s: float = 10.0,
     json: bool = False,
 ) -> int:
@@ -92,7 +95,7 @@
     :param preset: NAME, or NAME@DIGEST.
     :param expects: Revision to replace; the one in force if not given.
     :param platform: Address of the platform.
-    :param patience_s: How long to pursue the outcome, seconds.
+    :param patience_s: Maximum time to wait for the outcome, seconds.
     :param json: Print JSON.
     """
     return _run(
@@ -104,12 +107,16 @@
 
 
 def outcome(
-    change: str, *, base: int, platform: str = _PLATFORM, json: bool = False
+    change: str,
+    *,
+    base: int,
+    platform: str = _DEFAULT_PLATFORM,
+    json: bool = False,
 ) -> int:
-    """Asks again what came of a publish or a switch.
+    """Queries the outcome of an earlier publish or switch.
 
-    :param change: Id that the first command printed.
-    :param base: Offset that the first command printed.
+    :param change: Id that the publish or switch printed.
+    :param base: Offset that the publish or switch printed.
     :param platform: Address of the platform.
     :param json: Print JSON.
     """
@@ -118,7 +125,7 @@
     )
 
 
-def listed(*, platform: str = _PLATFORM, json: bool = False) -> int:
+def listed(*, platform: str = _DEFAULT_PLATFORM, json: bool = False) -> int:
     """Lists the published presets; a star marks the one in force.
 
     :param platform: Address of the platform.
@@ -128,9 +135,9 @@
 
 
 def show(
-    preset: str = '', *, platform: str = _PLATFORM, json: bool = False
+    preset: str = '', *, platform: str = _DEFAULT_PLATFORM, json: bool = False
 ) -> int:
-    """Shows a published preset, whole.
+    """Shows a complete published preset.
 
     :param preset: NAME, or NAME@DIGEST; the one in force if not given.
     :param platform: Address of the platform.
@@ -140,9 +147,9 @@
 
 
 def diff(
-    old: str, new: str, *, platform: str = _PLATFORM, json: bool = False
+    old: str, new: str, *, platform: str = _DEFAULT_PLATFORM, json: bool = False
 ) -> int:
-    """Tells in which fields two published presets differ.
+    """Shows the fields in which two published presets differ.
 
     :param old: NAME, or NAME@DIGEST.
     :param new: NAME, or NAME@DIGEST.
@@ -152,8 +159,8 @@
     return _run(lambda: presets.diff(_reader(platform), old, new), json)
 
 
-def current(*, platform: str = _PLATFORM, json: bool = False) -> int:
-    """Names the preset in force.
+def current(*, platform: str = _DEFAULT_PLATFORM, json: bool = False) -> int:
+    """Shows which preset is in force.
 
     :param platform: Address of the platform.
     :param json: Print JSON.
@@ -165,7 +172,7 @@
     """Prints the state of one process.
 
     :param address: Its admin address.
-    :param timeout_s: Longest wait, seconds.
+    :param timeout_s: Maximum wait, seconds.
     :param json: Print JSON on one line.
     """
     return _run(lambda: _state(address, timeout_s), json)
@@ -174,24 +181,24 @@
 def explain(
     request: str,
     *,
-    platform: str = _PLATFORM,
+    platform: str = _DEFAULT_PLATFORM,
     log: str = '',
     json: bool = False,
 ) -> int:
-    """Explains what became of a request.
+    """Explains the outcome of a request.
 
-    :param request: Its id, as the caller was given it or sent it.
+    :param request: Id of the request, received or sent by the caller.
     :param platform: Address of the platform.
     :param log: File with log lines of routers, of one or more VMs; - for
-        standard input. The platform is not asked then.
+        standard input. The platform is not contacted then.
     :param json: Print JSON.
     """
     if log:
-        return _run(lambda: _story(log, request), json)
+        return _run(lambda: _explain_from_logs(log, request), json)
     return _run(lambda: explain_lib.explain(_platform(platform), request), json)
 
 
-def _story(log: str, request: str) -> results.Result:
+def _explain_from_logs(log: str, request: str) -> results.Result:
     if log == '-':
         return story.tell(story.parse(sys.stdin), request)
     with open(log, encoding='utf-8', errors='replace') as lines:
@@ -200,26 +207,27 @@
 
 def status(
     *,
-    platform: str = _PLATFORM,
+    platform: str = _DEFAULT_PLATFORM,
     keeper: str = '',
     timeout_s: float = 2.0,
     json: bool = False,
 ) -> int:
-    """Shows the deployment at a glance.
+    """Shows a summary of the deployment.
 
     :param platform: Address of the platform.
-    :param keeper: A keeper to ask for the others while the platform is down.
-    :param timeout_s: Longest wait for one keeper, seconds.
+    :param keeper: Address of a keeper that lists the others while the platform
+        is down.
+    :param timeout_s: Maximum wait for one keeper, seconds.
     :param json: Print JSON.
     """
     return _run(lambda: _status(platform, keeper, timeout_s), json)
 
 
 def account_key(*, json: bool = False) -> int:
-    """Makes the digest of a client account's key, for a preset.
+    """Computes the digest of a client account's key, for a preset.
 
-    The key is read from standard input, so that it stands in no list of
-    processes and no shell's history.
+    The key is read from standard input, so that it appears neither in the
+    process list nor in the shell history.
 
     :param json: Print JSON.
     """
@@ -256,8 +264,8 @@
 
 
 def _run(command: Callable[[], results.Result], as_json: bool) -> int:
-    result = _guard(command)
-    # What went wrong goes where a pipe's next program doesn't read it.
+    result = _run_command(command)
+    # Errors go to stderr so that the next program of a pipe doesn't read them.
     failed = isinstance(result, results.Problem) and not as_json
     stream = sys.stderr if failed else sys.stdout
     shown = result.text()
@@ -267,8 +275,8 @@
     return int(result.exit)
 
 
-def _guard(command: Callable[[], results.Result]) -> results.Result:
-    """Turns the errors that a command may meet into problems."""
+def _run_command(command: Callable[[], results.Result]) -> results.Result:
+    """Runs a command and converts its errors into `Problem` results."""
     try:
         return command()
     except errors.SettingsError as exc:
@@ -276,7 +284,7 @@
     except (OSError, UnicodeDecodeError) as exc:
         return _problem(exits.Exit.BAD_FILE, str(exc))
     except (errors.PortError, reading.UnknownStateError) as exc:
-        # Raised before anything is sent only; see `submit`.
+        # These errors are raised only before anything is sent; see `submit`.
         return _problem(
             exits.Exit.UNAVAILABLE, f'this command changed nothing: {exc}'
         )
@@ -286,13 +294,13 @@
     return results.Problem(status=status_code, problems=problems)
 
 
-def _read(file: pathlib.Path) -> str:
+def _read_file(file: pathlib.Path) -> str:
     return file.read_text(encoding='utf-8')
 
 
 def _platform(address: str) -> platform_lib.Platform:
-    # No holding off: one command asks a few times only, and means to.
-    return platform_lib.Platform(address, _SILENCE_S, hold_off_s=0.0)
+    # No backoff: one command sends only a few requests, all of them intended.
+    return platform_lib.Platform(address, _PEER_TIMEOUT_S, hold_off_s=0.0)
 
 
 def _account_key() -> results.Result:
@@ -317,21 +325,21 @@
 
 
 def _state(address: str, timeout_s: float) -> results.Result:
-    answer = exchange.Exchange().send(
+    response = exchange.Exchange().send(
         address, 'GET', '/state', timeout_s=timeout_s
     )
     try:
-        msgspec.json.decode(answer.body)
+        msgspec.json.decode(response.body)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return _problem(
             exits.Exit.UNAVAILABLE,
-            f'{address} is no process of ours: status {answer.status}',
+            f'{address} is not a foxtaildale process: status {response.status}',
         )
-    return State(state=msgspec.Raw(answer.body))
+    return State(state=msgspec.Raw(response.body))
 
 
 def _status(platform: str, keeper: str, timeout_s: float) -> results.Result:
-    peers = peers_lib.Peers(_HEARTBEAT_S, _SILENCE_S)
+    peers = peers_lib.Peers(_HEARTBEAT_INTERVAL_S, _PEER_TIMEOUT_S)
     try:
         return status_lib.glance(_platform(platform), peers, keeper, timeout_s)
     finally:
--- a/packages/client/foxtaildale_client/presets.py
+++ b/packages/client/foxtaildale_client/presets.py
@@ -1,8 +1,8 @@
-"""The commands around presets.
+"""Commands that check, publish, switch and show presets.
 
-Each takes what it needs from outside as a port and gives back a result. A
-preset is named `NAME`, for the newest one published under that name, or
-`NAME@DIGEST` with the first characters of the digest.
+Each command receives its external dependencies as ports and returns a result.
+A preset is named `NAME`, for the newest preset published under that name, or
+`NAME@DIGEST`, with the first characters of the digest.
 """
 
 from collections.abc import Iterator
@@ -24,7 +24,7 @@
     """Checks a preset file.
 
     Raises:
-        errors.SettingsError: It has faults.
+        errors.SettingsError: The file is invalid.
     """
     preset = settings.parse_preset(content, file)
     digest = changes.digest_of(changes.canonical_form(preset))
@@ -37,13 +37,13 @@
     """Checks a preset file and publishes it.
 
     Raises:
-        errors.SettingsError: It has faults; nothing was sent.
+        errors.SettingsError: The file is invalid; nothing was sent.
         errors.PortError: The log could not be read; nothing was sent.
     """
     preset = settings.parse_preset(content, file)
     digest = changes.digest_of(changes.canonical_form(preset))
-    learnt = submitter.publish(preset)
-    return _changed(learnt, 'publish', preset.name, digest)
+    change_outcome = submitter.publish(preset)
+    return _changed(change_outcome, 'publish', preset.name, digest)
 
 
 def switch(
@@ -55,17 +55,21 @@
         errors.PortError: The log could not be read; nothing was sent.
     """
     submitter.reader.catch_up()
-    found = find(submitter.reader.state, which)
-    if found is None:
+    published_preset = find(submitter.reader.state, which)
+    if published_preset is None:
         return _not_found(which)
-    learnt = submitter.switch(found.name, found.digest, expects)
-    return _changed(learnt, 'switch', found.name, found.digest)
+    change_outcome = submitter.switch(
+        published_preset.name, published_preset.digest, expects
+    )
+    return _changed(
+        change_outcome, 'switch', published_preset.name, published_preset.digest
+    )
 
 
 def outcome(
     submitter: submit.Submitter, change_id: str, base: int
 ) -> results.Result:
-    """Asks again what came of a change.
+    """Queries the outcome of a change.
 
     Raises:
         errors.PortError: The log could not be read.
@@ -91,25 +95,25 @@
 
 
 def show(reader: reading.Reader, which: str) -> results.Result:
-    """Shows a published preset, whole; the one in force without a name."""
+    """Shows a complete published preset; without a name, the one in force."""
     reader.catch_up()
-    found = find(reader.state, which)
-    if found is None:
+    published_preset = find(reader.state, which)
+    if published_preset is None:
         return _not_found(which)
     in_force = reader.state.in_force
     return results.Shown(
-        digest=found.digest,
+        digest=published_preset.digest,
         revision=(
             in_force.revision
-            if in_force and in_force.digest == found.digest
+            if in_force and in_force.digest == published_preset.digest
             else 0
         ),
-        preset=changes.decode_preset(found.data),
+        preset=changes.decode_preset(published_preset.data),
     )
 
 
 def current(reader: reading.Reader) -> results.Result:
-    """Names the preset in force."""
+    """Shows which preset is in force."""
     reader.catch_up()
     in_force = reader.state.in_force
     if in_force is None:
@@ -123,38 +127,40 @@
 
 
 def diff(reader: reading.Reader, old: str, new: str) -> results.Result:
-    """Tells in which fields two published presets differ."""
+    """Compares two published presets field by field."""
     reader.catch_up()
-    sides: list[values.Preset] = []
+    compared: list[values.Preset] = []
     for which in (old, new):
-        found = find(reader.state, which)
-        if found is None:
+        published_preset = find(reader.state, which)
+        if published_preset is None:
             return _not_found(which)
-        sides.append(changes.decode_preset(found.data))
-    return differences(old, new, *sides)
+        compared.append(changes.decode_preset(published_preset.data))
+    return differences(old, new, *compared)
 
 
 def differences(
     old: str, new: str, before: values.Preset, after: values.Preset
 ) -> results.Differences:
     """Compares two presets field by field."""
-    one = dict(_fields(msgspec.to_builtins(before), ''))
-    two = dict(_fields(msgspec.to_builtins(after), ''))
+    old_fields = dict(_fields(msgspec.to_builtins(before), ''))
+    new_fields = dict(_fields(msgspec.to_builtins(after), ''))
     return results.Differences(
         old=old,
         new=new,
         differences=tuple(
             results.Difference(
-                field=field, old=one.get(field), new=two.get(field)
+                field=field,
+                old=old_fields.get(field),
+                new=new_fields.get(field),
             )
-            for field in sorted({*one, *two})
-            if one.get(field) != two.get(field)
+            for field in sorted({*old_fields, *new_fields})
+            if old_fields.get(field) != new_fields.get(field)
         ),
     )
 
 
 def find(state: fold.Fold, which: str) -> fold.PublishedPreset | None:
-    """Returns a published preset by name; the one in force for no name."""
+    """Returns a published preset by name; without a name, the one in force."""
     if not which:
         digest = state.in_force.digest if state.in_force else '-'
         name = ''
@@ -176,14 +182,17 @@
 
 
 def _changed(
-    learnt: submit.Learnt, change: str = '', name: str = '', digest: str = ''
+    change_outcome: submit.Learnt,
+    change: str = '',
+    name: str = '',
+    digest: str = '',
 ) -> results.Changed:
     return results.Changed(
-        result=learnt.result,
-        id=learnt.id,
-        base=learnt.base,
-        reason=learnt.reason,
-        revision=learnt.revision,
+        result=change_outcome.result,
+        id=change_outcome.id,
+        base=change_outcome.base,
+        reason=change_outcome.reason,
+        revision=change_outcome.revision,
         change=change,
         name=name,
         digest=digest,
--- a/packages/client/foxtaildale_client/reading.py
+++ b/packages/client/foxtaildale_client/reading.py
@@ -1,9 +1,10 @@
-"""The configuration stream as the operators' program reads it.
+"""Reads the configuration stream for the command line program.
 
-The same `spread.Follower` as in the keepers folds the records, so what is
-shown is what they hold. Beside it stands from which offset on verdicts can be
-seen: a fold remembers them for a number of offsets only, and one that begins
-at a checkpoint knows nothing of what was decided long before.
+The records are folded by the same `config_follower.Follower` as in the
+keepers, so the state shown is the state that keepers hold. The reader also
+tracks the offset from which on verdicts are visible: a fold retains verdicts
+for a limited number of offsets only, and a fold that starts at a checkpoint
+has no verdicts from long before it.
 """
 
 from typing import Final
@@ -14,30 +15,30 @@
 from foxtaildale import fold
 from foxtaildale import ports
 
-# Records in one read; fewer than verdicts are remembered for, so that none is
-# forgotten before it has been looked at.
-_BATCH: Final = fold.VERDICT_WINDOW // 2
-# Reads in a row that find their records lapsed, before giving up.
-_LAPSES: Final = 3
+# Maximum number of records per read. It is below the verdict window, so that no
+# verdict is discarded before it has been checked.
+_BATCH_RECORDS: Final = fold.VERDICT_WINDOW // 2
+# Maximum number of reads of one catch-up that may find their records expired.
+_MAX_EXPIRED_READS: Final = 3
 
 
 class UnknownStateError(errors.FoxtaildaleError):
-    """Old records have lapsed and no checkpoint is left to start from."""
+    """Old records have expired and no checkpoint is left to start from."""
 
 
 class Reader:
-    """Folds the stream and watches for one verdict."""
+    """Folds the stream and records the verdict of a watched change."""
 
     __slots__ = ('_follower', '_log', '_reads', 'covered_from', 'seen')
 
-    # Verdicts on records from this offset on have been or will be seen.
+    # Verdicts on records from this offset on are or will be visible.
     covered_from: int
-    # Verdicts met, by record id, for those that were watched for.
+    # Verdicts of watched records, by record id.
     seen: dict[str, fold.Verdict]
     _log: ports.Log
     _follower: config_follower.Follower
-    # Reads so far; they are the follower's time, so that it vouches for what
-    # it knows exactly if the last read brought it to the end.
+    # Number of reads so far. It is the follower's clock, so that the follower
+    # vouches for its state exactly if the last read reached the end.
     _reads: int
 
     def __init__(self, log: ports.Log) -> None:
@@ -56,28 +57,28 @@
         """Reads to the end of the stream.
 
         Args:
-            watched: Id of a record whose verdict goes into `seen`.
+            watched: Id of a record whose verdict is stored in `seen`.
 
         Raises:
             errors.PortError: The log could not be read to its end.
-            UnknownStateError: What the log still keeps is not enough.
+            UnknownStateError: The records left in the log are not sufficient.
         """
-        lapses = 0
+        expired_reads = 0
         while True:
             try:
                 batch = self._log.read(
-                    changes.STREAM, self._follower.next_offset, _BATCH
+                    changes.STREAM, self._follower.next_offset, _BATCH_RECORDS
                 )
             except errors.RecordsExpiredError as exc:
-                lapses += 1
-                if lapses > _LAPSES:
+                expired_reads += 1
+                if expired_reads > _MAX_EXPIRED_READS:
                     raise
                 self._follower.on_lapsed(self._reads, exc.first)
                 continue
-            if self._take(batch, watched):
+            if self._apply_batch(batch, watched):
                 return
 
-    def _take(self, batch: ports.Batch, watched: str) -> bool:
+    def _apply_batch(self, batch: ports.Batch, watched: str) -> bool:
         """Folds a batch; returns whether it was the last one."""
         if batch.end < self.state.offset:
             raise UnknownStateError('the log ends before what was read of it')
--- a/packages/client/foxtaildale_client/results.py
+++ b/packages/client/foxtaildale_client/results.py
@@ -1,6 +1,6 @@
-"""What the commands give back: printed as text, or as JSON with `--json`.
+"""Results of the commands, printed as text, or as JSON with `--json`.
 
-Each result knows its text and its exit status. The fields are the JSON
+Each result provides its text and its exit status. The fields are the JSON
 interface; a script should read those, not the text.
 """
 
@@ -13,7 +13,7 @@
 from foxtaildale_client import submit
 from foxtaildale_client import text
 
-_REASONS: Final = {
+_REASON_TEXTS: Final = {
     'other-revision': 'the revision in force is not the one it expects',
     'not-published': 'no such preset is published',
     'bad-preset': 'the preset is not whole',
@@ -21,7 +21,7 @@
     'ahead': 'it was made from another log',
     'never-landed': 'it never reached the log and would not count any more',
 }
-_EXITS: Final = {
+_EXIT_STATUSES: Final = {
     'accepted': exits.Exit.OK,
     'rejected': exits.Exit.REJECTED,
     'not-known': exits.Exit.NOT_KNOWN,
@@ -31,84 +31,84 @@
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True):
-    """Base of what a command gives back."""
+    """Base class of the results of commands."""
 
     @property
     def exit(self) -> exits.Exit:
-        """Status of the program."""
+        """Exit status of the program."""
         return exits.Exit.OK
 
     def text(self) -> str:
-        """Lines for people."""
+        """Returns the human-readable output."""
         raise NotImplementedError
 
 
 class Problem(Result, frozen=True):
-    """Why a command gave nothing else."""
+    """The reasons why a command failed."""
 
     status: exits.Exit
-    # One line each.
+    # One line per problem.
     problems: tuple[str, ...]
 
     @property
     def exit(self) -> exits.Exit:
-        """Status of the program."""
+        """Exit status of the program."""
         return self.status
 
     def text(self) -> str:
-        """Lines for people."""
+        """Returns the human-readable output."""
         return '\n'.join(self.problems)
 
 
 class Checked(Result, frozen=True):
-    """A preset file without faults."""
+    """A valid preset file."""
 
     file: str
     name: str
     digest: str
 
     def text(self) -> str:
-        """Lines for people."""
+        """Returns the human-readable output."""
         short = self.digest[: text.DIGEST]
         return f'{self.file}: preset {self.name} {short}, no fault'
 
 
 class KeyDigest(Result, frozen=True):
-    """What stands for a key of a client account in a preset."""
+    """Digest that represents a client account's key in a preset."""
 
     digest: str
 
     def text(self) -> str:
-        """Lines for people."""
+        """Returns the human-readable output."""
         return self.digest
 
 
 class Changed(Result, frozen=True):
-    """What came of a publish or a switch."""
+    """The outcome of a publish or a switch."""
 
     result: submit.Result
     id: str
     base: int
     reason: str = ''
-    # In force after the record; 0 for none.
+    # Revision in force after the record; 0 for none.
     revision: int = 0
-    # What was asked for: publish, switch, or empty when only the id is known.
+    # Kind of change: publish, switch, or empty when only the id is known.
     change: str = ''
-    # The preset it was about; empty when only the id is known.
+    # Name of the preset; empty when only the id is known.
     name: str = ''
     digest: str = ''
 
     @property
     def exit(self) -> exits.Exit:
-        """Status of the program."""
-        return _EXITS[self.result]
+        """Exit status of the program."""
+        return _EXIT_STATUSES[self.result]
 
     def text(self) -> str:
-        """Lines for people."""
-        what = self.id
+        """Returns the human-readable output."""
+        subject = self.id
         if self.name:
-            what = f'{self.name} {self.digest[: text.DIGEST]}'
-        return f'{what}: {self._sentence()}'
+            subject = f'{self.name} {self.digest[: text.DIGEST]}'
+        return f'{subject}: {self._sentence()}'
 
     def _sentence(self) -> str:
         match self.result:
@@ -117,13 +117,13 @@
             case 'accepted':
                 return f'accepted; {self._in_force()}'
             case 'rejected':
-                why = _REASONS.get(self.reason, self.reason)
-                return f'rejected: {why}; {self._in_force()}'
+                reason = _REASON_TEXTS.get(self.reason, self.reason)
+                return f'rejected: {reason}; {self._in_force()}'
             case 'not-sent':
                 return 'not done: the log could not be reached'
             case 'forgotten':
                 return (
-                    'not known: the log no longer keeps what came of it;'
+                    'not known: the log no longer keeps subject came of it;'
                     ' see `foxtaildale preset current`'
                 )
         return (
@@ -152,7 +152,7 @@
     presets: tuple[Line, ...]
 
     def text(self) -> str:
-        """Lines for people."""
+        """Returns the human-readable output."""
         if not self.presets:
             return 'no preset is published'
         rows = [('', 'NAME', 'DIGEST', 'OFFSET')]
@@ -164,15 +164,15 @@
 
 
 class Shown(Result, frozen=True):
-    """A preset, whole."""
+    """A complete preset."""
 
     digest: str
-    # Revision, if it is in force; 0 if not.
+    # Revision if the preset is in force; 0 otherwise.
     revision: int
     preset: values.Preset
 
     def text(self) -> str:
-        """Lines for people; valid JSON with comments."""
+        """Returns the human-readable output; valid JSON with comments."""
         state = 'not in force'
         if self.revision:
             state = f'in force, revision {self.revision}'
@@ -194,11 +194,11 @@
 
     @property
     def exit(self) -> exits.Exit:
-        """Status of the program."""
+        """Exit status of the program."""
         return exits.Exit.OK if self.revision else exits.Exit.NOT_FOUND
 
     def text(self) -> str:
-        """Lines for people."""
+        """Returns the human-readable output."""
         if not self.revision:
             return 'no preset is in force'
         return (
@@ -208,7 +208,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True, kw_only=True):
-    """One field that differs; None where one side does not have it."""
+    """A field that differs; None where one preset lacks the field."""
 
     field: str
     old: str | float | None
@@ -216,14 +216,14 @@
 
 
 class Differences(Result, frozen=True):
-    """What differs between two presets."""
+    """The fields in which two presets differ."""
 
     old: str
     new: str
     differences: tuple[Difference, ...]
 
     def text(self) -> str:
-        """Lines for people."""
+        """Returns the human-readable output."""
         if not self.differences:
             return f'{self.old} and {self.new} are the same'
         lines = [f'{self.old} -> {self.new}']
--- a/packages/client/foxtaildale_client/status.py
+++ b/packages/client/foxtaildale_client/status.py
@@ -1,8 +1,8 @@
-"""The state of a deployment at a glance, and of one process whole.
+"""Summary of the state of a deployment.
 
-The platform's list says which VMs there are; each keeper is asked for its
-state. With the platform down the list comes from one keeper instead, whose
-address the operator gives.
+The platform lists the VMs, and each keeper is queried for its state. While the
+platform is down, the list comes from a keeper whose address the operator
+provides.
 """
 
 from collections.abc import Sequence
@@ -19,12 +19,12 @@
 from foxtaildale_client import results
 from foxtaildale_client import text
 
-# Keepers that are asked at once.
-_AT_ONCE: Final = 16
+# Maximum number of concurrent requests to keepers.
+_MAX_CONCURRENT_REQUESTS: Final = 16
 
 
 class _Dump(msgspec.Struct, frozen=True, kw_only=True):
-    """What is used of a keeper's state."""
+    """The part of a keeper's state that the summary uses."""
 
     revision: int = 0
     preset: str | None = None
@@ -41,7 +41,7 @@
 
     name: str
     data_centre: str
-    # As the platform lists it; empty when that could not be read.
+    # State in the platform's list; empty when the list could not be read.
     state: str
     reached: bool
     revision: int = 0
@@ -62,22 +62,22 @@
 
 
 class Glance(results.Result, frozen=True):
-    """A deployment at a glance."""
+    """Summary of a deployment."""
 
     # Version of the platform's list; None when it could not be read.
     listing_version: int | None
     entry_vms: tuple[VmLine, ...]
     servers: tuple[ServerLine, ...]
-    # One line each.
+    # One line per problem.
     problems: tuple[str, ...]
 
     @property
     def exit(self) -> exits.Exit:
-        """Status of the program."""
+        """Exit status of the program."""
         return exits.Exit.DEGRADED if self.problems else exits.Exit.OK
 
     def text(self) -> str:
-        """Lines for people."""
+        """Returns the human-readable output."""
         rows = [('ENTRY VM', 'DATA CENTRE', 'STATE', 'PRESET', 'ENTRIES')]
         for vm in self.entry_vms:
             preset = 'not reached'
@@ -109,14 +109,14 @@
     keeper: str,
     timeout_s: float,
 ) -> results.Result:
-    """Asks the platform and every keeper.
+    """Queries the platform and every keeper.
 
     Args:
         directory: The platform's list.
         peers: The keepers.
-        keeper: Address of a keeper that knows the others, for when the
+        keeper: Address of a keeper that lists the others, used when the
             platform can't be read; empty for none.
-        timeout_s: Longest wait for one keeper.
+        timeout_s: Maximum wait for one keeper, seconds.
     """
     problems: list[str] = []
     listing: values.Listing | None = None
@@ -125,13 +125,13 @@
         vms = listing.entry_vms
     except errors.PortError as exc:
         problems.append(f'the platform could not be read: {exc}')
-        vms = _from_keeper(peers, keeper, timeout_s)
+        vms = _vms_from_keeper(peers, keeper, timeout_s)
         if not vms:
             return results.Problem(
                 status=exits.Exit.UNAVAILABLE,
                 problems=(*problems, 'give a keeper that knows the others'),
             )
-    dumps = _ask_all(peers, vms, timeout_s)
+    dumps = _request_dumps(peers, vms, timeout_s)
     lines = tuple(
         _vm_line(vm, dump, listed=listing is not None)
         for vm, dump in zip(vms, dumps, strict=True)
@@ -144,28 +144,32 @@
     )
 
 
-def _from_keeper(
+def _vms_from_keeper(
     peers: ports.Peers, address: str, timeout_s: float
 ) -> tuple[values.EntryVm, ...]:
-    dump = _ask(peers, address, timeout_s) if address else None
+    dump = _request_dump(peers, address, timeout_s) if address else None
     if dump is None:
         return ()
     return tuple(
         values.EntryVm(
-            name=one.name, data_centre=one.data_centre, keeper=one.address
+            name=peer.name, data_centre=peer.data_centre, keeper=peer.address
         )
-        for one in dump.keepers
+        for peer in dump.keepers
     )
 
 
-def _ask_all(
+def _request_dumps(
     peers: ports.Peers, vms: Sequence[values.EntryVm], timeout_s: float
 ) -> list[_Dump | None]:
-    with futures.ThreadPoolExecutor(_AT_ONCE) as pool:
-        return list(pool.map(lambda vm: _ask(peers, vm.keeper, timeout_s), vms))
+    with futures.ThreadPoolExecutor(_MAX_CONCURRENT_REQUESTS) as pool:
+        return list(
+            pool.map(lambda vm: _request_dump(peers, vm.keeper, timeout_s), vms)
+        )
 
 
-def _ask(peers: ports.Peers, address: str, timeout_s: float) -> _Dump | None:
+def _request_dump(
+    peers: ports.Peers, address: str, timeout_s: float
+) -> _Dump | None:
     try:
         reply = peers.request(address, messages.DumpRequest(), timeout_s)
     except errors.PortError:
@@ -201,11 +205,13 @@
 def _server_lines(
     servers: Sequence[values.BackendServer],
 ) -> tuple[ServerLine, ...]:
-    kinds = sorted({(one.service, one.role) for one in servers})
+    kinds = sorted({(server.service, server.role) for server in servers})
     lines = []
     for kind in kinds:
         states = [
-            one.state for one in servers if (one.service, one.role) == kind
+            server.state
+            for server in servers
+            if (server.service, server.role) == kind
         ]
         lines.append(
             ServerLine(
--- a/packages/client/foxtaildale_client/story.py
+++ b/packages/client/foxtaildale_client/story.py
@@ -1,8 +1,8 @@
-"""Follows one request through the log lines of several entry VMs.
+"""Traces one request through the log lines of several entry VMs.
 
-The lines may be mixed and in any order, with other text between. The story has
-every line on the request in order of time, and before each one what its VM had
-last come to believe of the servers that it names.
+The lines may be mixed and in any order, with other text between them.
+The trace contains every line of the request in order of time. Each line is
+preceded by the last state that its VM recorded for the servers it names.
 """
 
 from collections.abc import Iterable
@@ -17,9 +17,9 @@
 from foxtaildale_client import results
 
 # Fields that name a server.
-_NAMES: Final = ('server', 'prefill')
-# Fields of every line, which the story shows in its own way.
-_COMMON: Final = frozenset(
+_SERVER_FIELDS: Final = ('server', 'prefill')
+# Fields of every line; the trace formats them itself or omits them.
+_COMMON_FIELDS: Final = frozenset(
     ('at', 'level', 'role', 'entry_vm', 'event', 'request', 'age_ms')
 )
 
@@ -27,15 +27,15 @@
 
 
 class Story(results.Result, frozen=True):
-    """What was decided on a request."""
+    """The logged decisions on a request."""
 
     request: str
-    # Seconds since the first line, VM, sentence and other fields of each.
+    # For each line: seconds since the first line, VM, sentence, other fields.
     steps: tuple[tuple[float, str, str, str], ...]
     conclusion: str
 
     def text(self) -> str:
-        """Lines for people."""
+        """Returns the human-readable output."""
         lines = [f'request {self.request}']
         for after_s, entry_vm, sentence, rest in self.steps:
             lines.append(f'{after_s:+9.3f} s  {entry_vm}  {sentence}{rest}')
@@ -43,8 +43,8 @@
 
 
 def parse(texts: Iterable[str]) -> list[Line]:
-    """Returns the log lines in a text, oldest first; skips all else."""
-    found = []
+    """Returns the log lines of a text, oldest first; skips other text."""
+    parsed = []
     for text in texts:
         start = text.find('{"at"')
         if start < 0:
@@ -52,39 +52,41 @@
         try:
             line = msgspec.json.decode(text[start:])
         except (msgspec.DecodeError, UnicodeDecodeError):
-            # A line that was cut while it was written.
+            # The line was truncated while it was written.
             continue
         if isinstance(line, dict) and isinstance(line.get('at'), int | float):
-            found.append(line)
-    return sorted(found, key=lambda line: line['at'])
+            parsed.append(line)
+    return sorted(parsed, key=lambda line: line['at'])
 
 
 def tell(lines: list[Line], request: str) -> results.Result:
-    """Returns the story of a request; a problem if no line names it."""
-    mine = [line for line in lines if line.get('request') == request]
-    if not mine:
+    """Returns the trace of a request; a `Problem` if no line names it."""
+    request_lines = [line for line in lines if line.get('request') == request]
+    if not request_lines:
         return results.Problem(
             status=exits.Exit.NOT_FOUND,
             problems=(f'no line names request {request}',),
         )
-    began = mine[0]['at']
+    started_at = request_lines[0]['at']
     steps = []
     shown: set[int] = set()
-    for line in mine:
-        for belief in _beliefs(lines, line):
-            if id(belief) not in shown:
-                shown.add(id(belief))
-                steps.append(_step(belief, began))
-        steps.append(_step(line, began))
+    for line in request_lines:
+        for server_state in _last_server_states(lines, line):
+            if id(server_state) not in shown:
+                shown.add(id(server_state))
+                steps.append(_format_step(server_state, started_at))
+        steps.append(_format_step(line, started_at))
     return Story(
-        request=request, steps=tuple(steps), conclusion=_conclusion(mine[-1])
+        request=request,
+        steps=tuple(steps),
+        conclusion=_conclusion(request_lines[-1]),
     )
 
 
-def _beliefs(lines: list[Line], line: Line) -> list[Line]:
-    """Returns what the VM last learned of the servers that a line names."""
-    found = []
-    for name in {line.get(field) for field in _NAMES} - {None, ''}:
+def _last_server_states(lines: list[Line], line: Line) -> list[Line]:
+    """Returns the VM's last recorded states of the servers a line names."""
+    states = []
+    for name in {line.get(field) for field in _SERVER_FIELDS} - {None, ''}:
         last = None
         for other in lines:
             if other['at'] > line['at']:
@@ -96,29 +98,34 @@
             ):
                 last = other
         if last is not None:
-            found.append(last)
-    return found
+            states.append(last)
+    return states
 
 
 class _Fields(dict[str, Any]):
-    """Shows a question mark for a field that a line lacks."""
+    """Substitutes a question mark for a field that a line lacks."""
 
     def __missing__(self, _key: str) -> str:
         return '?'
 
 
-def _step(line: Line, began: float) -> tuple[float, str, str, str]:
+def _format_step(line: Line, started_at: float) -> tuple[float, str, str, str]:
     name = str(line.get('event', ''))
     event = logevents.ALL.get(name)
     template = event.sentence if event else name
     rest = [
         f'{field}={value}'
         for field, value in line.items()
-        if field not in _COMMON and f'{{{field}}}' not in template
+        if field not in _COMMON_FIELDS and f'{{{field}}}' not in template
     ]
     tail = f'  ({", ".join(rest)})' if rest else ''
     sentence = template.format_map(_Fields(line))
-    return line['at'] - began, str(line.get('entry_vm', '?')), sentence, tail
+    return (
+        line['at'] - started_at,
+        str(line.get('entry_vm', '?')),
+        sentence,
+        tail,
+    )
 
 
 def _conclusion(last: Line) -> str:
--- a/packages/client/foxtaildale_client/submit.py
+++ b/packages/client/foxtaildale_client/submit.py
@@ -1,11 +1,12 @@
-"""Publishing and switching, with an outcome that is always true.
-
-A change is appended, and its outcome is learnt by reading the log back: the
-answer to an append may be lost after it took effect, and an append that was
-answered may still be rejected by the fold. Repeating an append is safe, since
-its id counts once. What can't be decided within the time is said to be not
-known yet; a record that the log has not shown within its window is stale and
-will never count, so asking again comes to an end.
+"""Publishes and switches presets and reports the confirmed outcome.
+
+A change is appended, and its outcome is determined by reading the log back:
+the reply to an append may be lost after the append took effect, and an
+acknowledged append may still be rejected by the fold. Repeating an append is
+safe, since its id is applied only once. An outcome that can't be determined
+before the deadline is reported as not known. A record that does not appear in
+the log within its window is stale and will never be applied, so repeated
+queries end.
 """
 
 from collections.abc import Callable
@@ -21,39 +22,40 @@
 from foxtaildale import values
 from foxtaildale_client import reading
 
-# Pause between two looks at the log, seconds.
-_PAUSE_S: Final = 0.2
+# Interval between two polls of the log, seconds.
+_POLL_INTERVAL_S: Final = 0.2
 
 Result = Literal['accepted', 'rejected', 'not-known', 'not-sent', 'forgotten']
-# Makes the record of a change for a base offset and the state read there.
+# Builds the record of a change from a base offset and the state at it.
 Make = Callable[[int, fold.Fold], changes.Publish | changes.Switch]
 
 
 class Learnt(msgspec.Struct, frozen=True):
-    """What is known of a change."""
+    """The outcome of a change, as far as it is known."""
 
-    # not-sent: nothing left this program. forgotten: it is too long ago.
+    # not-sent: no append was sent. forgotten: the change is too old for the log
+    # to show its outcome.
     result: Result
     id: str
     base: int
-    # Why it was rejected; a word of `fold.Reason`, or `never-landed`.
+    # Reason of a rejection: a value of `fold.Reason`, or `never-landed`.
     reason: str = ''
     # Revision after the record, if it was read back.
     revision: int = 0
 
 
 class Submitter:
-    """Makes changes for an operator."""
+    """Submits changes for an operator."""
 
     __slots__ = ('_clock', '_log', '_new_id', '_patience_s', '_pause', 'reader')
 
     reader: reading.Reader
     _log: ports.Log
     _clock: ports.Clock
-    # Waits for some seconds.
+    # Sleeps for a number of seconds.
     _pause: Callable[[float], object]
     _new_id: Callable[[], str]
-    # How long a change may be pursued, seconds.
+    # Maximum time to wait for the outcome of a change, seconds.
     _patience_s: float
 
     def __init__(
@@ -77,7 +79,7 @@
 
         Raises:
             errors.PortError: The log could not be read; nothing was sent.
-            reading.UnknownStateError: The state can't be told from the log.
+            reading.UnknownStateError: The state can't be derived from the log.
         """
         return self._submit(
             lambda base, _: changes.make_publish(self._new_id(), base, preset)
@@ -89,11 +91,11 @@
         Args:
             name: Name of the preset.
             digest: Its digest.
-            expects: Revision to replace; None for the one found in force.
+            expects: Revision to replace; None for the one in force.
 
         Raises:
             errors.PortError: The log could not be read; nothing was sent.
-            reading.UnknownStateError: The state can't be told from the log.
+            reading.UnknownStateError: The state can't be derived from the log.
         """
         return self._submit(
             lambda base, state: changes.Switch(
@@ -106,14 +108,14 @@
         )
 
     def ask(self, change_id: str, base: int) -> Learnt:
-        """Returns what the log says of a change that was sent before.
+        """Reads the log and returns the outcome of an earlier change.
 
         Raises:
             errors.PortError: The log could not be read.
-            reading.UnknownStateError: The state can't be told from the log.
+            reading.UnknownStateError: The state can't be derived from the log.
         """
         self.reader.catch_up(change_id)
-        return self._judge(change_id, base)
+        return self._derive_outcome(change_id, base)
 
     def _submit(self, make: Make) -> Learnt:
         self.reader.catch_up()
@@ -121,22 +123,22 @@
         change = make(base, self.reader.state)
         data = changes.encode(change)
         deadline = self._clock() + self._patience_s
-        sent = landed = False
+        sent = appended = False
         while True:
-            if not landed:
-                landed, lost = self._append(data)
-                sent = sent or landed or lost
+            if not appended:
+                appended, reply_lost = self._append(data)
+                sent = sent or appended or reply_lost
             if sent:
-                learnt = self._look(change.id, base)
-                if learnt.result != 'not-known':
-                    return learnt
+                outcome = self._poll_outcome(change.id, base)
+                if outcome.result != 'not-known':
+                    return outcome
             if self._clock() >= deadline:
                 result: Result = 'not-known' if sent else 'not-sent'
                 return Learnt(result, change.id, base)
-            self._pause(_PAUSE_S)
+            self._pause(_POLL_INTERVAL_S)
 
     def _append(self, data: bytes) -> tuple[bool, bool]:
-        """Returns whether the record has landed, and whether it may have."""
+        """Returns whether the append succeeded, and whether its reply was lost."""
         try:
             self._log.append(changes.STREAM, [data])
         except errors.NoReplyError:
@@ -145,13 +147,13 @@
             return False, False
         return True, False
 
-    def _look(self, change_id: str, base: int) -> Learnt:
+    def _poll_outcome(self, change_id: str, base: int) -> Learnt:
         try:
             return self.ask(change_id, base)
         except (errors.PortError, reading.UnknownStateError):
             return Learnt('not-known', change_id, base)
 
-    def _judge(self, change_id: str, base: int) -> Learnt:
+    def _derive_outcome(self, change_id: str, base: int) -> Learnt:
         verdict = self.reader.seen.get(change_id)
         if verdict is not None:
             return Learnt(
@@ -162,9 +164,10 @@
                 verdict.revision,
             )
         if self.reader.covered_from > base:
-            # Whether it was among what lapsed can't be told any more.
+            # The record may be among those that expired.
             return Learnt('forgotten', change_id, base)
         if self.reader.state.offset >= base + fold.VERDICT_WINDOW:
-            # Every place where it would have counted was read without it.
+            # Every offset at which the record would be valid was read without
+            # finding it.
             return Learnt('rejected', change_id, base, 'never-landed')
         return Learnt('not-known', change_id, base)
--- a/packages/client/foxtaildale_client/text.py
+++ b/packages/client/foxtaildale_client/text.py
@@ -1,10 +1,10 @@
-"""Text for people: tables, times and figures."""
+"""Formats tables, times and numbers as human-readable text."""
 
 from collections.abc import Sequence
 import datetime
 from typing import Final
 
-# Characters of a digest that are shown to people.
+# Number of leading characters of a digest in human-readable output.
 DIGEST: Final = 12
 
 Cell = str | float | None
@@ -23,7 +23,7 @@
 
 
 def shown(value: Cell) -> str:
-    """Returns a value without needless decimals; `-` for none."""
+    """Formats a value without trailing zero decimals; `-` for None."""
     if value is None:
         return '-'
     if isinstance(value, float) and value.is_integer():
@@ -32,6 +32,6 @@
 
 
 def timestamp(at: float) -> str:
-    """Returns seconds since the epoch as UTC."""
+    """Formats seconds since the Unix epoch as UTC time."""
     moment = datetime.datetime.fromtimestamp(at, datetime.UTC)
     return moment.strftime('%Y-%m-%d %H:%M:%S UTC')
