--- a/packages/client/foxtaildale_client/main.py
+++ b/packages/client/foxtaildale_client/main.py
@@ -1,7 +1,8 @@
 """Command line program `foxtaildale` for operators.
 
 Parses the command line, opens the clients of the platform and of the
-processes, runs one command and prints its result. Exit statuses are those of `exits.Exit`.
+processes, runs one command and prints its result. Exit statuses are those of
+`exits.Exit`.
 """
 
 from collections.abc import Callable
--- a/packages/client/foxtaildale_client/reading.py
+++ b/packages/client/foxtaildale_client/reading.py
@@ -17,7 +17,7 @@
 
 # Maximum number of records per read. It is below the verdict window, so that no
 # verdict is discarded before it has been checked.
-_BATCH_RECORDS: Final = fold.VERDICT_WINDOW // 2
+_BATCH: Final = fold.VERDICT_WINDOW // 2
 # Maximum number of reads of one catch-up that may find their records expired.
 _MAX_EXPIRED_READS: Final = 3
 
@@ -67,7 +67,7 @@
         while True:
             try:
                 batch = self._log.read(
-                    changes.STREAM, self._follower.next_offset, _BATCH_RECORDS
+                    changes.STREAM, self._follower.next_offset, _BATCH
                 )
             except errors.RecordsExpiredError as exc:
                 expired_reads += 1
@@ -81,7 +81,9 @@
     def _apply_batch(self, batch: ports.Batch, watched: str) -> bool:
         """Folds a batch; returns whether it was the last one."""
         if batch.end < self.state.offset:
-            raise UnknownStateError('the log ends before what was read of it')
+            raise UnknownStateError(
+                'the log ends before the offset already read'
+            )
         searching = self._follower.next_offset != self.state.offset
         searching = searching or batch.first > self.state.offset
         self._reads += 1
@@ -95,6 +97,6 @@
             return True
         if not batch.records:
             raise UnknownStateError(
-                'old records have lapsed and no checkpoint is left'
+                'old records have expired and no checkpoint is left'
             )
         return False
--- a/packages/client/foxtaildale_client/results.py
+++ b/packages/client/foxtaildale_client/results.py
@@ -16,10 +16,10 @@
 _REASON_TEXTS: Final = {
     'other-revision': 'the revision in force is not the one it expects',
     'not-published': 'no such preset is published',
-    'bad-preset': 'the preset is not whole',
-    'stale': 'it reached the log too late',
-    'ahead': 'it was made from another log',
-    'never-landed': 'it never reached the log and would not count any more',
+    'bad-preset': 'the preset is invalid',
+    'stale': 'it was appended to the log too late',
+    'ahead': 'it was made from another log; its base is beyond this log',
+    'never-landed': 'it is not in the log and would be stale by now',
 }
 _EXIT_STATUSES: Final = {
     'accepted': exits.Exit.OK,
@@ -123,7 +123,7 @@
                 return 'not done: the log could not be reached'
             case 'forgotten':
                 return (
-                    'not known: the log no longer keeps subject came of it;'
+                    'not known: the log no longer shows the outcome;'
                     ' see `foxtaildale preset current`'
                 )
         return (
--- a/packages/client/foxtaildale_client/status.py
+++ b/packages/client/foxtaildale_client/status.py
@@ -237,7 +237,7 @@
                 f' others by {newest}'
             )
         elif not line.vouched:
-            problems.append(f'{line.name}: has no fresh word of the preset')
+            problems.append(f'{line.name}: preset state is not up to date')
         if line.diverged:
             problems.append(f'{line.name}: reports a state unlike its own')
         if line.reached and not line.entries:
--- a/packages/client/foxtaildale_client/submit.py
+++ b/packages/client/foxtaildale_client/submit.py
@@ -138,7 +138,7 @@
             self._pause(_POLL_INTERVAL_S)
 
     def _append(self, data: bytes) -> tuple[bool, bool]:
-        """Returns whether the append succeeded, and whether its reply was lost."""
+        """Returns whether the append succeeded and if its reply was lost."""
         try:
             self._log.append(changes.STREAM, [data])
         except errors.NoReplyError:
