--- a/packages/client/foxtaildale_client/results.py
+++ b/packages/client/foxtaildale_client/results.py
@@ -117,8 +117,8 @@
             case 'accepted':
                 return f'accepted; {self._in_force()}'
             case 'rejected':
-                reason = _REASON_TEXTS.get(self.reason, self.reason)
-                return f'rejected: {reason}; {self._in_force()}'
+                reason_text = _REASON_TEXTS.get(self.reason, self.reason)
+                return f'rejected: {reason_text}; {self._in_force()}'
             case 'not-sent':
                 return 'not done: the log could not be reached'
             case 'forgotten':
