--- a/bench/relay.py
+++ b/bench/relay.py
@@ -29,10 +29,10 @@
 from foxtaildale import backends
 from foxtaildale import ports
 from foxtaildale import streams
-from foxtaildale_adapters import callers
+from foxtaildale_adapters import caller_server
 from foxtaildale_adapters import engines
 from foxtaildale_adapters import events
-from foxtaildale_adapters import pump
+from foxtaildale_adapters import stream_reader
 from foxtaildaled import response_reading
 from foxtaildaled import sinks
 
@@ -117,10 +117,10 @@
         self._cpu = 0.0
         self.done = threading.Event()
         self._pumped = pumped
-        self._pump = pump.Pump()
+        self._pump = stream_reader.StreamReader()
         self._pump.start()
 
-    def handle(self, exchange: callers.Exchange) -> None:
+    def handle(self, exchange: caller_server.Exchange) -> None:
         """Relays one stream."""
         req = backends.DecodeReq(
             request='r', attempt=1, holder='h', stream='s', max_tokens=1
@@ -183,7 +183,7 @@
 def run_relay(source: str, count: int, *, pumped: bool) -> None:
     """Serves until every stream was relayed whole."""
     relay = Relay(source, count, pumped=pumped)
-    server = callers.Server('127.0.0.1:0', relay, count + 4, 30.0, 1024)
+    server = caller_server.Server('127.0.0.1:0', relay, count + 4, 30.0, 1024)
     print(server.start(), flush=True)
     if not relay.done.wait(_LIMIT_S):
         print('{"us": null, "pieces": 0}', flush=True)
--- a/packages/adapters/foxtaildale_adapters/admin.py
+++ b/packages/adapters/foxtaildale_adapters/admin.py
@@ -9,8 +9,8 @@
 from typing import Final
 
 from foxtaildale import codes
-from foxtaildale_adapters import callers
-from foxtaildale_adapters import incoming
+from foxtaildale_adapters import caller_exchange
+from foxtaildale_adapters import caller_server
 
 TEXT: Final = {'Content-Type': 'text/plain; charset=utf-8'}
 METRICS: Final = {'Content-Type': 'text/plain; version=0.0.4; charset=utf-8'}
@@ -38,13 +38,18 @@
         ready: Callable[[], str],
         state: Callable[[], bytes],
         metrics: Callable[[], bytes],
-        look_s: float = callers.LOOK_S,
+        idle_check_s: float = caller_server.IDLE_CHECK_S,
     ) -> None:
         self._ready = ready
         self._state = state
         self._metrics = metrics
-        self._server = callers.Server(
-            address, self, _THREADS, _TIMEOUT_S, _BODY_BYTES, look_s=look_s
+        self._server = caller_server.Server(
+            address,
+            self,
+            _THREADS,
+            _TIMEOUT_S,
+            _BODY_BYTES,
+            idle_check_s=idle_check_s,
         )
 
     def start(self) -> str:
@@ -55,7 +60,7 @@
         """Stops the server and closes its address."""
         self._server.close()
 
-    def handle(self, exchange: callers.Exchange) -> None:
+    def handle(self, exchange: caller_server.Exchange) -> None:
         """Responds to one request of an operator."""
         if exchange.path == '/livez':
             exchange.respond(200, TEXT, b'live\n')
@@ -64,16 +69,16 @@
         elif exchange.path == '/metrics':
             exchange.respond(200, METRICS, self._metrics())
         elif exchange.path == '/state':
-            exchange.respond(200, incoming.JSON, self._state())
+            exchange.respond(200, caller_exchange.JSON_HEADERS, self._state())
         else:
             figures = {'reason': f'no page {exchange.path}'}
             exchange.respond(
                 404,
-                incoming.JSON,
-                incoming.error_body(codes.BAD_REQUEST, figures, ''),
+                caller_exchange.JSON_HEADERS,
+                caller_exchange.error_body(codes.BAD_REQUEST, figures, ''),
             )
 
-    def _respond_ready(self, exchange: callers.Exchange) -> None:
+    def _respond_ready(self, exchange: caller_server.Exchange) -> None:
         reason = self._ready()
         if reason:
             exchange.respond(503, TEXT, f'{reason}\n'.encode())
--- a/packages/adapters/foxtaildale_adapters/flight.py
+++ b/packages/adapters/foxtaildale_adapters/backend_request.py
@@ -21,22 +21,22 @@
 import urllib3.util
 
 from foxtaildale import errors
-from foxtaildale_adapters import exchange
-from foxtaildale_adapters import idle
+from foxtaildale_adapters import http_client
+from foxtaildale_adapters import idle_connections
 
 # Connection timeout, seconds. Round trips take a few milliseconds. TCP resends
 # a lost SYN after one second, by when another server could have replied. No
 # request was sent at that point, so trying another server is always safe.
-CONNECT_S: Final = 0.2
+CONNECT_TIMEOUT_S: Final = 0.2
 # TCP closes the connection if sent bytes stay unacknowledged for this long,
 # milliseconds. A machine behind a network partition sends no reset.
-UNACKNOWLEDGED_MS: Final = 4000
+TCP_USER_TIMEOUT_MS: Final = 4000
 _READ_BYTES: Final = 65536
 # Value with which the library reports version HTTP/1.1 of a response.
 _HTTP_1_1: Final = 11
 _SOCKET_OPTIONS: Final[list[tuple[int, int, int | bytes]]] = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS),
 ]
 # Errors of the library, of the protocol parser, and of a socket that another
 # thread closed.
@@ -49,7 +49,7 @@
 )
 
 
-class Answer:
+class RawResponseHead:
     """Status and headers of a response, as received."""
 
     __slots__ = ('headers', 'status')
@@ -86,7 +86,7 @@
         headers: Mapping[str, str],
         body: bytes,
         *,
-        idle_conns: idle.Idle | None = None,
+        idle_conns: idle_connections.IdleConnections | None = None,
     ) -> None:
         """Prepares a request; sends nothing yet.
 
@@ -102,7 +102,7 @@
         """
         self._address = address
         self._idle = idle_conns
-        idle_conn = idle_conns.take(address) if idle_conns is not None else None
+        idle_conn = idle_conns.pop(address) if idle_conns is not None else None
         self._conn = idle_conn or _connection(address)
         self._method = method
         self._target = target
@@ -128,7 +128,7 @@
             errors.UnreachableError: Nothing was sent.
             errors.ConnectionBrokenError: A part may have been sent.
         """
-        self._conn.timeout = min(timeout_s, CONNECT_S)
+        self._conn.timeout = min(timeout_s, CONNECT_TIMEOUT_S)
         try:
             if self._conn.sock is None:
                 self._conn.connect()
@@ -157,7 +157,7 @@
             self.cancel()
             raise errors.ConnectionBrokenError(str(exc)) from exc
 
-    def answer(self, timeout_s: float) -> Answer:
+    def read_head(self, timeout_s: float) -> RawResponseHead:
         """Waits for the head of the response.
 
         Raises:
@@ -170,12 +170,14 @@
             _check_framing(resp)
         except TimeoutError as exc:
             self.cancel()
-            raise exchange.TimeoutLostError('no response in time') from exc
+            raise http_client.ResponseTimeoutError(
+                'no response in time'
+            ) from exc
         except _CONNECTION_ERRORS as exc:
             self.cancel()
             raise errors.ConnectionBrokenError(str(exc)) from exc
         self._resp = resp
-        return Answer(resp.status, tuple(resp.headers.items()))
+        return RawResponseHead(resp.status, tuple(resp.headers.items()))
 
     def read(self, timeout_s: float) -> bytes:
         """Waits for a chunk of the body; returns b'' at its regular end.
@@ -192,7 +194,7 @@
             return data
         except urllib3.exceptions.ReadTimeoutError as exc:
             self.cancel()
-            raise exchange.TimeoutLostError('no data in time') from exc
+            raise http_client.ResponseTimeoutError('no data in time') from exc
         except _CONNECTION_ERRORS as exc:
             self.cancel()
             raise errors.ConnectionBrokenError(str(exc)) from exc
@@ -231,7 +233,7 @@
             # A late cancellation must not affect the next request.
             conn, self._conn = self._conn, _connection(self._address)
             resp, self._resp = self._resp, None
-        self._idle.put(self._address, conn, _keep_alive_s(resp))
+        self._idle.add(self._address, conn, _keep_alive_s(resp))
         return True
 
     def _set_timeout(self, timeout_s: float) -> None:
@@ -243,7 +245,10 @@
 def _connection(address: str) -> urllib3.connection.HTTPConnection:
     host, _, port = address.rpartition(':')
     return urllib3.connection.HTTPConnection(
-        host, int(port), timeout=CONNECT_S, socket_options=_SOCKET_OPTIONS
+        host,
+        int(port),
+        timeout=CONNECT_TIMEOUT_S,
+        socket_options=_SOCKET_OPTIONS,
     )
 
 
--- a/packages/adapters/foxtaildale_adapters/body.py
+++ b/packages/adapters/foxtaildale_adapters/body.py
@@ -16,7 +16,7 @@
 import urllib3
 
 from foxtaildale import errors
-from foxtaildale_adapters import exchange
+from foxtaildale_adapters import http_client
 
 # Maximum size of a block received from the socket, bytes.
 _BLOCK_BYTES: Final = 65536
@@ -71,14 +71,14 @@
         try:
             if self._sock is not None:
                 return self._receive(self._sock)
-            block = exchange.read(self._resp)
+            block = http_client.read_chunk(self._resp)
             if block and not self._framed:
                 self._sock = self._duplicate_socket()
             return block
         finally:
-            self.give_back()
+            self.release_socket()
 
-    def lend(self) -> socket.socket | None:
+    def acquire_socket(self) -> socket.socket | None:
         """Passes the socket to an external reader, until `give_back`.
 
         Returns None if the library may hold buffered bytes, or if the body is
@@ -90,7 +90,7 @@
             self._reading = True
             return self._sock
 
-    def give_back(self) -> None:
+    def release_socket(self) -> None:
         """Ends a read of the socket, and closes it if `close` was called."""
         with self._lock:
             self._reading = False
@@ -117,7 +117,7 @@
         try:
             return sock.recv(_BLOCK_BYTES)
         except BlockingIOError as exc:
-            raise exchange.TimeoutLostError('no data in time') from exc
+            raise http_client.ResponseTimeoutError('no data in time') from exc
         except OSError as exc:
             raise errors.NoReplyError(str(exc)) from exc
 
--- a/packages/adapters/foxtaildale_adapters/breaker.py
+++ b/packages/adapters/foxtaildale_adapters/breaker.py
@@ -15,14 +15,14 @@
 
     __slots__ = ('_hold_off_s', '_open_until', '_trial_in_flight')
 
-    def __init__(self, hold_off_s: float) -> None:
-        self._hold_off_s = hold_off_s
+    def __init__(self, retry_delay_s: float) -> None:
+        self._hold_off_s = retry_delay_s
         # Time until which calls are rejected, seconds; None while closed.
         self._open_until: float | None = None
         # Whether the trial call is in flight.
         self._trial_in_flight = False
 
-    def admits(self, now: float) -> bool:
+    def try_admit(self, now: float) -> bool:
         """Returns whether a call may be made; a trial call counts as made."""
         if self._open_until is None:
             return True
@@ -31,12 +31,12 @@
         self._trial_in_flight = True
         return True
 
-    def answered(self) -> None:
+    def record_response(self) -> None:
         """Records that the system responded, whatever the result."""
         self._open_until = None
         self._trial_in_flight = False
 
-    def timed_out(self, now: float) -> None:
+    def record_timeout(self, now: float) -> None:
         """Records that a call timed out."""
         self._open_until = now + self._hold_off_s
         self._trial_in_flight = False
--- a/packages/adapters/foxtaildale_adapters/incoming.py
+++ b/packages/adapters/foxtaildale_adapters/caller_exchange.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from foxtaildale import codes
-from foxtaildale_adapters import hangups
+from foxtaildale_adapters import disconnects
 
-JSON: Final = {'Content-Type': 'application/json'}
+JSON_HEADERS: Final = {'Content-Type': 'application/json'}
 EVENT_STREAM: Final = 'text/event-stream'
 _LAST_CHUNK: Final = b'0\r\n\r\n'
 # Probes that detect whether a caller still reads: an interim response before
@@ -26,7 +26,7 @@
 
 # Added to the error message for a caller whose earlier attempt may be running
 # at another VM.
-EARLIER: Final = (
+EARLIER_ATTEMPT_NOTE: Final = (
     'This applies to this attempt only; an earlier attempt may have run.'
 )
 _IDENTITIES: Final = (b'idempotency-key:', b'foxtaildale-ticket:')
@@ -34,7 +34,7 @@
 Figures = Mapping[str, float | str]
 
 
-def has_identity(head: bytes) -> bool:
+def has_key_or_ticket(head: bytes) -> bool:
     """Whether the received part of a request head names a key or a ticket."""
     lowered = head.partition(b'\r\n\r\n')[0].lower()
     return any(name in lowered for name in _IDENTITIES)
@@ -46,7 +46,7 @@
     entry_vm: str,
     retry_after_s: float = 0,
     *,
-    sure: bool = True,
+    certain: bool = True,
 ) -> bytes:
     """Returns the JSON body of an error that has no request id.
 
@@ -55,13 +55,13 @@
         figures: Values for the placeholders of the message.
         entry_vm: Entry VM that detected the error.
         retry_after_s: Time after which the caller may retry, seconds.
-        sure: Whether the body may report "not run". A caller that sent a key
+        certain: Whether the body may report "not run". A caller that sent a key
             or ticket applies the report to its earlier attempts too, and one
             of them may be running at another VM.
     """
     ran, message = code.ran, code.sentence.format(**figures)
-    if not sure and ran == 'no':
-        ran, message = 'unknown', f'{message} {EARLIER}'
+    if not certain and ran == 'no':
+        ran, message = 'unknown', f'{message} {EARLIER_ATTEMPT_NOTE}'
     error = {
         'code': code.name,
         'message': message,
@@ -111,7 +111,7 @@
         self,
         req: server.HTTPRequest,
         body: bytes,
-        watcher: hangups.Watcher,
+        watcher: disconnects.Watcher,
     ) -> None:
         self.method: str = req.method.decode('latin-1')
         self.path: str = req.path.decode('utf-8', 'replace')
@@ -184,7 +184,7 @@
             return not self._disconnected
         return self._write(self._chunk(data))
 
-    def offer(self, data: bytes) -> bool:
+    def send_nonblocking(self, data: bytes) -> bool:
         """Sends as much of a body chunk as is possible without blocking.
 
         Returns:
@@ -229,15 +229,15 @@
         self._state = 'finished'
         return True
 
-    def gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether TCP reports that the caller disconnected; see `hangups`."""
         if not self._disconnected:
-            reset, fin = hangups.look(self._sock)
+            reset, fin = disconnects.poll_state(self._sock)
             if reset or (fin and not self._still_reads()):
                 self._disconnected = True
         return self._disconnected
 
-    def watch(self, callback: Callable[[], None]) -> None:
+    def on_disconnect(self, callback: Callable[[], None]) -> None:
         """Registers a callback for the disconnection of the caller.
 
         Another thread calls it at most once, and never after the exchange has
@@ -250,12 +250,12 @@
 
         self._watcher.add(self._sock.fileno(), self._still_reads, on_hangup)
 
-    def end(self) -> None:
+    def stop_watching(self) -> None:
         """Removes the watch; the server calls it after the handler returned."""
         if self._sock.fileno() >= 0:
             self._watcher.remove(self._sock.fileno())
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Closes the connection immediately, even within a response."""
         self._disconnected = True
         try:
@@ -317,7 +317,7 @@
             # The connection was reset, or the caller did not read within the
             # timeout. In both cases a part of the data may be lost, so nothing
             # more may be sent.
-            self.cut()
+            self.abort()
             return False
         return True
 
@@ -332,7 +332,7 @@
             return True
         try:
             data = self._probe_bytes()
-            if data and hangups.writable(self._sock):
+            if data and disconnects.is_writable(self._sock):
                 self._sock.sendall(data)
         except (OSError, ValueError):
             return False
--- a/packages/adapters/foxtaildale_adapters/callers.py
+++ b/packages/adapters/foxtaildale_adapters/caller_server.py
@@ -4,20 +4,20 @@
 from typing import Final
 
 from foxtaildale import errors
+from foxtaildale_adapters import caller_exchange
 from foxtaildale_adapters import httpd
-from foxtaildale_adapters import incoming
 
 # Timeout of `close` for handlers that are still running, seconds.
-CLOSE_S: Final = 3.0
+CLOSE_TIMEOUT_S: Final = 3.0
 # Interval between checks for connections that exceeded the idle timeout, and
 # maximum delay of a close, seconds. Each check wakes a thread.
-LOOK_S: Final = 0.1
+IDLE_CHECK_S: Final = 0.1
 # The negated value, set as idle timeout, closes every idle connection at the
 # library's next check, even if the wall clock was adjusted; seconds.
 NEVER_IDLE_S: Final = 1e6
 
-Exchange = incoming.Exchange
-Handler = incoming.Handler
+Exchange = caller_exchange.Exchange
+Handler = caller_exchange.Handler
 
 
 class Server:
@@ -49,16 +49,16 @@
         *,
         entry_vm: str = '',
         half_close: bool = True,
-        look_s: float = LOOK_S,
+        idle_check_s: float = IDLE_CHECK_S,
     ) -> None:
         host, _, port = address.rpartition(':')
         self._server = httpd.HttpServer(
-            (host, int(port)), handler, threads, look_s
+            (host, int(port)), handler, threads, idle_check_s
         )
         self._server.timeout = timeout_s  # type: ignore[assignment]
         self._server.max_request_body_size = max_body_bytes
         self._server.entry_vm = entry_vm
-        self._server.half_close = half_close
+        self._server.allows_half_close = half_close
         self._thread: threading.Thread | None = None
 
     def start(self) -> str:
@@ -96,7 +96,7 @@
         host, port = self._server.bind_addr
         return f'{host}:{port}'
 
-    def on_limits(self, idle_s: float, read_s: float, body_bytes: int) -> None:
+    def set_limits(self, idle_s: float, read_s: float, body_bytes: int) -> None:
         """Sets new limits; requests in progress keep their previous limits.
 
         Args:
@@ -105,7 +105,7 @@
             body_bytes: Maximum body length, bytes.
         """
         self._server.timeout = idle_s  # type: ignore[assignment]
-        self._server.read_s = read_s
+        self._server.request_timeout_s = read_s
         self._server.max_request_body_size = body_bytes
 
     def announce_stop(self) -> None:
@@ -131,14 +131,14 @@
         Returns:
             False if some were still in progress at the timeout.
         """
-        with self._server.idle_again:
-            return self._server.idle_again.wait_for(
-                lambda: not self._server.busy, timeout_s
+        with self._server.became_idle:
+            return self._server.became_idle.wait_for(
+                lambda: not self._server.active_requests, timeout_s
             )
 
     def busy(self) -> int:
         """Returns the number of exchanges in progress."""
-        return self._server.busy
+        return self._server.active_requests
 
     def close(self) -> None:
         """Closes every connection, also those in use.
@@ -152,6 +152,6 @@
         # that hangs would keep a stopped process alive forever.
         stop = threading.Thread(target=self._server.stop, daemon=True)
         stop.start()
-        stop.join(CLOSE_S)
-        self._thread.join(CLOSE_S)
+        stop.join(CLOSE_TIMEOUT_S)
+        self._thread.join(CLOSE_TIMEOUT_S)
         self._server.watcher.close()
--- a/packages/adapters/foxtaildale_adapters/files.py
+++ b/packages/adapters/foxtaildale_adapters/connection_files.py
@@ -12,10 +12,10 @@
 from typing import Final
 
 # Maximum length of a line, and of the request line with all headers, bytes.
-HEAD_BYTES: Final = 64 * 1024
+MAX_HEAD_BYTES: Final = 64 * 1024
 
 
-def bound_sends(sock: socket.socket, timeout_s: float) -> None:
+def set_send_timeout(sock: socket.socket, timeout_s: float) -> None:
     """Makes the kernel limit the time of each send, seconds.
 
     A socket object with a timeout waits in one system call and sends in
@@ -61,15 +61,15 @@
         super().__init__(raw)
         self._input = raw
 
-    def begin(self, timeout_s: float) -> None:
+    def set_deadline(self, timeout_s: float) -> None:
         """Sets the deadline of one request."""
         self._input.deadline = time.monotonic() + timeout_s
 
     def has_data(self) -> bool:
         """Whether more input arrived after the last request."""
-        return bool(self.head())
+        return bool(self.peek_unread())
 
-    def head(self) -> bytes:
+    def peek_unread(self) -> bytes:
         """Returns the first unread bytes without consuming them."""
         self._input.deadline = 0.0
         try:
@@ -81,8 +81,8 @@
         """Reads a line, or the start of a line that is too long."""
         # The library reads chunk size lines without a limit; an endless line
         # would exhaust the memory.
-        if size is None or size < 0 or size > HEAD_BYTES:
-            size = HEAD_BYTES
+        if size is None or size < 0 or size > MAX_HEAD_BYTES:
+            size = MAX_HEAD_BYTES
         return super().readline(size)
 
 
@@ -101,6 +101,6 @@
         self.bytes_written += len(data)
 
 
-def make(sock: socket.socket, mode: str, _size: int) -> Reader | _Writer:
+def make_file(sock: socket.socket, mode: str, _size: int) -> Reader | _Writer:
     """Replaces `MakeFile` of the library."""
     return Reader(_Input(sock)) if 'r' in mode else _Writer(sock)
--- a/packages/adapters/foxtaildale_adapters/connections.py
+++ b/packages/adapters/foxtaildale_adapters/connections.py
@@ -51,7 +51,7 @@
         self.silent = 0
 
 
-class Ask:
+class PendingRequest:
     """A request message that waits for its reply."""
 
     __slots__ = ('done', 'exc', 'payload', 'reply', 'sent', 'sequence')
@@ -66,7 +66,7 @@
         # Set together with `reply` or `exc`, and when the request is abandoned.
         self.done = threading.Event()
 
-    def lost(self, text: str) -> errors.PortError:
+    def no_reply_error(self, text: str) -> errors.PortError:
         """Returns the error for a request that got no reply."""
         if self.sent:
             return errors.NoReplyError(text)
@@ -78,13 +78,13 @@
 
     __slots__ = (
         'address',
-        'asked_at',
-        'heard_at',
+        'last_ping_at',
+        'last_received_at',
+        'last_request_at',
         'monitor',
         'pending',
-        'pinged_at',
         'sock',
-        'waiting',
+        'unsent',
     )
 
     def __init__(
@@ -105,12 +105,12 @@
         self.sock.setsockopt(zmq.MAXMSGSIZE, messages.MAX_BYTES + 1024)
         self.monitor = self.sock.get_monitor_socket(_CLOSE_EVENTS)
         # Requests not yet passed to libzmq.
-        self.waiting: collections.deque[Ask] = collections.deque()
+        self.unsent: collections.deque[PendingRequest] = collections.deque()
         # Sent requests by sequence number.
-        self.pending: dict[bytes, Ask] = {}
-        self.asked_at = now
-        self.heard_at = now
-        self.pinged_at = now
+        self.pending: dict[bytes, PendingRequest] = {}
+        self.last_request_at = now
+        self.last_received_at = now
+        self.last_ping_at = now
 
     def close(self) -> None:
         """Closes the socket; messages queued in libzmq are discarded."""
--- a/packages/adapters/foxtaildale_adapters/hangups.py
+++ b/packages/adapters/foxtaildale_adapters/disconnects.py
@@ -24,13 +24,13 @@
 from foxtaildale_adapters import wakes
 
 # Time between probes of a caller that sent a FIN, seconds.
-PROBE_S: Final = 1.0
+PROBE_INTERVAL_S: Final = 1.0
 # TCP keepalive: idle time and time between probes, both in seconds, and number
 # of probes.
 _KEEPALIVE: Final = (10, 5, 3)
 
 
-def keep_alive(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Enables TCP keepalive, to detect a caller lost without a FIN."""
     idle_s, between_s, count = _KEEPALIVE
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -39,7 +39,7 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, count)
 
 
-def look(sock: socket.socket | int) -> tuple[bool, bool]:
+def poll_state(sock: socket.socket | int) -> tuple[bool, bool]:
     """Returns whether a socket was reset, and whether a FIN was received."""
     poll = select.poll()
     try:
@@ -55,7 +55,7 @@
     return reset, bool(flags & select.POLLRDHUP)
 
 
-def writable(sock: socket.socket) -> bool:
+def is_writable(sock: socket.socket) -> bool:
     """Returns whether a few bytes can be sent without blocking."""
     poll = select.poll()
     poll.register(sock, select.POLLOUT)
@@ -110,7 +110,7 @@
         self._lock = threading.Lock()
         self._watched: dict[int, _WatchedConnection] = {}
         self._epoll = select.epoll()
-        self._wakeup = wakes.Wake()
+        self._wakeup = wakes.WakeEvent()
         self._epoll.register(self._wakeup.fileno(), select.EPOLLIN)
         self._thread = threading.Thread(
             target=self._run, name='hangups', daemon=True
@@ -152,26 +152,26 @@
                 self._epoll.unregister(fd)
 
     def _run(self) -> None:
-        next_probe = self._clock() + PROBE_S
+        next_probe = self._clock() + PROBE_INTERVAL_S
         while not self._closing:
             wait_s = max(0.0, next_probe - self._clock())
             for fd, _ in self._epoll.poll(wait_s):
                 if fd == self._wakeup.fileno():
                     self._wakeup.clear()
                 else:
-                    self._notice(fd)
+                    self._handle_event(fd)
             if self._clock() >= next_probe:
                 self._probe_all()
-                next_probe = self._clock() + PROBE_S
+                next_probe = self._clock() + PROBE_INTERVAL_S
 
-    def _notice(self, fd: int) -> None:
+    def _handle_event(self, fd: int) -> None:
         with self._lock:
             watched = self._watched.get(fd)
             if watched is None:
                 return
             # The event may belong to an earlier connection with the same
             # descriptor, so the state is polled again.
-            reset, fin = look(fd)
+            reset, fin = poll_state(fd)
         if reset:
             self._report_disconnect(fd, watched)
         elif fin:
--- a/packages/adapters/foxtaildale_adapters/engines.py
+++ b/packages/adapters/foxtaildale_adapters/engines.py
@@ -15,10 +15,10 @@
 from foxtaildale import errors
 from foxtaildale_adapters import body
 from foxtaildale_adapters import events
-from foxtaildale_adapters import exchange
+from foxtaildale_adapters import http_client
 
 # Timeout of the short calls: cancel, load, holdings, cache, orders; seconds.
-SHORT_S: Final = 2.0
+SHORT_CALL_TIMEOUT_S: Final = 2.0
 
 _HEADERS: Final = {'Content-Type': 'application/json'}
 _CLOSE_HEADERS: Final = {
@@ -34,9 +34,11 @@
 
     __slots__ = ('_exchange', '_short_s')
 
-    def __init__(self, short_s: float = SHORT_S) -> None:
-        self._short_s = short_s
-        self._exchange = exchange.Exchange()
+    def __init__(
+        self, short_call_timeout_s: float = SHORT_CALL_TIMEOUT_S
+    ) -> None:
+        self._short_s = short_call_timeout_s
+        self._exchange = http_client.HttpClient()
 
     def prefill(
         self, address: str, req: backends.PrefillReq, timeout_s: float
@@ -71,8 +73,8 @@
     ) -> events.Stream:
         """Resumes a stream from a position."""
         path = (
-            f'/streams/{exchange.quote(stream)}'
-            f'?from={position}&holder={exchange.quote(holder)}'
+            f'/streams/{http_client.quote(stream)}'
+            f'?from={position}&holder={http_client.quote(holder)}'
         )
         return self._stream(address, 'GET', path, None, silence_s)
 
@@ -150,22 +152,24 @@
         data: bytes | None,
         silence_s: float,
     ) -> events.Stream:
-        resp = exchange.request(
-            exchange.connect(address),
+        resp = http_client.send_request(
+            http_client.stream_pool(address),
             method,
             path,
-            connect_s=exchange.CONNECT_S,
-            silence_s=silence_s,
+            connect_timeout_s=http_client.CONNECT_TIMEOUT_S,
+            read_timeout_s=silence_s,
             body=data,
             headers=_CLOSE_HEADERS,
         )
         if resp.status == 200:
             return events.Stream(body.Body(resp, silence_s), silence_s)
         with contextlib.closing(resp):
-            raise _error(exchange.Answer(resp.status, exchange.read(resp)))
+            raise _error(
+                http_client.Response(resp.status, http_client.read_chunk(resp))
+            )
 
 
-def _decode(response: exchange.Answer, reply_type: type[_T]) -> _T:
+def _decode(response: http_client.Response, reply_type: type[_T]) -> _T:
     if response.status != 200:
         raise _error(response)
     try:
@@ -175,7 +179,7 @@
         raise errors.NoReplyError(f'response cannot be decoded: {exc}') from exc
 
 
-def _error(response: exchange.Answer) -> errors.PortError:
+def _error(response: http_client.Response) -> errors.PortError:
     """Returns the error for an unsuccessful response."""
     if response.status >= 400:
         try:
--- a/packages/adapters/foxtaildale_adapters/events.py
+++ b/packages/adapters/foxtaildale_adapters/events.py
@@ -17,7 +17,7 @@
 
 # Maximum size of an event, bytes; an engine that sends more without a separator
 # is faulty.
-MAX_EVENT: Final = 1024 * 1024
+MAX_EVENT_BYTES: Final = 1024 * 1024
 
 _EVENT_SEPARATOR: Final = b'\n\n'
 _DATA_PREFIX: Final = b'data: '
@@ -36,20 +36,20 @@
             errors.NoReplyError: The connection broke or was silent.
         """
 
-    def lend(self) -> socket.socket | None:
+    def acquire_socket(self) -> socket.socket | None:
         """Passes the socket to an external reader, until `give_back`.
 
         Returns None if blocks must be read through `read`.
         """
 
-    def give_back(self) -> None:
+    def release_socket(self) -> None:
         """Ends the external read of the socket."""
 
     def close(self) -> None:
         """Closes the connection; may be called from any thread."""
 
 
-def parse(event: bytes) -> backends.Chunk | backends.StreamEnd | None:
+def decode_event(event: bytes) -> backends.Chunk | backends.StreamEnd | None:
     """Decodes one event; returns None for one without data, as a comment.
 
     Raises:
@@ -136,14 +136,16 @@
             raise errors.NoReplyError('stream ended before its last event')
         parts = (self._partial_event + block).split(_EVENT_SEPARATOR)
         self._partial_event = parts.pop()
-        if len(self._partial_event) > MAX_EVENT:
-            raise errors.NoReplyError(f'event above {MAX_EVENT} bytes')
-        new_events = [event for event in map(parse, parts) if event is not None]
+        if len(self._partial_event) > MAX_EVENT_BYTES:
+            raise errors.NoReplyError(f'event above {MAX_EVENT_BYTES} bytes')
+        new_events = [
+            event for event in map(decode_event, parts) if event is not None
+        ]
         if new_events:
             new_events.reverse()
             self._ready[:0] = new_events
 
-    def lend(self) -> socket.socket | None:
+    def acquire_socket(self) -> socket.socket | None:
         """Passes the socket to a reader that calls `feed`, until `give_back`.
 
         Returns None while events are pending, after the end of the stream, and
@@ -151,11 +153,11 @@
         """
         if self._ready or self.ended:
             return None
-        return self._body.lend()
+        return self._body.acquire_socket()
 
-    def give_back(self) -> None:
+    def release_socket(self) -> None:
         """Ends the external read of the socket."""
-        self._body.give_back()
+        self._body.release_socket()
 
     def close(self) -> None:
         """Closes the connection; may be called from any thread."""
--- a/packages/adapters/foxtaildale_adapters/exchange.py
+++ b/packages/adapters/foxtaildale_adapters/http_client.py
@@ -26,21 +26,21 @@
 from foxtaildale import ports
 
 # Maximum timeout for opening a connection, seconds.
-CONNECT_S: Final = 1.0
+CONNECT_TIMEOUT_S: Final = 1.0
 # Maximum size of a response body, which is read into memory; bytes.
-MAX_BODY: Final = 16 * 1024 * 1024
+MAX_BODY_BYTES: Final = 16 * 1024 * 1024
 # Maximum idle time of the connections that are reused, seconds. The server also
 # closes idle connections, and a request sent on a closing connection is lost.
-IDLE_S: Final = 4.0
+MAX_IDLE_S: Final = 4.0
 # Maximum number of addresses with idle connections.
 MAX_POOLS: Final = 256
 # Maximum number of idle connections to one address.
-MAX_IDLE: Final = 16
+MAX_IDLE_CONNECTIONS: Final = 16
 
 _READ_BYTES: Final = 65536
 
 
-class Answer(msgspec.Struct, frozen=True):
+class Response(msgspec.Struct, frozen=True):
     """Status, body and headers of an HTTP response."""
 
     status: int
@@ -48,11 +48,11 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-class TimeoutLostError(errors.NoReplyError):
+class ResponseTimeoutError(errors.NoReplyError):
     """The response timed out; the connection was not closed by the server."""
 
 
-class SilentError(errors.UnreachableError):
+class ConnectTimeoutError(errors.UnreachableError):
     """Opening the connection timed out."""
 
 
@@ -66,7 +66,7 @@
         self.used_at = 0.0
 
 
-class Exchange:
+class HttpClient:
     """Sends requests to many addresses; safe for concurrent use."""
 
     __slots__ = ('_clock', '_lock', '_pools')
@@ -84,11 +84,11 @@
         path: str,
         *,
         timeout_s: float,
-        whole_s: float | None = None,
+        body_timeout_s: float | None = None,
         body: bytes | None = None,
         headers: Mapping[str, str] | None = None,
         reuse: bool = True,
-    ) -> Answer:
+    ) -> Response:
         """Sends one request and reads the complete response.
 
         Args:
@@ -97,7 +97,7 @@
             path: Path and query, already quoted.
             timeout_s: Timeout for the head of the response and for each read of
                 its body, seconds.
-            whole_s: Timeout for the complete body, seconds; `timeout_s` if
+            body_timeout_s: Timeout for the complete body, seconds; `timeout_s` if
                 None.
             body: Bytes to send.
             headers: Headers to send.
@@ -113,17 +113,19 @@
         """
         conns = self._get_pool(address) if reuse else _connect(address, 1)
         try:
-            resp = request(
+            resp = send_request(
                 conns,
                 method,
                 path,
-                connect_s=min(timeout_s, CONNECT_S),
-                silence_s=timeout_s,
+                connect_timeout_s=min(timeout_s, CONNECT_TIMEOUT_S),
+                read_timeout_s=timeout_s,
                 body=body,
                 headers=headers,
             )
             try:
-                data = self._read(resp, self._clock() + (whole_s or timeout_s))
+                data = self._read(
+                    resp, self._clock() + (body_timeout_s or timeout_s)
+                )
             except BaseException:
                 resp.close()
                 raise
@@ -131,33 +133,35 @@
                 resp.release_conn()
             else:
                 resp.close()
-        except (TimeoutLostError, SilentError):
+        except (ResponseTimeoutError, ConnectTimeoutError):
             self._discard_pool(address)
             raise
-        return Answer(resp.status, data, tuple(resp.headers.items()))
+        return Response(resp.status, data, tuple(resp.headers.items()))
 
     def _read(self, resp: urllib3.BaseHTTPResponse, deadline: float) -> bytes:
         chunks: list[bytes] = []
         size = 0
         while True:
-            chunk = read(resp)
+            chunk = read_chunk(resp)
             if not chunk:
                 return b''.join(chunks)
             chunks.append(chunk)
             size += len(chunk)
-            if size > MAX_BODY:
-                raise errors.NoReplyError(f'response exceeds {MAX_BODY} bytes')
+            if size > MAX_BODY_BYTES:
+                raise errors.NoReplyError(
+                    f'response exceeds {MAX_BODY_BYTES} bytes'
+                )
             # The socket's timeout doesn't limit a server that sends slowly.
             if self._clock() > deadline:
-                raise TimeoutLostError('response not complete in time')
+                raise ResponseTimeoutError('response not complete in time')
 
     def _get_pool(self, address: str) -> urllib3.HTTPConnectionPool:
         now = self._clock()
         with self._lock:
             pool = self._pools.get(address)
-            if pool is None or now - pool.used_at > IDLE_S:
+            if pool is None or now - pool.used_at > MAX_IDLE_S:
                 self._pools.pop(address, None)
-                pool = _Pool(_connect(address, MAX_IDLE))
+                pool = _Pool(_connect(address, MAX_IDLE_CONNECTIONS))
                 self._pools[address] = pool
                 if len(self._pools) > MAX_POOLS:
                     del self._pools[next(iter(self._pools))]
@@ -170,13 +174,13 @@
             self._pools.pop(address, None)
 
 
-def request(
+def send_request(
     conns: urllib3.HTTPConnectionPool,
     method: str,
     path: str,
     *,
-    connect_s: float,
-    silence_s: float,
+    connect_timeout_s: float,
+    read_timeout_s: float,
     body: bytes | None = None,
     headers: Mapping[str, str] | None = None,
 ) -> urllib3.BaseHTTPResponse:
@@ -198,7 +202,9 @@
             headers=headers,
             retries=False,
             redirect=False,
-            timeout=urllib3.Timeout(connect=connect_s, read=silence_s),
+            timeout=urllib3.Timeout(
+                connect=connect_timeout_s, read=read_timeout_s
+            ),
             preload_content=False,
             decode_content=False,
         )
@@ -212,14 +218,14 @@
     ) as exc:
         raise errors.UnreachableError(str(exc)) from exc
     except urllib3.exceptions.ConnectTimeoutError as exc:
-        raise SilentError(str(exc)) from exc
+        raise ConnectTimeoutError(str(exc)) from exc
     except urllib3.exceptions.ReadTimeoutError as exc:
-        raise TimeoutLostError(str(exc)) from exc
+        raise ResponseTimeoutError(str(exc)) from exc
     except (urllib3.exceptions.HTTPError, OSError, ValueError) as exc:
         raise errors.NoReplyError(str(exc)) from exc
 
 
-def read(resp: urllib3.BaseHTTPResponse) -> bytes:
+def read_chunk(resp: urllib3.BaseHTTPResponse) -> bytes:
     """Reads the available part of a response body; empty at its end.
 
     Raises:
@@ -229,7 +235,7 @@
     try:
         return resp.read1(_READ_BYTES)
     except urllib3.exceptions.ReadTimeoutError as exc:
-        raise TimeoutLostError(str(exc)) from exc
+        raise ResponseTimeoutError(str(exc)) from exc
     except (
         urllib3.exceptions.HTTPError,
         OSError,
@@ -254,7 +260,7 @@
     ConnectionCls = _Http10Connection
 
 
-def connect(address: str) -> urllib3.HTTPConnectionPool:
+def stream_pool(address: str) -> urllib3.HTTPConnectionPool:
     """Returns a pool for one stream, whose body ends when the server closes."""
     return _connect(address, 1, _Http10Pool)
 
--- a/packages/adapters/foxtaildale_adapters/httpd.py
+++ b/packages/adapters/foxtaildale_adapters/httpd.py
@@ -26,26 +26,26 @@
 
 from foxtaildale import codes
 from foxtaildale import errors
-from foxtaildale_adapters import files
-from foxtaildale_adapters import hangups
-from foxtaildale_adapters import incoming
+from foxtaildale_adapters import caller_exchange
+from foxtaildale_adapters import connection_files
+from foxtaildale_adapters import disconnects
 from foxtaildale_adapters import logs
 
 # Maximum number of idle connections that stay open.
-IDLE_CONNECTIONS: Final = 1000
+MAX_IDLE_CONNECTIONS: Final = 1000
 # Number of threads that a server starts with. A VM of a site of 78 serves four
 # requests per second, each of which takes one or two seconds; further threads
 # are started on demand.
-FIRST_THREADS: Final = 8
+INITIAL_THREADS: Final = 8
 # Maximum number of requests that wait for a thread.
-BURST: Final = 8
+MAX_QUEUED_REQUESTS: Final = 8
 # Delay after which a caller refused for busy threads should retry, seconds.
-BUSY_RETRY_S: Final = 1
+BUSY_RETRY_AFTER_S: Final = 1
 # How long unread input is read and discarded before a close, seconds.
-LINGER_S: Final = 1.0
+DISCARD_INPUT_S: Final = 1.0
 _READ_BYTES: Final = 4096
 # Prefix of the headers that carry identities and limits of a request.
-OWN_PREFIX: Final = b'Foxtaildale-'
+HEADER_PREFIX: Final = b'Foxtaildale-'
 _HEX_DIGITS: Final = b'0123456789abcdefABCDEF'
 _STATUS_TOO_LARGE: Final = 413
 _STATUS_TIMEOUT: Final = 408
@@ -63,13 +63,15 @@
     """Rejects request heads that another parser could read differently."""
 
     def __call__(
-        self, rfile: files.Reader, hdict: dict[bytes, bytes] | None = None
+        self,
+        rfile: connection_files.Reader,
+        hdict: dict[bytes, bytes] | None = None,
     ) -> dict[bytes, bytes]:
         headers: dict[bytes, bytes] = {} if hdict is None else hdict
         size = 0
         while (line := rfile.readline()) != b'\r\n':
             size += len(line)
-            if size > files.HEAD_BYTES:
+            if size > connection_files.MAX_HEAD_BYTES:
                 raise ValueError('the request head is too long')
             if not line.endswith(b'\r\n'):
                 raise ValueError(
@@ -81,7 +83,7 @@
             name, value = name.title(), value.strip()
             if name not in headers:
                 headers[name] = value
-            elif name in _UNIQUE_HEADERS or name.startswith(OWN_PREFIX):
+            elif name in _UNIQUE_HEADERS or name.startswith(HEADER_PREFIX):
                 raise ValueError(f'header {name.decode("latin-1")} is repeated')
             else:
                 headers[name] += b', ' + value
@@ -101,12 +103,12 @@
             length = self.inheaders.get(b'Content-Length', b'').decode(
                 'latin-1'
             )
-            self.too_large(length)
+            self.refuse_too_large(length)
         else:
             text = f'{str(status)[4:]}: {msg}' if msg else str(status)[4:]
             self.refuse(codes.BAD_REQUEST, reason=text.rstrip('.'))
 
-    def too_large(self, length: str) -> None:
+    def refuse_too_large(self, length: str) -> None:
         """Refuses a body that is too large and reports the limit."""
         limit = self.server.max_request_body_size
         self.refuse(
@@ -121,7 +123,7 @@
         self.sent_headers = True
         self.conn.drop_input = True
         header_lines = b''.join(b'%b:\r\n' % name for name in self.inheaders)
-        sure = not incoming.has_identity(header_lines)
+        sure = not caller_exchange.has_key_or_ticket(header_lines)
         self.conn.answer(code, figures, sure=sure)
 
 
@@ -133,13 +135,13 @@
     def __init__(
         self, http_server: 'HttpServer', sock: socket.socket, _make: object
     ) -> None:
-        super().__init__(http_server, sock, files.make)
+        super().__init__(http_server, sock, connection_files.make_file)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        hangups.keep_alive(sock)
-        files.bound_sends(sock, http_server.timeout)
+        disconnects.enable_keepalive(sock)
+        connection_files.set_send_timeout(sock, http_server.timeout)
         # Whether the connection was ever added to the idle connections.
-        self.parked = False
-        self.drop_input = False
+        self.was_idle = False
+        self.discard_input = False
 
     def communicate(self) -> bool:
         try:
@@ -149,13 +151,13 @@
         finally:
             self.server.count(-1)
 
-    def answer(
-        self, code: codes.Code, figures: incoming.Figures, *, sure: bool
+    def send_error(
+        self, code: codes.Code, figures: caller_exchange.Figures, *, sure: bool
     ) -> None:
         """Sends an error as the last response of the connection."""
-        retry_s = BUSY_RETRY_S if code is codes.ENTRY_BUSY else 0
-        body = incoming.error_body(
-            code, figures, self.server.entry_vm, retry_s, sure=sure
+        retry_s = BUSY_RETRY_AFTER_S if code is codes.ENTRY_BUSY else 0
+        body = caller_exchange.error_body(
+            code, figures, self.server.entry_vm, retry_s, certain=sure
         )
         head = (
             f'HTTP/1.1 {code.status} {code.name}\r\n'
@@ -171,7 +173,7 @@
             pass
 
     def close(self) -> None:
-        if self.drop_input:
+        if self.discard_input:
             self._discard_input()
         super().close()
 
@@ -183,8 +185,8 @@
         """
         try:
             self.socket.shutdown(socket.SHUT_WR)
-            self.rfile.begin(LINGER_S)
-            while self.rfile.read1(files.HEAD_BYTES):
+            self.rfile.begin(DISCARD_INPUT_S)
+            while self.rfile.read1(connection_files.MAX_HEAD_BYTES):
                 pass
         except OSError:
             pass
@@ -199,7 +201,7 @@
 
     __slots__ = ('_reader', 'read')
 
-    def __init__(self, reader: files.Reader) -> None:
+    def __init__(self, reader: connection_files.Reader) -> None:
         self._reader = reader
         self.read = reader.read
 
@@ -222,11 +224,11 @@
         body = self._read_body()
         if body is None:
             return
-        exchange = incoming.Exchange(req, body, req.server.watcher)
+        exchange = caller_exchange.Exchange(req, body, req.server.watcher)
         try:
             req.server.handler.handle(exchange)
         except errors.InvariantError as exc:
-            exchange.cut()
+            exchange.abort()
             threading.excepthook(
                 threading.ExceptHookArgs(
                     (type(exc), exc, exc.__traceback__, None)
@@ -235,20 +237,20 @@
         except Exception as exc:
             logs.event(logging.ERROR, 'handler failed', exc=exc)
         finally:
-            exchange.end()
+            exchange.stop_watching()
             self._finish_response(exchange)
 
-    def _finish_response(self, exchange: incoming.Exchange) -> None:
+    def _finish_response(self, exchange: caller_exchange.Exchange) -> None:
         if not exchange.started:
             code = codes.FAILED
             entry_vm = self.req.server.entry_vm
             exchange.respond(
                 code.status,
-                incoming.JSON,
-                incoming.error_body(code, {}, entry_vm),
+                caller_exchange.JSON_HEADERS,
+                caller_exchange.error_body(code, {}, entry_vm),
             )
         if not exchange.finished:
-            exchange.cut()
+            exchange.abort()
             self.req.close_connection = True
 
     def _read_body(self) -> bytes | None:
@@ -263,14 +265,14 @@
         except TimeoutError:
             req.refuse(codes.SLOW_REQUEST, limit_s=req.server.timeout)
         except cheroot_errors.MaxSizeExceeded:
-            req.too_large('')
+            req.refuse_too_large('')
         except ValueError as exc:
             req.refuse(codes.BAD_REQUEST, reason=str(exc))
         except OSError as exc:
             if exc.errno is not None:
                 raise
             # The library raises a bare OSError for a chunk that is too large.
-            req.too_large('')
+            req.refuse_too_large('')
         return None
 
     def _read_sized_body(self) -> bytes:
@@ -320,7 +322,7 @@
 
     def put(self, obj: _Connection) -> None:
         """Queues a connection; only the selector's thread calls this."""
-        if len(self._threads) < min(self.max, self.server.busy):
+        if len(self._threads) < min(self.max, self.server.active_requests):
             self._start_thread()
         super().put(obj)
 
@@ -345,56 +347,56 @@
     # Delay after which a closing server shuts down the connections in use,
     # seconds.
     shutdown_timeout = 1
-    keep_alive_conn_limit = IDLE_CONNECTIONS
-    max_request_header_size = files.HEAD_BYTES
+    keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
+    max_request_header_size = connection_files.MAX_HEAD_BYTES
 
     def __init__(
         self,
         address: tuple[str, int],
-        handler: incoming.Handler,
+        handler: caller_exchange.Handler,
         threads: int,
-        look_s: float,
+        idle_check_s: float,
     ) -> None:
         super().__init__(address, _Gateway, server_name='foxtaildale')
-        self.expiration_interval = look_s
-        initial_threads = min(FIRST_THREADS, threads)
+        self.expiration_interval = idle_check_s
+        initial_threads = min(INITIAL_THREADS, threads)
         self.requests = _ThreadPool(self, min=initial_threads, max=threads)
         self.handler = handler
-        self.threads = threads
+        self.max_threads = threads
         self.entry_vm = ''
         # Whether each response closes its connection.
         self.draining = False
         self.accepting = True
         # Deadline for a request to arrive completely, seconds; 0 selects the
         # idle timeout.
-        self.read_s = 0.0
+        self.request_timeout_s = 0.0
         # Whether a caller that closed its sending side may still wait for its
         # response.
-        self.half_close = True
-        self.watcher = hangups.Watcher(
+        self.allows_half_close = True
+        self.watcher = disconnects.Watcher(
             lambda exc: logs.event(logging.ERROR, 'watch failed', exc=exc)
         )
         # Number of requests that a thread handles or that wait for a thread.
-        self.busy = 0
-        self.idle_again = threading.Condition()
+        self.active_requests = 0
+        self.became_idle = threading.Condition()
 
-    def count(self, change: int) -> None:
+    def add_active_requests(self, change: int) -> None:
         """Changes the number of requests in progress."""
-        with self.idle_again:
-            self.busy += change
-            if not self.busy:
-                self.idle_again.notify_all()
+        with self.became_idle:
+            self.active_requests += change
+            if not self.active_requests:
+                self.became_idle.notify_all()
 
     def process_conn(self, conn: _Connection) -> None:
         """Adds a new connection to the selector; queues one that sent data."""
-        if not conn.parked:
-            conn.parked = True
+        if not conn.was_idle:
+            conn.was_idle = True
             self._connections.put(conn)
             return
-        if self.busy >= self.threads + BURST:
+        if self.active_requests >= self.max_threads + MAX_QUEUED_REQUESTS:
             self._reject_busy(conn)
             return
-        self.count(1)
+        self.add_active_requests(1)
         self.requests.put(conn)
 
     def put_conn(self, conn: _Connection) -> None:
@@ -406,10 +408,10 @@
 
     def _reject_busy(self, conn: _Connection) -> None:
         head = conn.rfile.head()
-        conn.answer(
+        conn.send_error(
             codes.ENTRY_BUSY,
-            {'limit': self.threads},
-            sure=not incoming.has_identity(head),
+            {'limit': self.max_threads},
+            sure=not caller_exchange.has_key_or_ticket(head),
         )
         conn.close()
 
--- a/packages/adapters/foxtaildale_adapters/idle.py
+++ b/packages/adapters/foxtaildale_adapters/idle_connections.py
@@ -22,18 +22,18 @@
 
 # Minimum and maximum idle time of a connection that is reused, seconds. Surplus
 # bytes after a response arrive within some milliseconds of it.
-REST_S: Final = 0.03
-MOST_S: Final = 3.0
+MIN_IDLE_S: Final = 0.03
+MAX_IDLE_S: Final = 3.0
 # Fraction of the idle timeout reported by a server in which a connection is
 # reused.
-TOLD_PART: Final = 0.5
+IDLE_TIMEOUT_FRACTION: Final = 0.5
 # Maximum number of idle connections to one address. All entry VMs share the
 # connections that a server accepts, and a request without an idle connection
 # opens a new one.
-MOST_EACH: Final = 4
+MAX_CONNECTIONS_PER_ADDRESS: Final = 4
 # Maximum number of addresses with idle connections; the least recently used
 # address is evicted.
-MOST_ADDRESSES: Final = 256
+MAX_ADDRESSES: Final = 256
 
 
 class _IdleConnection:
@@ -50,7 +50,7 @@
         self.usable_until = usable_until
 
 
-class Idle:
+class IdleConnections:
     """Idle connections by address; safe for concurrent use."""
 
     __slots__ = ('_clock', '_idle', '_lock')
@@ -61,16 +61,20 @@
         # By address; each list is sorted by `idle_since`.
         self._idle: dict[str, list[_IdleConnection]] = {}
 
-    def take(self, address: str) -> urllib3.connection.HTTPConnection | None:
+    def pop(self, address: str) -> urllib3.connection.HTTPConnection | None:
         """Removes and returns a reusable connection; None if there is none."""
         now = self._clock()
         with self._lock:
             entries = self._idle.get(address, [])
             candidates = [
-                entry for entry in entries if now - entry.idle_since >= REST_S
+                entry
+                for entry in entries
+                if now - entry.idle_since >= MIN_IDLE_S
             ]
             too_recent = [
-                entry for entry in entries if now - entry.idle_since < REST_S
+                entry
+                for entry in entries
+                if now - entry.idle_since < MIN_IDLE_S
             ]
             self._idle[address] = too_recent
         reusable = None
@@ -89,23 +93,25 @@
                 self._add(address, entry)
         return reusable.conn if reusable is not None else None
 
-    def put(
+    def add(
         self,
         address: str,
         conn: urllib3.connection.HTTPConnection,
-        told_s: float | None,
+        server_timeout_s: float | None,
     ) -> None:
         """Stores an idle connection, or closes it if the address has enough.
 
         Args:
             address: Address of the server.
             conn: Connection whose last response was read completely.
-            told_s: Idle timeout that the server reported, seconds; None if it
+            server_timeout_s: Idle timeout that the server reported, seconds; None if it
                 reported none.
         """
         now = self._clock()
         max_idle_s = (
-            MOST_S if told_s is None else min(MOST_S, TOLD_PART * told_s)
+            MAX_IDLE_S
+            if server_timeout_s is None
+            else min(MAX_IDLE_S, IDLE_TIMEOUT_FRACTION * server_timeout_s)
         )
         self._add(address, _IdleConnection(conn, now, now + max_idle_s))
 
@@ -124,9 +130,9 @@
             entries = self._idle.pop(address, [])
             entries.append(entry)
             entries.sort(key=lambda item: item.idle_since)
-            evicted = entries[:-MOST_EACH]
-            self._idle[address] = entries[-MOST_EACH:]
-            if len(self._idle) > MOST_ADDRESSES:
+            evicted = entries[:-MAX_CONNECTIONS_PER_ADDRESS]
+            self._idle[address] = entries[-MAX_CONNECTIONS_PER_ADDRESS:]
+            if len(self._idle) > MAX_ADDRESSES:
                 evicted += self._idle.pop(next(iter(self._idle)))
         for item in evicted:
             item.conn.close()
--- a/packages/adapters/foxtaildale_adapters/logs.py
+++ b/packages/adapters/foxtaildale_adapters/logs.py
@@ -33,13 +33,13 @@
 # four to six lines of about 250 characters and the smallest VM serves at most
 # 40 requests per second, so no line is dropped under normal load, and the
 # output is at most 100 KB per second.
-LINES_PER_S: Final = 400
-WAITING_LINES: Final = 2000
-LINE_CHARS: Final = 4000
+MAX_LINES_PER_S: Final = 400
+MAX_QUEUED_LINES: Final = 2000
+MAX_LINE_CHARS: Final = 4000
 _WINDOW_S: Final = 1.0
 
 
-class _Bounded(logging.handlers.QueueHandler):
+class _BoundedHandler(logging.handlers.QueueHandler):
     """Queues records for the writer without ever blocking.
 
     Otherwise, if the reader of standard output stopped reading, every thread
@@ -49,7 +49,7 @@
     def __init__(self, pending: queue.Queue[Any]) -> None:
         super().__init__(pending)
         self._lock = threading.Lock()
-        self._window_at = 0.0
+        self._window_started_at = 0.0
         self._line_count = 0
         self._dropped = 0
 
@@ -62,13 +62,13 @@
         with self._lock:
             now = time.monotonic()
             unreported = 0
-            if now - self._window_at >= _WINDOW_S:
-                self._window_at = now
+            if now - self._window_started_at >= _WINDOW_S:
+                self._window_started_at = now
                 self._line_count = 0
                 unreported, self._dropped = self._dropped, 0
             self._line_count += 1
             if (
-                self._line_count > LINES_PER_S
+                self._line_count > MAX_LINES_PER_S
                 and record.levelno < logging.ERROR
             ):
                 self._dropped += 1
@@ -90,7 +90,7 @@
     return record
 
 
-class _Formatter(logging.Formatter):
+class _JsonFormatter(logging.Formatter):
     """Formats a record as one line of JSON."""
 
     def __init__(self, role: str, entry_vm: str) -> None:
@@ -112,10 +112,10 @@
         if record.exc_info:
             line.setdefault('exc', self.formatException(record.exc_info))
         text = msgspec.json.encode(line, enc_hook=repr).decode()
-        if len(text) <= LINE_CHARS:
+        if len(text) <= MAX_LINE_CHARS:
             return text
         truncated = {name: line[name] for name in _COMMON_FIELDS}
-        truncated['cut'] = text[: LINE_CHARS // 2]
+        truncated['cut'] = text[: MAX_LINE_CHARS // 2]
         return msgspec.json.encode(truncated, enc_hook=repr).decode()
 
 
@@ -132,7 +132,7 @@
         flags.FLAGS.mark_as_parsed()
     flags.FLAGS['logtostderr'].value = True
     absl_logging.use_absl_handler()
-    absl_logging.get_absl_handler().setFormatter(_Formatter(role, entry_vm))
+    absl_logging.get_absl_handler().setFormatter(_JsonFormatter(role, entry_vm))
     # The level is passed by name, since absl's numbers differ from those of
     # the standard library.
     absl_logging.set_verbosity(level)
@@ -147,10 +147,10 @@
         level: Lowest severity that is logged.
     """
     setup(role, entry_vm, level)
-    pending: queue.Queue[Any] = queue.Queue(WAITING_LINES)
+    pending: queue.Queue[Any] = queue.Queue(MAX_QUEUED_LINES)
     handler = logging.StreamHandler(sys.stdout)
-    handler.setFormatter(_Formatter(role, entry_vm))
-    logging.getLogger().handlers[:] = [_Bounded(pending)]
+    handler.setFormatter(_JsonFormatter(role, entry_vm))
+    logging.getLogger().handlers[:] = [_BoundedHandler(pending)]
     listener = logging.handlers.QueueListener(pending, handler)
     listener.start()
 
--- a/packages/adapters/foxtaildale_adapters/metrics.py
+++ b/packages/adapters/foxtaildale_adapters/metrics.py
@@ -20,20 +20,20 @@
 
 # Upper bounds of the histograms' buckets, seconds. The buckets are narrow near
 # the targets for the first token (0.34 s) and between tokens (29 ms).
-FIRST_ANSWER_S: Final = (
+LATENCY_BUCKETS_S: Final = (
     0.01, 0.02, 0.05, 0.1, 0.2, 0.34, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0,
 )  # fmt: skip
-BETWEEN_TOKENS_S: Final = (
+TOKEN_GAP_BUCKETS_S: Final = (
     0.002, 0.005, 0.01, 0.02, 0.029, 0.04, 0.06, 0.1, 0.2, 0.5, 1.0, 5.0,
 )  # fmt: skip
 # Maximum number of series of one counter. The names of client accounts change
 # with the configuration, and a series is kept until the process ends.
-SERIES: Final = 2000
+MAX_SERIES: Final = 2000
 # First label value of what is counted beyond that limit.
-OTHER: Final = 'other'
+OVERFLOW_LABEL: Final = 'other'
 # Maximum number of observations that a histogram buffers before it passes them
 # to the library; bounds the buffer to 64 KB of memory.
-PENDING: Final = 2000
+MAX_PENDING: Final = 2000
 
 
 class Counter:
@@ -54,8 +54,8 @@
     def add(self, amount: float, *values: str) -> None:
         """Adds to the sum; `values` are in the order of the labels."""
         with self._lock:
-            if values not in self._sums and len(self._sums) >= SERIES:
-                values = (OTHER, *values[1:])
+            if values not in self._sums and len(self._sums) >= MAX_SERIES:
+                values = (OVERFLOW_LABEL, *values[1:])
             self._sums[values] = self._sums.get(values, 0) + amount
 
     def set(self, total: float, *values: str) -> None:
@@ -110,7 +110,7 @@
         """
         with self._lock:
             self._pending.extend((values, value) for value in seconds)
-            if len(self._pending) > PENDING:
+            if len(self._pending) > MAX_PENDING:
                 self._flush()
 
     def collect(self, registry: collectors.Registry) -> None:
@@ -179,14 +179,14 @@
             lock,
             'foxtaildale_first_answer_seconds',
             'Time from the request to the first piece of its answer.',
-            FIRST_ANSWER_S,
+            LATENCY_BUCKETS_S,
             'service',
         )
         self.between_tokens_seconds = Histogram(
             lock,
             'foxtaildale_between_tokens_seconds',
             'Time between two pieces of an answer.',
-            BETWEEN_TOKENS_S,
+            TOKEN_GAP_BUCKETS_S,
             'service',
         )
         self.prefill_tokens = Counter(
@@ -231,21 +231,21 @@
             lock,
             'foxtaildale_answer_seconds',
             'Time from the request to the end of its answer.',
-            FIRST_ANSWER_S,
+            LATENCY_BUCKETS_S,
             'service',
         )
         self.wait_seconds = Histogram(
             lock,
             'foxtaildale_wait_seconds',
             'Time that a request waited for a place at an engine.',
-            FIRST_ANSWER_S,
+            LATENCY_BUCKETS_S,
             'service',
         )
         self.prefill_seconds = Histogram(
             lock,
             'foxtaildale_prefill_seconds',
             'Time from sending a prompt to the end of its prefill.',
-            FIRST_ANSWER_S,
+            LATENCY_BUCKETS_S,
             'service',
         )
         self.store_calls = Counter(
--- a/packages/adapters/foxtaildale_adapters/peers.py
+++ b/packages/adapters/foxtaildale_adapters/peers.py
@@ -32,7 +32,7 @@
 from foxtaildale_adapters import wakes
 
 # Time without a request after which a connection is closed, seconds.
-IDLE_S: Final = 60.0
+IDLE_TIMEOUT_S: Final = 60.0
 # Sequence number of heartbeats; those of requests start at 1.
 _SEQUENCE_BYTES: Final = connections.SEQUENCE_BYTES
 _HEARTBEAT: Final = bytes(_SEQUENCE_BYTES)
@@ -82,16 +82,16 @@
         # Guards the state of every request.
         self._lock = threading.Lock()
         # Requests that the background thread has not processed yet.
-        self._incoming: collections.deque[tuple[str, connections.Ask]] = (
-            collections.deque()
-        )
+        self._incoming: collections.deque[
+            tuple[str, connections.PendingRequest]
+        ] = collections.deque()
         # Owned by the background thread.
         self._context: zmq.Context[connections.Dealer] = zmq.Context()
         self._connections: dict[str, connections.Connection] = {}
         # Both sockets of each connection.
         self._sockets: dict[connections.Dealer, connections.Connection] = {}
         self._poller = zmq.Poller()
-        self._wakeup = wakes.Wake()
+        self._wakeup = wakes.WakeEvent()
         self._thread = threading.Thread(
             target=self._run, name='peers', daemon=True
         )
@@ -153,13 +153,17 @@
         self._thread.join()
         self._context.destroy(linger=0)
 
-    def _enqueue(self, address: str, payload: bytes) -> connections.Ask:
+    def _enqueue(
+        self, address: str, payload: bytes
+    ) -> connections.PendingRequest:
         """Queues a request for the background thread.
 
         Raises:
             errors.UnreachableError: `close` was called.
         """
-        request = connections.Ask(next(self._sequence_numbers), payload)
+        request = connections.PendingRequest(
+            next(self._sequence_numbers), payload
+        )
         if self._closing:
             raise errors.UnreachableError('closed')
         self._incoming.append((address, request))
@@ -167,7 +171,10 @@
         return request
 
     def _wait_for_reply(
-        self, address: str, request: connections.Ask, timeout_s: float
+        self,
+        address: str,
+        request: connections.PendingRequest,
+        timeout_s: float,
     ) -> messages.Message:
         if not request.done.wait(timeout_s):
             self._abandon(address, request)
@@ -175,12 +182,14 @@
             raise request.exc
         return self._decode_reply(address, request.reply or b'')
 
-    def _abandon(self, address: str, request: connections.Ask) -> None:
+    def _abandon(
+        self, address: str, request: connections.PendingRequest
+    ) -> None:
         """Fails a request that timed out, unless it has just completed."""
         with self._lock:
             if request.done.is_set():
                 return
-            request.exc = request.lost(f'{address}: no reply in time')
+            request.exc = request.no_reply_error(f'{address}: no reply in time')
             request.done.set()
 
     def _decode_reply(self, address: str, data: bytes) -> messages.Message:
@@ -243,8 +252,8 @@
                     request, errors.UnreachableError(f'bad address {address!r}')
                 )
                 continue
-            conn.asked_at = now
-            conn.waiting.append(request)
+            conn.last_request_at = now
+            conn.unsent.append(request)
             self._send(conn)
 
     def _open(self, address: str, now: float) -> connections.Connection | None:
@@ -266,18 +275,18 @@
 
     def _send(self, conn: connections.Connection) -> None:
         """Sends queued requests until the connection would block."""
-        while conn.waiting:
-            request = conn.waiting[0]
+        while conn.unsent:
+            request = conn.unsent[0]
             with self._lock:
                 if request.done.is_set():
-                    conn.waiting.popleft()
+                    conn.unsent.popleft()
                     continue
                 if not self._try_send(conn, request.sequence, request.payload):
                     break
                 request.sent = True
-            conn.waiting.popleft()
+            conn.unsent.popleft()
             conn.pending[request.sequence] = request
-        wanted = zmq.POLLIN | (zmq.POLLOUT if conn.waiting else 0)
+        wanted = zmq.POLLIN | (zmq.POLLOUT if conn.unsent else 0)
         self._poller.modify(conn.sock, wanted)
 
     def _try_send(
@@ -297,7 +306,7 @@
                 frames = conn.sock.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
                 return
-            conn.heard_at = self._clock()
+            conn.last_received_at = self._clock()
             if len(frames) != 1 or len(frames[0]) < _SEQUENCE_BYTES:
                 self.counts.dropped += 1
                 continue
@@ -328,12 +337,14 @@
     def _send_heartbeats(self, now: float) -> None:
         """Sends heartbeats; closes silent and unused connections."""
         for conn in list(self._connections.values()):
-            if now - conn.heard_at > self._silence_s:
+            if now - conn.last_received_at > self._silence_s:
                 # Otherwise every request to this address would fail while a
                 # new connection to it works.
                 self.counts.silent += 1
                 self._close_connection(conn, 'connection silent')
-            elif now - conn.asked_at > IDLE_S and not conn.pending:
+            elif (
+                now - conn.last_request_at > IDLE_TIMEOUT_S and not conn.pending
+            ):
                 self._close_connection(conn, 'unused')
             else:
                 self._remove_abandoned(conn)
@@ -344,8 +355,8 @@
 
         They would accumulate while a peer does not reply.
         """
-        conn.waiting = collections.deque(
-            request for request in conn.waiting if not request.done.is_set()
+        conn.unsent = collections.deque(
+            request for request in conn.unsent if not request.done.is_set()
         )
         conn.pending = {
             request.sequence: request
@@ -366,11 +377,11 @@
         text = f'{conn.address}: {reason}'
         for request in conn.pending.values():
             self._fail_request(request, errors.NoReplyError(text))
-        for request in conn.waiting:
+        for request in conn.unsent:
             self._fail_request(request, errors.UnreachableError(text))
 
     def _fail_request(
-        self, request: connections.Ask, exc: errors.PortError
+        self, request: connections.PendingRequest, exc: errors.PortError
     ) -> None:
         with self._lock:
             if not request.done.is_set():
--- a/packages/adapters/foxtaildale_adapters/platform.py
+++ b/packages/adapters/foxtaildale_adapters/platform.py
@@ -20,10 +20,10 @@
 from foxtaildale import ports
 from foxtaildale import values
 from foxtaildale_adapters import breaker
-from foxtaildale_adapters import exchange
+from foxtaildale_adapters import http_client
 
 # Time in which calls fail without being sent, after a call timed out; seconds.
-HOLD_OFF_S: Final = 1.0
+RETRY_DELAY_S: Final = 1.0
 
 
 class _First(msgspec.Struct):
@@ -60,19 +60,19 @@
         address: str,
         timeout_s: float,
         clock: ports.Clock = time.monotonic,
-        hold_off_s: float = HOLD_OFF_S,
+        retry_delay_s: float = RETRY_DELAY_S,
     ) -> None:
         self._address = address
         self._timeout_s = timeout_s
         self._clock = clock
-        self._exchange = exchange.Exchange(clock)
-        self._breaker = breaker.Breaker(hold_off_s)
+        self._exchange = http_client.HttpClient(clock)
+        self._breaker = breaker.Breaker(retry_delay_s)
         self._lock = threading.Lock()
 
     def append(self, stream: str, records: Sequence[bytes]) -> int:
         """Appends all records atomically; returns the offset of the first."""
         body = msgspec.msgpack.encode(list(records))
-        response = self._send('POST', f'/log/{exchange.quote(stream)}', body)
+        response = self._send('POST', f'/log/{http_client.quote(stream)}', body)
         return _decode(_first_decoder, response.body).first
 
     def read(self, stream: str, offset: int, limit: int = 1000) -> ports.Batch:
@@ -81,7 +81,7 @@
         Raises:
             errors.RecordsExpiredError: The record at the offset has expired.
         """
-        path = f'/log/{exchange.quote(stream)}?from={offset}&limit={limit}'
+        path = f'/log/{http_client.quote(stream)}?from={offset}&limit={limit}'
         response = self._send('GET', path)
         batch = _decode(_batch_decoder, response.body)
         return ports.Batch(
@@ -99,9 +99,9 @@
 
     def _send(
         self, method: str, path: str, body: bytes | None = None
-    ) -> exchange.Answer:
+    ) -> http_client.Response:
         with self._lock:
-            if not self._breaker.admits(self._clock()):
+            if not self._breaker.try_admit(self._clock()):
                 raise errors.UnreachableError('the platform is not answering')
         try:
             response = self._exchange.send(
@@ -111,22 +111,25 @@
                 timeout_s=self._timeout_s,
                 body=body,
             )
-        except (exchange.TimeoutLostError, exchange.SilentError):
+        except (
+            http_client.ResponseTimeoutError,
+            http_client.ConnectTimeoutError,
+        ):
             with self._lock:
-                self._breaker.timed_out(self._clock())
+                self._breaker.record_timeout(self._clock())
             raise
         except BaseException:
             # A connection that was refused or closed at once delays no caller.
             with self._lock:
-                self._breaker.answered()
+                self._breaker.record_response()
             raise
         with self._lock:
-            self._breaker.answered()
+            self._breaker.record_response()
         _check(response)
         return response
 
 
-def _check(response: exchange.Answer) -> None:
+def _check(response: http_client.Response) -> None:
     if response.status == 200:
         return
     if response.status == 503:
--- a/packages/adapters/foxtaildale_adapters/probe.py
+++ b/packages/adapters/foxtaildale_adapters/probe.py
@@ -6,7 +6,7 @@
 from foxtaildale import ports
 
 # Maximum wait for a connection, seconds.
-PROBE_S: Final = 0.15
+CONNECT_TIMEOUT_S: Final = 0.15
 
 
 class Probe:
@@ -18,7 +18,9 @@
         """Returns the result of connecting to 'IP:PORT'."""
         host, _, port = address.rpartition(':')
         try:
-            socket.create_connection((host, int(port)), PROBE_S).close()
+            socket.create_connection(
+                (host, int(port)), CONNECT_TIMEOUT_S
+            ).close()
         except ConnectionRefusedError:
             return 'refused'
         except OSError:
--- a/packages/adapters/foxtaildale_adapters/flow.py
+++ b/packages/adapters/foxtaildale_adapters/response_relay.py
@@ -11,33 +11,33 @@
 from foxtaildale import streams
 from foxtaildale_adapters import body
 from foxtaildale_adapters import events
-from foxtaildale_adapters import pump
+from foxtaildale_adapters import stream_reader
 
 _EVENT_SEPARATOR: Final = b'\n\n'
 
 
-class Taken:
+class DetachedStream:
     """The buffered input of an engine's stream, and its socket."""
 
-    __slots__ = ('items', 'rest', 'sock')
+    __slots__ = ('buffered_events', 'partial_event', 'sock')
 
     def __init__(
         self,
-        items: list[backends.Chunk | backends.StreamEnd],
-        rest: bytes,
+        buffered_events: list[backends.Chunk | backends.StreamEnd],
+        partial_event: bytes,
         sock: socket.socket | None,
     ) -> None:
         # Events that were decoded and not returned yet.
-        self.items = items
+        self.buffered_events = buffered_events
         # Start of an event that was received in part.
-        self.rest = rest
+        self.partial_event = partial_event
         # A duplicate descriptor of the connection for `Flow.run`, which the
         # caller of `take_over` closes; None if the stream must be read through
         # its iterator.
         self.sock = sock
 
 
-def take_over(stream: events.Stream) -> Taken:
+def detach(stream: events.Stream) -> DetachedStream:
     """Detaches a stream from its iterator, after the first event.
 
     The stream still owns the connection: closing it ends `Flow.run`.
@@ -48,7 +48,9 @@
     # This reads private fields of `events.Stream`; it should be a method there.
     items = list(reversed(stream._ready))
     stream._ready.clear()
-    return Taken(items, stream._partial_event, _duplicate_socket(stream._body))
+    return DetachedStream(
+        items, stream._partial_event, _duplicate_socket(stream._body)
+    )
 
 
 def _duplicate_socket(source: events.Body) -> socket.socket | None:
@@ -66,7 +68,7 @@
 class Caller(Protocol):
     """Receives the framed chunks; `incoming.Exchange` implements it."""
 
-    def offer(self, data: bytes) -> bool:
+    def send_nonblocking(self, data: bytes) -> bool:
         """Sends without blocking; returns False if `flush` must follow."""
 
     def flush(self) -> bool:
@@ -101,7 +103,7 @@
         '_partial_event',
         '_times',
         'fault',
-        'last',
+        'stream_end',
     )
 
     def __init__(
@@ -111,22 +113,25 @@
         checker: streams.Checker,
         framer: streams.Framer,
         clock: ports.Clock,
-        times: list[float],
-        rest: bytes = b'',
+        sent_times: list[float],
+        partial_event: bytes = b'',
     ) -> None:
         self._exchange = exchange
         self._checker = checker
         self._framer = framer
         self._clock = clock
-        self._times = times
-        self._partial_event = rest
+        self._times = sent_times
+        self._partial_event = partial_event
         # The fault of the stream, a value of `streams.Verdict`; empty if none.
         self.fault = ''
         # The end of a complete response.
-        self.last: backends.StreamEnd | None = None
+        self.stream_end: backends.StreamEnd | None = None
 
     def run(
-        self, carrier: pump.Pump, sock: socket.socket, silence_s: float
+        self,
+        reader: stream_reader.StreamReader,
+        sock: socket.socket,
+        silence_s: float,
     ) -> None:
         """Reads until the response ends or fails or the caller disconnects.
 
@@ -134,7 +139,7 @@
             errors.NoReplyError: The stream of the engine broke or was silent.
         """
         while not self.ended:
-            carrier.carry(sock, self, silence_s)
+            reader.read_stream(sock, self, silence_s)
             # Waits for a slow caller in the stream's own thread.
             if not self._exchange.flush():
                 return
@@ -142,19 +147,19 @@
     @property
     def ended(self) -> bool:
         """Whether the response is complete or faulty."""
-        return self.last is not None or bool(self.fault)
+        return self.stream_end is not None or bool(self.fault)
 
     def feed(self, block: bytes) -> bool:
         """Processes bytes from the engine; see `pump.Feed`."""
         parts = (self._partial_event + block).split(_EVENT_SEPARATOR)
         self._partial_event = parts.pop()
-        if len(self._partial_event) > events.MAX_EVENT:
+        if len(self._partial_event) > events.MAX_EVENT_BYTES:
             raise errors.NoReplyError('event without a separator')
-        return self.take(
-            item for item in map(events.parse, parts) if item is not None
+        return self.relay(
+            item for item in map(events.decode_event, parts) if item is not None
         )
 
-    def take(
+    def relay(
         self, items: Iterable[backends.Chunk | backends.StreamEnd]
     ) -> bool:
         """Relays chunks.
@@ -174,9 +179,9 @@
             elif verdict is not streams.Verdict.DUPLICATE:
                 self.fault = verdict.value
                 break
-        sent = self._exchange.offer(b''.join(framed))
+        sent = self._exchange.send_nonblocking(b''.join(framed))
         now = self._clock()
-        chunk_count = len(framed) - (self.last is not None)
+        chunk_count = len(framed) - (self.stream_end is not None)
         self._times.extend([now] * chunk_count)
         return sent and not self.ended
 
@@ -185,7 +190,7 @@
     ) -> None:
         verdict = self._checker.check_end(last)
         if verdict is streams.Verdict.COMPLETE:
-            self.last = last
+            self.stream_end = last
             framed.append(self._framer.frame_end(last))
         else:
             self.fault = verdict.value
--- a/packages/adapters/foxtaildale_adapters/services.py
+++ b/packages/adapters/foxtaildale_adapters/services.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from foxtaildale import ports
-from foxtaildale_adapters import exchange
+from foxtaildale_adapters import http_client
 
 # Carries the request id, by which the service recognises a request.
 REQUEST_HEADER: Final = 'Foxtaildale-Request'
@@ -23,7 +23,7 @@
     __slots__ = ('_exchange',)
 
     def __init__(self) -> None:
-        self._exchange = exchange.Exchange()
+        self._exchange = http_client.HttpClient()
 
     def call(
         self,
@@ -37,7 +37,7 @@
         response = self._exchange.send(
             address,
             'POST',
-            '/' + exchange.quote(call),
+            '/' + http_client.quote(call),
             timeout_s=timeout_s,
             body=body,
             headers={
--- a/packages/adapters/foxtaildale_adapters/pump.py
+++ b/packages/adapters/foxtaildale_adapters/stream_reader.py
@@ -23,12 +23,12 @@
 from foxtaildale_adapters import wakes
 
 # Maximum read from one stream before the next stream is read, bytes.
-BLOCK: Final = 65536
+READ_BYTES: Final = 65536
 # Interval between checks for streams that timed out, seconds.
-SWEEP_S: Final = 0.5
+TIMEOUT_CHECK_S: Final = 0.5
 
 
-class Feed(Protocol):
+class StreamConsumer(Protocol):
     """Consumes the bytes of one stream."""
 
     def feed(self, block: bytes) -> bool:
@@ -50,7 +50,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        consumer: Feed,
+        consumer: StreamConsumer,
         read_timeout_s: float,
         now: float,
     ) -> None:
@@ -63,7 +63,7 @@
         self.done = threading.Event()
 
 
-class Pump:
+class StreamReader:
     """Reads registered streams and passes their bytes to `Feed` objects.
 
     Args:
@@ -86,7 +86,7 @@
         # Prevents a stream from being added after the thread released all.
         self._lock = threading.Lock()
         self._epoll = select.epoll()
-        self._wake = wakes.Wake()
+        self._wake = wakes.WakeEvent()
         self._epoll.register(self._wake.fileno(), select.EPOLLIN)
         # Streams by file descriptor. The thread of a stream adds it, and the
         # reading thread removes it.
@@ -106,8 +106,11 @@
         self._wake.set()
         self._thread.join()
 
-    def carry(
-        self, sock: socket.socket, consumer: Feed, read_timeout_s: float
+    def read_stream(
+        self,
+        sock: socket.socket,
+        consumer: StreamConsumer,
+        read_timeout_s: float,
     ) -> None:
         """Passes the bytes of a socket to `consumer` until it returns False.
 
@@ -131,7 +134,7 @@
             raise stream.exc
 
     def _run(self) -> None:
-        next_check = self._clock() + SWEEP_S
+        next_check = self._clock() + TIMEOUT_CHECK_S
         while not self._closing:
             wait_s = max(0.0, next_check - self._clock())
             for fd, _ in self._epoll.poll(wait_s):
@@ -140,7 +143,7 @@
                     self._receive(fd, stream)
             if self._clock() >= next_check:
                 self._check_timeouts(self._clock())
-                next_check = self._clock() + SWEEP_S
+                next_check = self._clock() + TIMEOUT_CHECK_S
         for fd, stream in list(self._streams.items()):
             self._finish(fd, stream, errors.NoReplyError('closed'))
         self._epoll.close()
@@ -148,7 +151,7 @@
 
     def _receive(self, fd: int, stream: _Stream) -> None:
         try:
-            block = stream.sock.recv(BLOCK, socket.MSG_DONTWAIT)
+            block = stream.sock.recv(READ_BYTES, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return
         except OSError as exc:
--- a/packages/adapters/foxtaildale_adapters/wakes.py
+++ b/packages/adapters/foxtaildale_adapters/wakes.py
@@ -3,7 +3,7 @@
 import os
 
 
-class Wake:
+class WakeEvent:
     """A file descriptor that becomes readable when `set` is called.
 
     Many calls of `set` before one `clear` cost the waiting thread a single
--- a/packages/adapters/foxtaildale_adapters/wire.py
+++ b/packages/adapters/foxtaildale_adapters/zmq_responder.py
@@ -30,9 +30,9 @@
 # Maximum number of messages that wait for a worker thread. Further messages are
 # replied to with `ErrorReply` immediately, so that requesters learn of the
 # overload without waiting for a timeout.
-QUEUE_LIMIT: Final = 10_000
+MAX_QUEUED_MESSAGES: Final = 10_000
 # Timeout of `close` for handlers to return and for replies to be sent, seconds.
-CLOSE_S: Final = 5.0
+CLOSE_TIMEOUT_S: Final = 5.0
 # Maximum frame size, bytes. It leaves room for frames just above the message
 # limit, which are counted. For a longer frame, libzmq closes the connection
 # before it stores the frame in memory.
@@ -90,7 +90,7 @@
         self._context: zmq.Context[zmq.Socket[bytes]] = zmq.Context()
         self._router = self._context.socket(zmq.ROUTER)
         self._monitor = self._router.get_monitor_socket(_HANDSHAKE_FAILURES)
-        self._wake = wakes.Wake()
+        self._wake = wakes.WakeEvent()
         self._thread = threading.Thread(
             target=self._run, name='responder', daemon=True
         )
@@ -129,12 +129,14 @@
             for _ in self._workers:
                 self._requests.put(None)
             for worker in self._workers:
-                worker.join(CLOSE_S)
+                worker.join(CLOSE_TIMEOUT_S)
             self._closing = True
             self._wake.set()
-            self._thread.join(CLOSE_S)
+            self._thread.join(CLOSE_TIMEOUT_S)
         self._router.disable_monitor()
-        self._context.destroy(linger=int(CLOSE_S * 1000) if started else 0)
+        self._context.destroy(
+            linger=int(CLOSE_TIMEOUT_S * 1000) if started else 0
+        )
         self._wake.close()
 
     def _run(self) -> None:
@@ -184,7 +186,7 @@
         self.counts.received_bytes += len(payload)
         if isinstance(msg, messages.Ping):
             self._send(identity, sequence, _PONG_REPLY)
-        elif self._requests.qsize() >= QUEUE_LIMIT:
+        elif self._requests.qsize() >= MAX_QUEUED_MESSAGES:
             self._send(identity, sequence, _BUSY_REPLY)
         else:
             self._requests.put((identity, sequence, msg))
--- a/packages/client/foxtaildale_client/reading.py
+++ b/packages/client/foxtaildale_client/config_reader.py
@@ -29,12 +29,12 @@
 class Reader:
     """Folds the stream and records the verdict of a watched change."""
 
-    __slots__ = ('_follower', '_log', '_reads', 'covered_from', 'seen')
+    __slots__ = ('_follower', '_log', '_reads', 'covered_from', 'verdicts')
 
     # Verdicts on records from this offset on are or will be visible.
     covered_from: int
     # Verdicts of watched records, by record id.
-    seen: dict[str, fold.Verdict]
+    verdicts: dict[str, fold.Verdict]
     _log: ports.Log
     _follower: config_follower.Follower
     # Number of reads so far. It is the follower's clock, so that the follower
@@ -43,7 +43,7 @@
 
     def __init__(self, log: ports.Log) -> None:
         self.covered_from = 0
-        self.seen = {}
+        self.verdicts = {}
         self._log = log
         self._follower = config_follower.Follower('operator', freshness_s=0.0)
         self._reads = 0
@@ -92,7 +92,7 @@
             self.covered_from = max(0, self.state.offset - fold.VERDICT_WINDOW)
         verdict = self.state.verdict(watched)
         if verdict is not None:
-            self.seen[watched] = verdict
+            self.verdicts[watched] = verdict
         if self._follower.vouched(self._reads):
             return True
         if not batch.records:
--- a/packages/client/foxtaildale_client/explain.py
+++ b/packages/client/foxtaildale_client/explain.py
@@ -25,7 +25,7 @@
 _decoder: Final = msgspec.msgpack.Decoder(list[values.Outcome])
 
 
-class Explained(results.Result, frozen=True):
+class RequestOutcomes(results.Result, frozen=True):
     """The outcomes recorded for a request, oldest first."""
 
     outcomes: tuple[values.Outcome, ...]
@@ -49,7 +49,7 @@
             if outcome.request == request
         ]
         if outcomes:
-            return Explained(outcomes=tuple(outcomes))
+            return RequestOutcomes(outcomes=tuple(outcomes))
     return results.Problem(
         status=exits.Exit.NOT_FOUND,
         problems=(f'no outcome of {request} is in the log (any more)',),
@@ -94,13 +94,14 @@
         ('ran', code.ran if code else 'unknown'),
         ('preset', f'revision {outcome.revision}'),
         ('entry VM', outcome.entry_vm),
-        ('time', text.timestamp(outcome.at)),
+        ('time', text.format_timestamp(outcome.at)),
     ]
     if outcome.retry_after_s:
         rows.append(
-            ('come back', f'after {text.shown(outcome.retry_after_s)} s')
+            ('come back', f'after {text.format_value(outcome.retry_after_s)} s')
         )
     rows += [
-        (figure.name, text.shown(figure.value)) for figure in outcome.figures
+        (figure.name, text.format_value(figure.value))
+        for figure in outcome.figures
     ]
-    return text.table(rows)
+    return text.format_table(rows)
--- a/packages/client/foxtaildale_client/main.py
+++ b/packages/client/foxtaildale_client/main.py
@@ -19,16 +19,16 @@
 
 from foxtaildale import accounts
 from foxtaildale import errors
-from foxtaildale_adapters import exchange
+from foxtaildale_adapters import http_client
 from foxtaildale_adapters import peers as peers_lib
 from foxtaildale_adapters import platform as platform_lib
+from foxtaildale_client import config_reader
 from foxtaildale_client import exits
 from foxtaildale_client import explain as explain_lib
 from foxtaildale_client import presets
-from foxtaildale_client import reading
+from foxtaildale_client import request_trace
 from foxtaildale_client import results
 from foxtaildale_client import status as status_lib
-from foxtaildale_client import story
 from foxtaildale_client import submit
 
 # Default address of the platform.
@@ -201,9 +201,11 @@
 
 def _explain_from_logs(log: str, request: str) -> results.Result:
     if log == '-':
-        return story.tell(story.parse(sys.stdin), request)
+        return request_trace.trace_request(
+            request_trace.parse(sys.stdin), request
+        )
     with open(log, encoding='utf-8', errors='replace') as lines:
-        return story.tell(story.parse(lines), request)
+        return request_trace.trace_request(request_trace.parse(lines), request)
 
 
 def status(
@@ -284,7 +286,7 @@
         return _problem(exits.Exit.BAD_FILE, *exc.faults)
     except (OSError, UnicodeDecodeError) as exc:
         return _problem(exits.Exit.BAD_FILE, str(exc))
-    except (errors.PortError, reading.UnknownStateError) as exc:
+    except (errors.PortError, config_reader.UnknownStateError) as exc:
         # These errors are raised only before anything is sent; see `submit`.
         return _problem(
             exits.Exit.UNAVAILABLE, f'this command changed nothing: {exc}'
@@ -301,7 +303,7 @@
 
 def _platform(address: str) -> platform_lib.Platform:
     # No backoff: one command sends only a few requests, all of them intended.
-    return platform_lib.Platform(address, _PEER_TIMEOUT_S, hold_off_s=0.0)
+    return platform_lib.Platform(address, _PEER_TIMEOUT_S, retry_delay_s=0.0)
 
 
 def _account_key() -> results.Result:
@@ -311,22 +313,22 @@
     return results.KeyDigest(digest=accounts.digest(key).hex())
 
 
-def _reader(address: str) -> reading.Reader:
-    return reading.Reader(_platform(address))
+def _reader(address: str) -> config_reader.Reader:
+    return config_reader.Reader(_platform(address))
 
 
 def _submitter(address: str, patience_s: float) -> submit.Submitter:
     return submit.Submitter(
         _platform(address),
         clock=time.monotonic,
-        pause=time.sleep,
+        sleep=time.sleep,
         new_id=lambda: uuid.uuid4().hex,
         patience_s=patience_s,
     )
 
 
 def _state(address: str, timeout_s: float) -> results.Result:
-    response = exchange.Exchange().send(
+    response = http_client.HttpClient().send(
         address, 'GET', '/state', timeout_s=timeout_s
     )
     try:
@@ -342,7 +344,9 @@
 def _status(platform: str, keeper: str, timeout_s: float) -> results.Result:
     peers = peers_lib.Peers(_HEARTBEAT_INTERVAL_S, _PEER_TIMEOUT_S)
     try:
-        return status_lib.glance(_platform(platform), peers, keeper, timeout_s)
+        return status_lib.summarize(
+            _platform(platform), peers, keeper, timeout_s
+        )
     finally:
         peers.close()
 
--- a/packages/client/foxtaildale_client/presets.py
+++ b/packages/client/foxtaildale_client/presets.py
@@ -14,8 +14,8 @@
 from foxtaildale import fold
 from foxtaildale import settings
 from foxtaildale import values
+from foxtaildale_client import config_reader
 from foxtaildale_client import exits
-from foxtaildale_client import reading
 from foxtaildale_client import results
 from foxtaildale_client import submit
 
@@ -74,16 +74,16 @@
     Raises:
         errors.PortError: The log could not be read.
     """
-    return _changed(submitter.ask(change_id, base))
+    return _changed(submitter.query_outcome(change_id, base))
 
 
-def listed(reader: reading.Reader) -> results.Result:
+def listed(reader: config_reader.Reader) -> results.Result:
     """Lists the published presets."""
     reader.catch_up()
     state = reader.state
     in_force = state.in_force.digest if state.in_force else ''
     lines = [
-        results.Line(
+        results.PublishedLine(
             name=item.name,
             digest=item.digest,
             offset=item.offset,
@@ -94,14 +94,14 @@
     return results.Listed(presets=tuple(lines))
 
 
-def show(reader: reading.Reader, which: str) -> results.Result:
+def show(reader: config_reader.Reader, which: str) -> results.Result:
     """Shows a complete published preset; without a name, the one in force."""
     reader.catch_up()
     published_preset = find(reader.state, which)
     if published_preset is None:
         return _not_found(which)
     in_force = reader.state.in_force
-    return results.Shown(
+    return results.ShownPreset(
         digest=published_preset.digest,
         revision=(
             in_force.revision
@@ -112,7 +112,7 @@
     )
 
 
-def current(reader: reading.Reader) -> results.Result:
+def current(reader: config_reader.Reader) -> results.Result:
     """Shows which preset is in force."""
     reader.catch_up()
     in_force = reader.state.in_force
@@ -126,7 +126,7 @@
     )
 
 
-def diff(reader: reading.Reader, old: str, new: str) -> results.Result:
+def diff(reader: config_reader.Reader, old: str, new: str) -> results.Result:
     """Compares two published presets field by field."""
     reader.catch_up()
     compared: list[values.Preset] = []
@@ -182,7 +182,7 @@
 
 
 def _changed(
-    change_outcome: submit.Learnt,
+    change_outcome: submit.ChangeOutcome,
     change: str = '',
     name: str = '',
     digest: str = '',
--- a/packages/client/foxtaildale_client/story.py
+++ b/packages/client/foxtaildale_client/request_trace.py
@@ -26,7 +26,7 @@
 Line = dict[str, Any]
 
 
-class Story(results.Result, frozen=True):
+class RequestTrace(results.Result, frozen=True):
     """The logged decisions on a request."""
 
     request: str
@@ -59,7 +59,7 @@
     return sorted(parsed, key=lambda line: line['at'])
 
 
-def tell(lines: list[Line], request: str) -> results.Result:
+def trace_request(lines: list[Line], request: str) -> results.Result:
     """Returns the trace of a request; a `Problem` if no line names it."""
     request_lines = [line for line in lines if line.get('request') == request]
     if not request_lines:
@@ -76,7 +76,7 @@
                 shown.add(id(server_state))
                 steps.append(_format_step(server_state, started_at))
         steps.append(_format_step(line, started_at))
-    return Story(
+    return RequestTrace(
         request=request,
         steps=tuple(steps),
         conclusion=_conclusion(request_lines[-1]),
--- a/packages/client/foxtaildale_client/results.py
+++ b/packages/client/foxtaildale_client/results.py
@@ -69,7 +69,7 @@
 
     def text(self) -> str:
         """Returns the human-readable output."""
-        short = self.digest[: text.DIGEST]
+        short = self.digest[: text.DIGEST_CHARS]
         return f'{self.file}: preset {self.name} {short}, no fault'
 
 
@@ -107,7 +107,7 @@
         """Returns the human-readable output."""
         subject = self.id
         if self.name:
-            subject = f'{self.name} {self.digest[: text.DIGEST]}'
+            subject = f'{self.name} {self.digest[: text.DIGEST_CHARS]}'
         return f'{subject}: {self._sentence()}'
 
     def _sentence(self) -> str:
@@ -137,7 +137,7 @@
         return f'revision {self.revision} is in force'
 
 
-class Line(msgspec.Struct, frozen=True, kw_only=True):
+class PublishedLine(msgspec.Struct, frozen=True, kw_only=True):
     """One published preset."""
 
     name: str
@@ -149,7 +149,7 @@
 class Listed(Result, frozen=True):
     """The published presets, oldest first."""
 
-    presets: tuple[Line, ...]
+    presets: tuple[PublishedLine, ...]
 
     def text(self) -> str:
         """Returns the human-readable output."""
@@ -158,12 +158,12 @@
         rows = [('', 'NAME', 'DIGEST', 'OFFSET')]
         for line in self.presets:
             mark = '*' if line.in_force else ''
-            short = line.digest[: text.DIGEST]
+            short = line.digest[: text.DIGEST_CHARS]
             rows.append((mark, line.name, short, str(line.offset)))
-        return text.table(rows)
+        return text.format_table(rows)
 
 
-class Shown(Result, frozen=True):
+class ShownPreset(Result, frozen=True):
     """A complete preset."""
 
     digest: str
@@ -202,7 +202,7 @@
         if not self.revision:
             return 'no preset is in force'
         return (
-            f'{self.name} {self.digest[: text.DIGEST]}, revision'
+            f'{self.name} {self.digest[: text.DIGEST_CHARS]}, revision'
             f' {self.revision}, since offset {self.offset}'
         )
 
@@ -228,6 +228,6 @@
             return f'{self.old} and {self.new} are the same'
         lines = [f'{self.old} -> {self.new}']
         for item in self.differences:
-            old, new = text.shown(item.old), text.shown(item.new)
+            old, new = text.format_value(item.old), text.format_value(item.new)
             lines.append(f'{item.field}: {old} -> {new}')
         return '\n'.join(lines)
--- a/packages/client/foxtaildale_client/status.py
+++ b/packages/client/foxtaildale_client/status.py
@@ -61,7 +61,7 @@
     leaving: int
 
 
-class Glance(results.Result, frozen=True):
+class StatusSummary(results.Result, frozen=True):
     """Summary of a deployment."""
 
     # Version of the platform's list; None when it could not be read.
@@ -92,18 +92,18 @@
                     str(vm.entries),
                 )
             )
-        parts = [text.table(rows)]
+        parts = [text.format_table(rows)]
         if self.servers:
             rows = [('SERVICE', 'ROLE', 'LIVE', 'LEAVING', '')]
             for line in self.servers:
                 live, leaving = str(line.live), str(line.leaving)
                 rows.append((line.service, line.role, live, leaving, ''))
-            parts.append(text.table(rows))
+            parts.append(text.format_table(rows))
         parts.append('\n'.join(self.problems) or 'no problems')
         return '\n\n'.join(parts)
 
 
-def glance(
+def summarize(
     directory: ports.Directory,
     peers: ports.Peers,
     keeper: str,
@@ -136,7 +136,7 @@
         _vm_line(vm, dump, listed=listing is not None)
         for vm, dump in zip(vms, dumps, strict=True)
     )
-    return Glance(
+    return StatusSummary(
         listing_version=listing.version if listing else None,
         entry_vms=lines,
         servers=_server_lines(listing.backend_servers if listing else ()),
--- a/packages/client/foxtaildale_client/submit.py
+++ b/packages/client/foxtaildale_client/submit.py
@@ -20,17 +20,17 @@
 from foxtaildale import fold
 from foxtaildale import ports
 from foxtaildale import values
-from foxtaildale_client import reading
+from foxtaildale_client import config_reader
 
 # Interval between two polls of the log, seconds.
 _POLL_INTERVAL_S: Final = 0.2
 
 Result = Literal['accepted', 'rejected', 'not-known', 'not-sent', 'forgotten']
 # Builds the record of a change from a base offset and the state at it.
-Make = Callable[[int, fold.Fold], changes.Publish | changes.Switch]
+MakeRecord = Callable[[int, fold.Fold], changes.Publish | changes.Switch]
 
 
-class Learnt(msgspec.Struct, frozen=True):
+class ChangeOutcome(msgspec.Struct, frozen=True):
     """The outcome of a change, as far as it is known."""
 
     # not-sent: no append was sent. forgotten: the change is too old for the log
@@ -49,7 +49,7 @@
 
     __slots__ = ('_clock', '_log', '_new_id', '_patience_s', '_pause', 'reader')
 
-    reader: reading.Reader
+    reader: config_reader.Reader
     _log: ports.Log
     _clock: ports.Clock
     # Sleeps for a number of seconds.
@@ -63,18 +63,18 @@
         log: ports.Log,
         *,
         clock: ports.Clock,
-        pause: Callable[[float], object],
+        sleep: Callable[[float], object],
         new_id: Callable[[], str],
         patience_s: float,
     ) -> None:
-        self.reader = reading.Reader(log)
+        self.reader = config_reader.Reader(log)
         self._log = log
         self._clock = clock
-        self._pause = pause
+        self._pause = sleep
         self._new_id = new_id
         self._patience_s = patience_s
 
-    def publish(self, preset: values.Preset) -> Learnt:
+    def publish(self, preset: values.Preset) -> ChangeOutcome:
         """Publishes a preset.
 
         Raises:
@@ -85,7 +85,9 @@
             lambda base, _: changes.make_publish(self._new_id(), base, preset)
         )
 
-    def switch(self, name: str, digest: str, expects: int | None) -> Learnt:
+    def switch(
+        self, name: str, digest: str, expects: int | None
+    ) -> ChangeOutcome:
         """Puts a preset in force in place of revision `expects`.
 
         Args:
@@ -107,7 +109,7 @@
             )
         )
 
-    def ask(self, change_id: str, base: int) -> Learnt:
+    def query_outcome(self, change_id: str, base: int) -> ChangeOutcome:
         """Reads the log and returns the outcome of an earlier change.
 
         Raises:
@@ -117,7 +119,7 @@
         self.reader.catch_up(change_id)
         return self._derive_outcome(change_id, base)
 
-    def _submit(self, make: Make) -> Learnt:
+    def _submit(self, make: MakeRecord) -> ChangeOutcome:
         self.reader.catch_up()
         base = self.reader.state.offset
         change = make(base, self.reader.state)
@@ -134,7 +136,7 @@
                     return outcome
             if self._clock() >= deadline:
                 result: Result = 'not-known' if sent else 'not-sent'
-                return Learnt(result, change.id, base)
+                return ChangeOutcome(result, change.id, base)
             self._pause(_POLL_INTERVAL_S)
 
     def _append(self, data: bytes) -> tuple[bool, bool]:
@@ -147,16 +149,16 @@
             return False, False
         return True, False
 
-    def _poll_outcome(self, change_id: str, base: int) -> Learnt:
+    def _poll_outcome(self, change_id: str, base: int) -> ChangeOutcome:
         try:
-            return self.ask(change_id, base)
-        except (errors.PortError, reading.UnknownStateError):
-            return Learnt('not-known', change_id, base)
+            return self.query_outcome(change_id, base)
+        except (errors.PortError, config_reader.UnknownStateError):
+            return ChangeOutcome('not-known', change_id, base)
 
-    def _derive_outcome(self, change_id: str, base: int) -> Learnt:
-        verdict = self.reader.seen.get(change_id)
+    def _derive_outcome(self, change_id: str, base: int) -> ChangeOutcome:
+        verdict = self.reader.verdicts.get(change_id)
         if verdict is not None:
-            return Learnt(
+            return ChangeOutcome(
                 'accepted' if verdict.accepted else 'rejected',
                 change_id,
                 base,
@@ -165,9 +167,9 @@
             )
         if self.reader.covered_from > base:
             # The record may be among those that expired.
-            return Learnt('forgotten', change_id, base)
+            return ChangeOutcome('forgotten', change_id, base)
         if self.reader.state.offset >= base + fold.VERDICT_WINDOW:
             # Every offset at which the record would be valid was read without
             # finding it.
-            return Learnt('rejected', change_id, base, 'never-landed')
-        return Learnt('not-known', change_id, base)
+            return ChangeOutcome('rejected', change_id, base, 'never-landed')
+        return ChangeOutcome('not-known', change_id, base)
--- a/packages/client/foxtaildale_client/text.py
+++ b/packages/client/foxtaildale_client/text.py
@@ -5,12 +5,12 @@
 from typing import Final
 
 # Number of leading characters of a digest in human-readable output.
-DIGEST: Final = 12
+DIGEST_CHARS: Final = 12
 
 Cell = str | float | None
 
 
-def table(rows: Sequence[tuple[str, ...]]) -> str:
+def format_table(rows: Sequence[tuple[str, ...]]) -> str:
     """Returns rows of cells in aligned columns."""
     columns = zip(*rows, strict=True)
     widths = [max(len(cell) for cell in column) for column in columns]
@@ -22,7 +22,7 @@
     return '\n'.join(lines)
 
 
-def shown(value: Cell) -> str:
+def format_value(value: Cell) -> str:
     """Formats a value without trailing zero decimals; `-` for None."""
     if value is None:
         return '-'
@@ -31,7 +31,7 @@
     return str(value)
 
 
-def timestamp(at: float) -> str:
+def format_timestamp(at: float) -> str:
     """Formats seconds since the Unix epoch as UTC time."""
     moment = datetime.datetime.fromtimestamp(at, datetime.UTC)
     return moment.strftime('%Y-%m-%d %H:%M:%S UTC')
--- a/packages/daemon/foxtaildaled/chat_requests.py
+++ b/packages/daemon/foxtaildaled/chat_requests.py
@@ -91,7 +91,7 @@
             stream=req.stream,
             keep_response=service.once == 'claim',
         )
-        context.exchange.watch(job.on_disconnected)
+        context.exchange.on_disconnect(job.on_disconnected)
         if service.once == 'claim':
             result = self._run_claimed(context, job, sink)
         else:
@@ -194,7 +194,7 @@
             disconnected.set()
             self._cancels.add(server.address, req)
 
-        context.exchange.watch(on_disconnected)
+        context.exchange.on_disconnect(on_disconnected)
         return disconnected
 
 
--- a/packages/daemon/foxtaildaled/completions.py
+++ b/packages/daemon/foxtaildaled/completions.py
@@ -26,7 +26,7 @@
 from foxtaildale import streams
 from foxtaildale import values
 from foxtaildale_adapters import metrics
-from foxtaildale_adapters import pump
+from foxtaildale_adapters import stream_reader
 from foxtaildaled import attempt_stages
 from foxtaildaled import entry_retry_budgets
 from foxtaildaled import job as jobs
@@ -65,7 +65,7 @@
     _metrics: metrics.Metrics
     _clock: ports.Clock
     _view: view.View
-    _pump: pump.Pump
+    _pump: stream_reader.StreamReader
     _stages: attempt_stages.Stages
 
     def __init__(
@@ -74,7 +74,7 @@
         cfg: options.Options,
         engines: ports.Engines,
         current_view: view.View,
-        stream_pump: pump.Pump,
+        stream_pump: stream_reader.StreamReader,
         slot_client: slot_acquisition.SlotClient,
         budgets: entry_retry_budgets.RetryBudgets,
         request_metrics: metrics.Metrics,
--- a/packages/daemon/foxtaildaled/entry.py
+++ b/packages/daemon/foxtaildaled/entry.py
@@ -22,7 +22,7 @@
 from foxtaildale import codes
 from foxtaildale import outcomes
 from foxtaildale import values
-from foxtaildale_adapters import callers
+from foxtaildale_adapters import caller_server
 from foxtaildaled import chat_requests
 from foxtaildaled import outcome_records
 from foxtaildaled import plain_requests
@@ -79,7 +79,7 @@
         self._replies = replies
         self._records = outcome_records
 
-    def handle(self, exchange: callers.Exchange) -> None:
+    def handle(self, exchange: caller_server.Exchange) -> None:
         """Handles one request of a caller."""
         request = f'{self._entry_vm}-{uuid.uuid4().hex[:16]}'
         context = request_context.RequestContext(
--- a/packages/daemon/foxtaildaled/generation.py
+++ b/packages/daemon/foxtaildaled/generation.py
@@ -391,7 +391,7 @@
             # response for a complete one.
             req.log('failed', code=exc.code.name, status=exc.code.status)
             req.request_metrics.requests.add(1, req.service.name, exc.code.name)
-            req.exchange.cut()
+            req.exchange.abort()
             return
         if response.may_have_run and exc.code.ran == 'no':
             # The last attempt did not run, but the code is reported for the
--- a/packages/daemon/foxtaildaled/request_context.py
+++ b/packages/daemon/foxtaildaled/request_context.py
@@ -11,7 +11,7 @@
 from foxtaildale import outcomes
 from foxtaildale import ports
 from foxtaildale import values
-from foxtaildale_adapters import incoming
+from foxtaildale_adapters import caller_exchange
 from foxtaildaled import outcome_records
 from foxtaildaled import view
 
@@ -29,7 +29,7 @@
 
     __slots__ = ('exchange', 'request', 'snapshot')
 
-    exchange: incoming.Exchange
+    exchange: caller_exchange.Exchange
     # Identifies the request for callers and operators.
     request: str
     # Configuration and servers at the arrival of the request. The request uses
@@ -37,7 +37,10 @@
     snapshot: view.Snapshot
 
     def __init__(
-        self, ex: incoming.Exchange, request: str, snapshot: view.Snapshot
+        self,
+        ex: caller_exchange.Exchange,
+        request: str,
+        snapshot: view.Snapshot,
     ) -> None:
         self.exchange = ex
         self.request = request
--- a/packages/daemon/foxtaildaled/response_reading.py
+++ b/packages/daemon/foxtaildaled/response_reading.py
@@ -15,8 +15,8 @@
 from foxtaildale import ports
 from foxtaildale import streams
 from foxtaildale_adapters import events
-from foxtaildale_adapters import flow
-from foxtaildale_adapters import pump
+from foxtaildale_adapters import response_relay
+from foxtaildale_adapters import stream_reader
 from foxtaildaled import sinks
 
 _DISCONNECTED: Final = 'the caller went away'
@@ -42,7 +42,7 @@
     _clock: ports.Clock
     # Gets the time at which each chunk was forwarded, seconds, monotonic.
     _sent_times: list[float]
-    _pump: pump.Pump
+    _pump: stream_reader.StreamReader
     # Time without data after which the engine's connection is closed, seconds.
     _max_silence_s: float
 
@@ -54,7 +54,7 @@
         checker: streams.Checker,
         clock: ports.Clock,
         sent_times: list[float],
-        stream_pump: pump.Pump,
+        stream_pump: stream_reader.StreamReader,
         max_silence_s: float,
     ) -> None:
         self._caller_disconnected = caller_disconnected
@@ -82,31 +82,35 @@
             # The stream was read beyond its last chunk and has closed itself
             # with this event, so there is no connection to take over.
             return self._iterate([first])
-        taken = flow.take_over(items)
+        taken = response_relay.detach(items)
         if taken.sock is None:
-            return self._iterate(itertools.chain([first], taken.items, items))
+            return self._iterate(
+                itertools.chain([first], taken.buffered_events, items)
+            )
         with taken.sock:
-            return self._pump_stream(taken, [first, *taken.items], self._sink)
+            return self._pump_stream(
+                taken, [first, *taken.buffered_events], self._sink
+            )
 
     def _pump_stream(
         self,
-        taken: flow.Taken,
+        taken: response_relay.DetachedStream,
         chunks_read: list[backends.Chunk | backends.StreamEnd],
         sink: sinks.Sink,
     ) -> str:
         assert isinstance(sink, sinks.EventSink)
         assert taken.sock is not None
-        flow_state = flow.Flow(
+        flow_state = response_relay.Flow(
             exchange=sink.ensure_started(),
             checker=self._checker,
             framer=sink.framer,
             clock=self._clock,
-            times=self._sent_times,
-            rest=taken.rest,
+            sent_times=self._sent_times,
+            partial_event=taken.partial_event,
         )
-        if flow_state.take(chunks_read) or sink.ensure_started().flush():
+        if flow_state.relay(chunks_read) or sink.ensure_started().flush():
             flow_state.run(self._pump, taken.sock, self._max_silence_s)
-        if flow_state.last is not None:
+        if flow_state.stream_end is not None:
             return ''
         return flow_state.fault or _DISCONNECTED
 
--- a/packages/daemon/foxtaildaled/routed_request.py
+++ b/packages/daemon/foxtaildaled/routed_request.py
@@ -18,7 +18,7 @@
 from foxtaildale import forwarding
 from foxtaildale import ports
 from foxtaildale import routes
-from foxtaildale_adapters import incoming
+from foxtaildale_adapters import caller_exchange
 from foxtaildale_adapters import logs
 from foxtaildale_adapters import metrics
 
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        exchange: incoming.Exchange,
+        exchange: caller_exchange.Exchange,
         *,
         caller_request: forwarding.CallerRequest,
         route: routes.Route,
@@ -107,7 +107,7 @@
 
     def watch_caller(self) -> None:
         """Starts to watch the caller's connection."""
-        self.exchange.watch(self._on_disconnected)
+        self.exchange.on_disconnect(self._on_disconnected)
 
     def time_left_s(self) -> float:
         """Returns the time left until the deadline, seconds."""
@@ -123,7 +123,10 @@
 
     def check_disconnected(self) -> bool:
         """Checks the connection; whether the caller has disconnected."""
-        if not self.caller_disconnected.is_set() and self.exchange.gone():
+        if (
+            not self.caller_disconnected.is_set()
+            and self.exchange.is_disconnected()
+        ):
             self.caller_disconnected.set()
         return self.caller_disconnected.is_set()
 
@@ -154,7 +157,7 @@
         if code.ran == 'no':
             self.on_not_run()
         if code.status == codes.CANCELLED.status:
-            self.exchange.cut()
+            self.exchange.abort()
             return
         send_error(self.exchange, code, figures, self.entry_vm, retry_after_s)
 
@@ -204,15 +207,15 @@
 
 
 def send_error(
-    exchange: incoming.Exchange,
+    exchange: caller_exchange.Exchange,
     code: codes.Code,
     figures: Mapping[str, float | str],
     entry_vm: str,
     retry_after_s: float = 0.0,
 ) -> None:
     """Sends an error response, with a retry delay if that is positive."""
-    body = incoming.error_body(code, figures, entry_vm, retry_after_s)
-    headers = dict(incoming.JSON)
+    body = caller_exchange.error_body(code, figures, entry_vm, retry_after_s)
+    headers = dict(caller_exchange.JSON_HEADERS)
     if code.status == codes.UNAUTHORIZED.status:
         headers['WWW-Authenticate'] = 'Bearer'
     if retry_after_s > 0:
--- a/packages/daemon/foxtaildaled/router.py
+++ b/packages/daemon/foxtaildaled/router.py
@@ -17,7 +17,7 @@
 from foxtaildale import forwarding
 from foxtaildale import ports
 from foxtaildale import routes
-from foxtaildale_adapters import callers
+from foxtaildale_adapters import caller_server
 from foxtaildale_adapters import logs
 from foxtaildale_adapters import metrics
 from foxtaildaled import account_limits
@@ -34,7 +34,7 @@
     """Decodes a request of a caller."""
 
     def __call__(
-        self, exchange: callers.Exchange, *, keyed: bool = False
+        self, exchange: caller_server.Exchange, *, keyed: bool = False
     ) -> forwarding.CallerRequest:
         """Returns the request.
 
@@ -95,7 +95,7 @@
         self._request_metrics = request_metrics
         self._clock = clock
 
-    def handle(self, exchange: callers.Exchange) -> None:
+    def handle(self, exchange: caller_server.Exchange) -> None:
         """Serves or refuses one request."""
         matcher = self._matcher()
         if matcher is None:
@@ -117,7 +117,7 @@
 
     def _make_passage(
         self,
-        exchange: callers.Exchange,
+        exchange: caller_server.Exchange,
         call: forwarding.CallerRequest,
         matcher: routes.Matcher,
         route: routes.Route,
@@ -209,7 +209,7 @@
 
     def _refuse(
         self,
-        exchange: callers.Exchange,
+        exchange: caller_server.Exchange,
         code: codes.Code,
         retry_after_s: float = 0.0,
         **figures: float | str,
--- a/packages/daemon/foxtaildaled/router_daemon.py
+++ b/packages/daemon/foxtaildaled/router_daemon.py
@@ -23,12 +23,12 @@
 from foxtaildale import options
 from foxtaildale import ports
 from foxtaildale_adapters import admin
-from foxtaildale_adapters import callers
+from foxtaildale_adapters import caller_server
 from foxtaildale_adapters import logs
 from foxtaildale_adapters import metrics
 from foxtaildale_adapters import peers
 from foxtaildale_adapters import probe
-from foxtaildale_adapters import wire
+from foxtaildale_adapters import zmq_responder
 from foxtaildaled import account_limits
 from foxtaildaled import actors
 from foxtaildaled import coordinator_client
@@ -117,7 +117,7 @@
     def __init__(self, ready: Callable[[], str]) -> None:
         self._ready = ready
 
-    def handle(self, exchange: callers.Exchange) -> None:
+    def handle(self, exchange: caller_server.Exchange) -> None:
         reason = self._ready()
         status = 503 if reason else 200
         exchange.respond(status, admin.TEXT, f'{reason or "ready"}\n'.encode())
@@ -179,7 +179,7 @@
         self._state.on_restarted = open_flights.cancel_earlier
         owner = self._owner = actors.StateOwner(self._state, clock)
         self._peers = peers.Peers(_HEARTBEAT_S, _SILENCE_S)
-        self._responder = wire.Responder(
+        self._responder = zmq_responder.Responder(
             cfg.peer_address, self._handle, _PEER_THREADS
         )
         self._fitness = vm_eligibility.Eligibility(
@@ -281,7 +281,7 @@
                 self._state.quarantine_state.quarantine.left_s(clock(), request)
             ),
         )
-        self._server = callers.Server(
+        self._server = caller_server.Server(
             cfg.caller_address,
             handler,
             cfg.threads,
@@ -289,15 +289,15 @@
             _BODY_BYTES,
             entry_vm=cfg.entry_vm,
             half_close=False,
-            look_s=_IDLE_CHECK_S,
+            idle_check_s=_IDLE_CHECK_S,
         )
-        self._readiness = callers.Server(
+        self._readiness = caller_server.Server(
             cfg.ready_address,
             _Readiness(self._unready_reason),
             _READY_THREADS,
             _READY_TIMEOUT_S,
             _READY_BODY,
-            look_s=_IDLE_CHECK_S,
+            idle_check_s=_IDLE_CHECK_S,
         )
         self._admin = admin.Admin(
             f'{cfg.admin_host}:{metrics_port}',
@@ -500,7 +500,7 @@
         if matcher is None or matcher.table.version == self._limits_version:
             return
         limits = matcher.table.limits
-        self._server.on_limits(
+        self._server.set_limits(
             limits.idle_s + _IDLE_MARGIN_S,
             limits.header_s + _BODY_S,
             limits.body_bytes,
--- a/packages/daemon/foxtaildaled/sinks.py
+++ b/packages/daemon/foxtaildaled/sinks.py
@@ -16,10 +16,10 @@
 from foxtaildale import outcomes
 from foxtaildale import streams
 from foxtaildale import values
-from foxtaildale_adapters import incoming
+from foxtaildale_adapters import caller_exchange
 
 _EVENT_HEADERS: Final = {
-    'Content-Type': incoming.EVENT_STREAM,
+    'Content-Type': caller_exchange.EVENT_STREAM,
     'Cache-Control': 'no-store',
 }
 
@@ -91,14 +91,16 @@
 
     __slots__ = ('_created', '_ex', '_model', '_request', 'framer')
 
-    _ex: incoming.Exchange
+    _ex: caller_exchange.Exchange
     _request: str
     _model: str
     _created: int
     # Frames the chunks of the current decode worker.
     framer: streams.Framer
 
-    def __init__(self, ex: incoming.Exchange, request: str, model: str) -> None:
+    def __init__(
+        self, ex: caller_exchange.Exchange, request: str, model: str
+    ) -> None:
         self._ex = ex
         self._request = request
         self._model = model
@@ -138,7 +140,7 @@
             self._ex.send(b'data: %b\n\n' % outcomes.body(outcome))
         self._ex.finish()
 
-    def ensure_started(self) -> incoming.Exchange:
+    def ensure_started(self) -> caller_exchange.Exchange:
         """Starts the response if necessary, and returns its exchange."""
         self._start()
         return self._ex
@@ -157,7 +159,9 @@
     _events: EventSink
     _document: 'DocumentSink'
 
-    def __init__(self, ex: incoming.Exchange, request: str, model: str) -> None:
+    def __init__(
+        self, ex: caller_exchange.Exchange, request: str, model: str
+    ) -> None:
         self._events = EventSink(ex, request, model)
         self._document = DocumentSink(ex, request, model)
 
@@ -195,13 +199,15 @@
 
     __slots__ = ('_ex', '_last', '_model', '_request', '_texts')
 
-    _ex: incoming.Exchange
+    _ex: caller_exchange.Exchange
     _request: str
     _model: str
     _texts: list[str]
     _last: backends.StreamEnd | None
 
-    def __init__(self, ex: incoming.Exchange, request: str, model: str) -> None:
+    def __init__(
+        self, ex: caller_exchange.Exchange, request: str, model: str
+    ) -> None:
         self._ex = ex
         self._request = request
         self._model = model
@@ -251,7 +257,7 @@
 
 
 def make_sink(
-    ex: incoming.Exchange,
+    ex: caller_exchange.Exchange,
     request: str,
     model: str,
     *,
@@ -275,7 +281,7 @@
 
 
 def _respond_outcome(
-    ex: incoming.Exchange, outcome: values.Outcome, earlier: bytes
+    ex: caller_exchange.Exchange, outcome: values.Outcome, earlier: bytes
 ) -> None:
     if earlier:
         # The caller did not receive the response of the only run, so it is
--- a/packages/daemon/foxtaildaled/start.py
+++ b/packages/daemon/foxtaildaled/start.py
@@ -13,11 +13,11 @@
 from foxtaildale import errors
 from foxtaildale import options
 from foxtaildale_adapters import logs
-from foxtaildale_platform import boot
-from foxtaildale_platform import calls
+from foxtaildale_platform import caller_requests
 from foxtaildale_platform import records
+from foxtaildale_platform import server_client
+from foxtaildale_platform import settings_file
 from foxtaildale_platform import store
-from foxtaildale_platform import workers
 from foxtaildaled import process
 from foxtaildaled import router_daemon
 
@@ -49,8 +49,8 @@
     adapters = router_daemon.Adapters(
         codec=records.Codec(),
         make_store=store.Store,
-        decode=calls.decode,
-        workers=workers.Workers(),
+        decode=caller_requests.decode_request,
+        workers=server_client.ServerClient(),
     )
     daemon = router_daemon.RouterDaemon(cfg, adapters, metrics_port)
     daemon.start()
@@ -74,9 +74,13 @@
         errors.SettingsError: The file is invalid, or its path is not given.
         OSError: The file can't be read.
     """
-    name = os.environ.get(boot.VARIABLE)
+    name = os.environ.get(settings_file.SETTINGS_PATH_VARIABLE)
     if not name:
         raise errors.SettingsError(
-            (f'neither a settings file nor {boot.VARIABLE} is given',)
+            (
+                f'neither a settings file nor {settings_file.SETTINGS_PATH_VARIABLE} is given',
+            )
         )
-    return boot.read(pathlib.Path(name).read_text(encoding='utf-8'), name)
+    return settings_file.decode_settings(
+        pathlib.Path(name).read_text(encoding='utf-8'), name
+    )
--- a/packages/daemon/foxtaildaled/wiring.py
+++ b/packages/daemon/foxtaildaled/wiring.py
@@ -19,15 +19,15 @@
 from foxtaildale import tickets
 from foxtaildale import values
 from foxtaildale_adapters import admin
-from foxtaildale_adapters import callers
+from foxtaildale_adapters import caller_server
 from foxtaildale_adapters import engines
 from foxtaildale_adapters import logs
 from foxtaildale_adapters import metrics
 from foxtaildale_adapters import peers
 from foxtaildale_adapters import platform
-from foxtaildale_adapters import pump
 from foxtaildale_adapters import services
-from foxtaildale_adapters import wire
+from foxtaildale_adapters import stream_reader
+from foxtaildale_adapters import zmq_responder
 from foxtaildaled import account_limits
 from foxtaildaled import actors
 from foxtaildaled import cancels
@@ -94,7 +94,7 @@
 
     _cfg: options.Options
     _peers: peers.Peers
-    _responder: wire.Responder
+    _responder: zmq_responder.Responder
     _metrics: metrics.Metrics
     _owner: actors.StateOwner[keeper.Keeper]
     _gossip: peer_loops.GossipLoop
@@ -105,7 +105,7 @@
     def __init__(self, cfg: options.Options) -> None:
         self._cfg = cfg
         self._peers = peers.Peers(cfg.heartbeat_s, cfg.silence_s)
-        self._responder = wire.Responder(
+        self._responder = zmq_responder.Responder(
             cfg.peer_address, self._handle, _PEER_THREADS
         )
 
@@ -240,15 +240,15 @@
     _cfg: options.Options
     _incarnation: str
     _peers: peers.Peers
-    _responder: wire.Responder
+    _responder: zmq_responder.Responder
     _metrics: metrics.Metrics
     _view: view.View
     _desk: ticket_handler.TicketHandler
-    _pump: pump.Pump
+    _pump: stream_reader.StreamReader
     _records: outcome_records.OutcomeRecords
     _cancels: cancels.CancelQueue
     _gate: request_checks.RequestChecks
-    _server: callers.Server
+    _server: caller_server.Server
     _admin: admin.Admin
     _loops: list[process.Loop]
 
@@ -256,7 +256,7 @@
         self._cfg = cfg
         self._incarnation = incarnations.make('entry', cfg.entry_vm)
         self._peers = peers.Peers(cfg.heartbeat_s, cfg.silence_s)
-        self._responder = wire.Responder(
+        self._responder = zmq_responder.Responder(
             cfg.peer_address, self._handle, _PEER_THREADS
         )
 
@@ -306,7 +306,7 @@
         store = platform.Platform(cfg.platform, cfg.platform_timeout_s)
         workers = engines.Engines()
         budgets = entry_retry_budgets.RetryBudgets(clock)
-        self._pump = pump.Pump()
+        self._pump = stream_reader.StreamReader()
         self._pump.start()
         self._view = view.View(
             cfg, self._incarnation, address, self._peers, clock
@@ -379,7 +379,7 @@
             replies=replies,
             outcome_records=self._records,
         )
-        self._server = callers.Server(
+        self._server = caller_server.Server(
             cfg.caller_address,
             handler,
             cfg.threads,
@@ -455,7 +455,9 @@
 
 
 def _render(
-    counts: metrics.Metrics, requester: peers.Peers, responder: wire.Responder
+    counts: metrics.Metrics,
+    requester: peers.Peers,
+    responder: zmq_responder.Responder,
 ) -> bytes:
     """Returns the metrics, with the message counts between processes."""
     all_counts = (requester.counts, responder.counts)
--- a/tests/bench/reading.py
+++ b/tests/bench/reading.py
@@ -35,10 +35,10 @@
     def read(self) -> bytes:
         return self._blocks.pop()
 
-    def lend(self) -> None:
+    def acquire_socket(self) -> None:
         return None
 
-    def give_back(self) -> None:
+    def release_socket(self) -> None:
         pass
 
     def close(self) -> None:
--- a/tests/config_world.py
+++ b/tests/config_world.py
@@ -163,11 +163,11 @@
         self,
         world: 'World',
         name: str,
-        action: Callable[[submit.Submitter], submit.Learnt],
+        action: Callable[[submit.Submitter], submit.ChangeOutcome],
         patience_s: float,
     ) -> None:
         self.is_done = False
-        self.outcome: submit.Learnt | None = None
+        self.outcome: submit.ChangeOutcome | None = None
         self.change_ids: list[str] = []
         self.error: Exception | None = None
         self._world = world
@@ -177,7 +177,7 @@
         submitter = submit.Submitter(
             self,
             clock=lambda: world.now,
-            pause=lambda _: self._wait_for_turn(),
+            sleep=lambda _: self._wait_for_turn(),
             new_id=self._new_id,
             patience_s=patience_s,
         )
@@ -201,7 +201,7 @@
 
     def _run(
         self,
-        action: Callable[[submit.Submitter], submit.Learnt],
+        action: Callable[[submit.Submitter], submit.ChangeOutcome],
         submitter: submit.Submitter,
     ) -> None:
         self._resume.acquire()
@@ -260,7 +260,7 @@
 
     def _start_operator(
         self,
-        action: Callable[[submit.Submitter], submit.Learnt],
+        action: Callable[[submit.Submitter], submit.ChangeOutcome],
         patience_s: float,
     ) -> None:
         name = f'op{len(self.operators)}'
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from foxtaildale_adapters import incoming
+from foxtaildale_adapters import caller_exchange
 from foxtaildale_platform import names
 
 
@@ -16,8 +16,8 @@
         self.body = b'body'
 
 
-def make(headers: dict[str, str]) -> incoming.Exchange:
+def make(headers: dict[str, str]) -> caller_exchange.Exchange:
     """Returns a request with some headers, named in lower case."""
     sent: Any = _Sent(headers)
-    exchange: incoming.Exchange = sent
+    exchange: caller_exchange.Exchange = sent
     return exchange
--- a/tests/site.py
+++ b/tests/site.py
@@ -13,10 +13,10 @@
 import msgspec
 
 from foxtaildale import options
-from foxtaildale_platform import calls
+from foxtaildale_platform import caller_requests
 from foxtaildale_platform import records
+from foxtaildale_platform import server_client
 from foxtaildale_platform import store
-from foxtaildale_platform import workers
 from foxtaildaled import router_daemon
 from tests.standins import keyedstore
 from tests.standins import wireworker
@@ -127,8 +127,8 @@
         made = router_daemon.Adapters(
             codec=records.Codec(),
             make_store=store.Store,
-            decode=calls.decode,
-            workers=workers.Workers(),
+            decode=caller_requests.decode_request,
+            workers=server_client.ServerClient(),
         )
         router = router_daemon.RouterDaemon(cfg, made, 0)
         router.start()
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -22,7 +22,7 @@
 from typing import Any
 from typing import Final
 
-from foxtaildale_client import story
+from foxtaildale_client import request_trace
 
 Line = dict[str, Any]
 
@@ -90,7 +90,7 @@
         )
         if not path.exists():
             sys.exit(done.stdout[-400:])
-        lines = story.parse(done.stdout.splitlines())
+        lines = request_trace.parse(done.stdout.splitlines())
         return lines, json.loads(path.read_text())
 
 
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -16,7 +16,7 @@
 from foxtaildale import mirror
 from foxtaildale import ports
 from foxtaildale import routes
-from foxtaildale_platform import calls
+from foxtaildale_platform import caller_requests
 from foxtaildale_platform import names
 from foxtaildale_platform import records
 from foxtaildaled import router_state
@@ -51,7 +51,7 @@
 
 
 def test_an_account_is_decoded_with_its_limit() -> None:
-    table = records.table(_config(3, _TENANT))
+    table = records.decode_table(_config(3, _TENANT))
     assert table.client_accounts == (
         accounts.Account(
             name='huka270',
@@ -71,7 +71,7 @@
 
 
 def test_account_without_limit_fields_has_no_limit() -> None:
-    table = records.table(_config(3, {'name': 'a', 'api_keys': ['k']}))
+    table = records.decode_table(_config(3, {'name': 'a', 'api_keys': ['k']}))
     assert table.client_accounts is not None
     account = table.client_accounts[0]
     assert account.priority is None
@@ -93,7 +93,7 @@
 )
 def test_fault_is_reported_by_name(change: dict[str, Any], fault: str) -> None:
     with pytest.raises(errors.DecodeError) as caught:
-        records.table(_config(3, _TENANT | change))
+        records.decode_table(_config(3, _TENANT | change))
     assert fault in str(caught.value)
 
 
@@ -101,7 +101,7 @@
     other = _TENANT | {'name': 'b', 'unit': 'x'}
     twice = {'name': 'b'}
     with pytest.raises(errors.DecodeError) as caught:
-        records.table(_config(3, _TENANT, other, twice))
+        records.decode_table(_config(3, _TENANT, other, twice))
     text = str(caught.value)
     assert 'b twice' in text
     assert 'b has a key of huka270' in text
@@ -158,14 +158,16 @@
     ],
 )
 def test_record_that_can_not_be_sealed_is_not_stored(value: bytes) -> None:
-    assert records.seal(names.CONFIG_TOPIC, value) == b''
+    assert records.redact_keys(names.CONFIG_TOPIC, value) == b''
 
 
 def _decode(
     headers: dict[str, str], *, keyed: bool = True
 ) -> forwarding.CallerRequest:
     sent = {names.ATTEMPT: 'a1', 'host': 'h'} | headers
-    return calls.decode(exchanges.make(headers=sent), keyed=keyed)
+    return caller_requests.decode_request(
+        exchanges.make(headers=sent), keyed=keyed
+    )
 
 
 @pytest.mark.parametrize(
@@ -223,7 +225,7 @@
 
 
 def test_a_decoded_account_holds_no_key() -> None:
-    table = records.table(_config(3, _TENANT))
+    table = records.decode_table(_config(3, _TENANT))
     assert _SECRET not in repr(table)
     assert table.client_accounts is not None
     assert not any(part == _SECRET for part in _walk(table.client_accounts[0]))
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -85,12 +85,12 @@
     Each one that was ever counted would stay a line of the metrics.
     """
     found = metrics.Metrics()
-    for number in range(metrics.SERIES + 500):
+    for number in range(metrics.MAX_SERIES + 500):
         found.accounts.add(1, f'a{number}', 'ok')
     found.accounts.add(1, 'a0', 'ok')
     lines = found.render().decode().splitlines()
     counted = [line for line in lines if line.startswith('foxtaildale_account')]
-    assert len(counted) == metrics.SERIES + 1
+    assert len(counted) == metrics.MAX_SERIES + 1
     assert any('account="a0"' in line and ' 2' in line for line in counted)
     assert any('account="other"' in line and ' 500' in line for line in counted)
 
--- a/tests/test_flight.py
+++ b/tests/test_backend_request.py
@@ -10,7 +10,7 @@
 import pytest
 
 from foxtaildale import errors
-from foxtaildale_adapters import flight
+from foxtaildale_adapters import backend_request
 
 _HEAD = b'HTTP/1.1 200 OK\r\n'
 Act = Callable[[socket.socket], None]
@@ -38,8 +38,8 @@
     thread.join(2)
 
 
-def _request(address: str, body: bytes = b'') -> flight.Request:
-    return flight.Request(address, 'POST', '/x', {'host': 'h'}, body)
+def _request(address: str, body: bytes = b'') -> backend_request.Request:
+    return backend_request.Request(address, 'POST', '/x', {'host': 'h'}, body)
 
 
 def _say(data: bytes) -> Act:
@@ -50,7 +50,7 @@
     with _server(_say(data)) as address:
         req = _request(address)
         req.send(1.0)
-        req.answer(1.0)
+        req.read_head(1.0)
         found = b''
         while part := req.read(1.0):
             found += part
@@ -106,7 +106,7 @@
         req = _request(address)
         req.send(1.0)
         with pytest.raises(errors.NoReplyError):
-            req.answer(1.0)
+            req.read_head(1.0)
 
 
 def test_silence_ends_at_its_bound() -> None:
@@ -115,7 +115,7 @@
         req.send(1.0)
         began = time.monotonic()
         with pytest.raises(errors.NoReplyError):
-            req.answer(0.1)
+            req.read_head(0.1)
         assert time.monotonic() - began < 0.8
 
 
@@ -136,7 +136,7 @@
         req.send(1.0)
         threading.Timer(0.1, req.cancel).start()
         with pytest.raises(errors.NoReplyError):
-            req.answer(5.0)
+            req.read_head(5.0)
         assert closed.wait(2)
 
 
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -8,11 +8,11 @@
 
     Callers would see all answers late by the whole timeout, one after another.
     """
-    gate = breaker.Breaker(hold_off_s=2.0)
-    assert gate.admits(10.0)
-    gate.timed_out(11.0)
-    assert not gate.admits(11.0)
-    assert not gate.admits(12.9)
+    gate = breaker.Breaker(retry_delay_s=2.0)
+    assert gate.try_admit(10.0)
+    gate.record_timeout(11.0)
+    assert not gate.try_admit(11.0)
+    assert not gate.try_admit(12.9)
 
 
 def test_one_call_tries_after_the_hold_off() -> None:
@@ -20,13 +20,13 @@
 
     If all waiting requests tried at once they would all wait again.
     """
-    gate = breaker.Breaker(hold_off_s=2.0)
-    gate.timed_out(11.0)
-    assert gate.admits(13.0)
-    assert not gate.admits(13.0)
-    gate.timed_out(14.0)
-    assert not gate.admits(15.9)
-    assert gate.admits(16.0)
-    gate.answered()
-    assert gate.admits(16.0)
-    assert gate.admits(16.0)
+    gate = breaker.Breaker(retry_delay_s=2.0)
+    gate.record_timeout(11.0)
+    assert gate.try_admit(13.0)
+    assert not gate.try_admit(13.0)
+    gate.record_timeout(14.0)
+    assert not gate.try_admit(15.9)
+    assert gate.try_admit(16.0)
+    gate.record_response()
+    assert gate.try_admit(16.0)
+    assert gate.try_admit(16.0)
--- a/tests/test_callers.py
+++ b/tests/test_caller_server.py
@@ -14,7 +14,7 @@
 import urllib3
 
 from foxtaildale import errors
-from foxtaildale_adapters import callers
+from foxtaildale_adapters import caller_server
 from foxtaildale_adapters import httpd
 from tests.standins import relay
 
@@ -40,11 +40,11 @@
         # Set by a test to let `/hold` answer.
         self.release = threading.Event()
         # Exchanges that reached a handler, in order.
-        self.seen: list[callers.Exchange] = []
+        self.seen: list[caller_server.Exchange] = []
         # Callers that were noticed to have hung up.
         self.hung_up = 0
 
-    def handle(self, exchange: callers.Exchange) -> None:
+    def handle(self, exchange: caller_server.Exchange) -> None:
         self.seen.append(exchange)
         page = exchange.path.strip('/')
         getattr(self, f'page_{page}', self.page_echo)(exchange)
@@ -52,37 +52,37 @@
     def note(self) -> None:
         self.hung_up += 1
 
-    def page_echo(self, exchange: callers.Exchange) -> None:
+    def page_echo(self, exchange: caller_server.Exchange) -> None:
         exchange.respond(200, {'Content-Type': 'text/plain'}, exchange.body)
 
-    def page_hold(self, exchange: callers.Exchange) -> None:
-        exchange.watch(self.note)
+    def page_hold(self, exchange: caller_server.Exchange) -> None:
+        exchange.on_disconnect(self.note)
         self.release.wait(PATIENCE_S)
         exchange.respond(200, {}, b'held')
 
-    def page_stream(self, exchange: callers.Exchange) -> None:
-        exchange.watch(self.note)
+    def page_stream(self, exchange: caller_server.Exchange) -> None:
+        exchange.on_disconnect(self.note)
         exchange.start(200, {'Content-Type': 'text/event-stream'})
         exchange.send(b'data: 1\n\n')
         self.release.wait(PATIENCE_S)
         exchange.send(b'data: 2\n\n')
         exchange.finish()
 
-    def page_unfinished(self, exchange: callers.Exchange) -> None:
+    def page_unfinished(self, exchange: caller_server.Exchange) -> None:
         exchange.start(200, {})
         exchange.send(b'part')
 
-    def page_raise(self, exchange: callers.Exchange) -> None:
+    def page_raise(self, exchange: caller_server.Exchange) -> None:
         raise KeyError('x')
 
-    def page_break(self, exchange: callers.Exchange) -> None:
+    def page_break(self, exchange: caller_server.Exchange) -> None:
         raise errors.InvariantError('two outcomes')
 
-    def page_flood(self, exchange: callers.Exchange) -> None:
+    def page_flood(self, exchange: caller_server.Exchange) -> None:
         exchange.start(200, {})
         while exchange.send(bytes(100_000)):
             pass
-        self.hung_up += exchange.gone()
+        self.hung_up += exchange.is_disconnected()
 
 
 class Running:
@@ -90,7 +90,7 @@
 
     def __init__(self) -> None:
         self.script = Script()
-        self.server = callers.Server(
+        self.server = caller_server.Server(
             '127.0.0.1:0', self.script, 4, TIMEOUT_S, BODY_LIMIT, entry_vm='vm1'
         )
         self.address = self.server.start()
@@ -180,10 +180,10 @@
     sock.sendall(b'GET /hold HTTP/1.1\r\nHost: x\r\n\r\n')
     until(lambda: bool(running.script.seen))
     exchange = running.script.seen[0]
-    assert not exchange.gone()
+    assert not exchange.is_disconnected()
     sock.close()
     until(lambda: running.script.hung_up == 1)
-    assert exchange.gone()
+    assert exchange.is_disconnected()
 
 
 def test_a_reset_is_noticed_within_a_stream(running: Running) -> None:
@@ -215,7 +215,7 @@
         sock.shutdown(socket.SHUT_WR)
         # The first probe shows that the FIN was seen.
         got = read_until(sock, b'100 Continue\r\n\r\n')
-        assert not running.script.seen[0].gone()
+        assert not running.script.seen[0].is_disconnected()
         running.script.release.set()
         got += read_all(sock)
     assert got.endswith(b'held')
@@ -487,9 +487,11 @@
 
     before = started()
     script = Script()
-    server = callers.Server('127.0.0.1:0', script, 40, TIMEOUT_S, BODY_LIMIT)
+    server = caller_server.Server(
+        '127.0.0.1:0', script, 40, TIMEOUT_S, BODY_LIMIT
+    )
     host, _, port = server.start().rpartition(':')
-    assert started() - before == httpd.FIRST_THREADS
+    assert started() - before == httpd.INITIAL_THREADS
     socks = [socket.create_connection((host, int(port))) for _ in range(30)]
     for sock in socks:
         sock.sendall(b'GET /hold HTTP/1.1\r\nHost: x\r\n\r\n')
@@ -565,6 +567,6 @@
 
 
 def test_an_address_in_use_is_a_port_error(running: Running) -> None:
-    other = callers.Server(running.address, running.script, 1, 1.0, 1)
+    other = caller_server.Server(running.address, running.script, 1, 1.0, 1)
     with pytest.raises(errors.UnreachableError):
         other.start()
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -16,7 +16,7 @@
 from foxtaildale import messages
 from foxtaildale import ports
 from foxtaildale import values
-from foxtaildale_adapters import exchange
+from foxtaildale_adapters import http_client
 from foxtaildale_client import explain
 from foxtaildale_client import main
 from foxtaildale_client import status
@@ -47,7 +47,7 @@
         return submit.Submitter(
             self.log,
             clock=lambda: self.now,
-            pause=self._pass,
+            sleep=self._pass,
             new_id=self._new_id,
             patience_s=patience_s,
         )
@@ -174,9 +174,12 @@
     learnt = sub.switch('peak', config_world.preset_digest(1), None)
     assert learnt.result == 'not-known'
     deck.log.data += [b''] * (fold.VERDICT_WINDOW - 1)
-    assert deck.submitter().ask(learnt.id, learnt.base).result == 'not-known'
+    assert (
+        deck.submitter().query_outcome(learnt.id, learnt.base).result
+        == 'not-known'
+    )
     deck.log.data += [b'']
-    asked = deck.submitter().ask(learnt.id, learnt.base)
+    asked = deck.submitter().query_outcome(learnt.id, learnt.base)
     assert (asked.result, asked.reason) == ('rejected', 'never-landed')
     deck.log.apply_delayed()
     sub.reader.catch_up()
@@ -204,7 +207,7 @@
         )
     )
     deck.log.first = state.offset
-    asked = deck.submitter().ask(learnt.id, learnt.base)
+    asked = deck.submitter().query_outcome(learnt.id, learnt.base)
     assert asked.result == 'forgotten'
 
 
@@ -339,7 +342,7 @@
     snapshot: assertion.SnapshotAssertion,
 ) -> None:
     """One VM is behind, one has diverged, one is gone by plan."""
-    found = status.glance(Directory(), Keepers(), '', 1.0)
+    found = status.summarize(Directory(), Keepers(), '', 1.0)
 
     assert f'{found.text()}\nexit {found.exit.name}' == snapshot
 
@@ -348,8 +351,8 @@
     snapshot: assertion.SnapshotAssertion,
 ) -> None:
     """In an outage an operator looks for a VM that has fallen behind."""
-    asked = status.glance(Down(), Keepers(), '10.0.0.1:7000', 1.0)
-    alone = status.glance(Down(), Keepers(), '', 1.0)
+    asked = status.summarize(Down(), Keepers(), '10.0.0.1:7000', 1.0)
+    alone = status.summarize(Down(), Keepers(), '', 1.0)
     assert f'{asked.text()}\n\n{alone.text()}' == snapshot
 
 
@@ -361,7 +364,7 @@
     path.write_text(_PEAK)
     with fleet.Fleet() as procs:
         address = procs.standin('platform').address
-        exchange.Exchange().send(
+        http_client.HttpClient().send(
             address,
             'POST',
             '/faults',
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -13,7 +13,7 @@
 from foxtaildale import backends
 from foxtaildale import errors
 from foxtaildale_adapters import engines
-from foxtaildale_adapters import exchange
+from foxtaildale_adapters import http_client
 from foxtaildale_adapters import platform
 from foxtaildale_adapters import services
 from tests import fleet
@@ -65,7 +65,7 @@
 
 def _calls(address: str) -> list[Callable[[], object]]:
     store = platform.Platform(address, 5.0)
-    models = engines.Engines(short_s=5.0)
+    models = engines.Engines(short_call_timeout_s=5.0)
     decode = backends.DecodeReq(
         request='r', attempt=1, holder='h', stream='s', max_tokens=3
     )
@@ -185,8 +185,8 @@
     """
     raw.reply = b'HTTP/1.1 200 OK\r\n\r\nx'
     ticks = iter(range(0, 1000, 10))
-    client = exchange.Exchange(lambda: float(next(ticks)))
-    with pytest.raises(exchange.TimeoutLostError, match='in time'):
+    client = http_client.HttpClient(lambda: float(next(ticks)))
+    with pytest.raises(http_client.ResponseTimeoutError, match='in time'):
         client.send(raw.address, 'GET', '/vms', timeout_s=5.0)
 
 
--- a/tests/test_config_histories.py
+++ b/tests/test_config_histories.py
@@ -14,7 +14,7 @@
 from foxtaildale import changes
 from foxtaildale import config_follower
 from foxtaildale import fold
-from foxtaildale_client import reading
+from foxtaildale_client import config_reader
 from tests import config_world
 
 _KEEPERS = 4
@@ -79,9 +79,9 @@
 def small_bounds() -> Iterator[None]:
     """Reduces the limits so that short histories exceed them."""
     with (
-        mock.patch.object(fold, 'WINDOW', _WINDOW),
+        mock.patch.object(fold, 'VERDICT_WINDOW', _WINDOW),
         mock.patch.object(fold, 'MAX_PUBLISHED', _MAX_PUBLISHED),
-        mock.patch.object(reading, '_BATCH', _WINDOW // 2),
+        mock.patch.object(config_reader, '_BATCH', _WINDOW // 2),
     ):
         yield
 
--- a/tests/test_hangups.py
+++ b/tests/test_disconnects.py
@@ -4,7 +4,7 @@
 import socket
 import threading
 
-from foxtaildale_adapters import hangups
+from foxtaildale_adapters import disconnects
 
 
 def _raise(exc: Exception) -> None:
@@ -13,7 +13,7 @@
 
 def test_a_late_event_of_another_connection_ends_no_watch() -> None:
     """Guards against a caller taken for gone since it got a used descriptor."""
-    watcher = hangups.Watcher(_raise)
+    watcher = disconnects.Watcher(_raise)
     old, old_peer = socket.socketpair()
     fd = old.fileno()
     watcher.add(fd, lambda: False, lambda: None)
@@ -28,16 +28,16 @@
     assert new.fileno() == fd
     gone: list[bool] = []
     watcher.add(fd, lambda: False, lambda: gone.append(True))
-    watcher._notice(fd)
+    watcher._handle_event(fd)
     assert not gone
     new_peer.close()
-    watcher._notice(fd)
+    watcher._handle_event(fd)
     assert gone
     new.close()
 
 
 def test_a_caller_that_hangs_up_is_noticed() -> None:
-    watcher = hangups.Watcher(_raise)
+    watcher = disconnects.Watcher(_raise)
     watcher.start()
     near, far = socket.socketpair()
     gone = threading.Event()
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -31,10 +31,10 @@
             raise self._error
         return b''
 
-    def lend(self) -> None:
+    def acquire_socket(self) -> None:
         return None
 
-    def give_back(self) -> None:
+    def release_socket(self) -> None:
         pass
 
     def close(self) -> None:
--- a/tests/test_idle.py
+++ b/tests/test_idle_connections.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from foxtaildale_adapters import flight
-from foxtaildale_adapters import idle
+from foxtaildale_adapters import backend_request
+from foxtaildale_adapters import idle_connections
 
 _ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n'
 
@@ -65,12 +65,12 @@
         self.drop()
 
 
-def _ask(address: str, kept: idle.Idle | None) -> bytes:
-    req = flight.Request(
+def _ask(address: str, kept: idle_connections.IdleConnections | None) -> bytes:
+    req = backend_request.Request(
         address, 'GET', '/x', {'host': 'h'}, b'', idle_conns=kept
     )
     req.send(1.0)
-    req.answer(1.0)
+    req.read_head(1.0)
     found = b''
     while part := req.read(1.0):
         found += part
@@ -82,11 +82,11 @@
     server: _Server, between: Callable[[], None] = lambda: None
 ) -> tuple[int, int]:
     """Asks twice; returns connections opened and requests that arrived."""
-    kept = idle.Idle(time.monotonic)
+    kept = idle_connections.IdleConnections(time.monotonic)
     for _ in range(2):
         assert _ask(server.address, kept) == b'ok'
         between()
-        time.sleep(2 * idle.REST_S)
+        time.sleep(2 * idle_connections.MIN_IDLE_S)
     kept.close()
     server.close()
     return server.opened, server.asked
@@ -121,7 +121,9 @@
 
     On a kept connection it would pass for the answer to the next request.
     """
-    server = _Server(_ANSWER + b'\r\nok', after_s=idle.REST_S / 2)
+    server = _Server(
+        _ANSWER + b'\r\nok', after_s=idle_connections.MIN_IDLE_S / 2
+    )
     server.late = _ANSWER + b'\r\nNO'
     assert _play(server) == (2, 2)
 
@@ -129,9 +131,9 @@
 def test_a_request_that_must_not_run_twice_takes_a_new_connection() -> None:
     """On an idle one that closes it is not known whether it arrived."""
     server = _Server(_ANSWER + b'\r\nok')
-    kept = idle.Idle(time.monotonic)
+    kept = idle_connections.IdleConnections(time.monotonic)
     _ask(server.address, kept)
-    time.sleep(2 * idle.REST_S)
+    time.sleep(2 * idle_connections.MIN_IDLE_S)
     assert _ask(server.address, None) == b'ok'
     assert server.opened == 2
     kept.close()
@@ -141,14 +143,14 @@
 def test_connections_rest_for_a_moment_and_not_for_long() -> None:
     now = [0.0]
     server = _Server(_ANSWER + b'\r\nok')
-    kept = idle.Idle(lambda: now[0])
+    kept = idle_connections.IdleConnections(lambda: now[0])
     _ask(server.address, kept)
-    assert kept.take(server.address) is None
-    now[0] += idle.REST_S
-    conn = kept.take(server.address)
+    assert kept.pop(server.address) is None
+    now[0] += idle_connections.MIN_IDLE_S
+    conn = kept.pop(server.address)
     assert conn is not None
-    kept.put(server.address, conn, None)
-    now[0] += idle.MOST_S
-    assert kept.take(server.address) is None
+    kept.add(server.address, conn, None)
+    now[0] += idle_connections.MAX_IDLE_S
+    assert kept.pop(server.address) is None
     kept.close()
     server.close()
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -12,7 +12,7 @@
 from foxtaildale_adapters import engines
 from tests import fleet
 
-_ENGINES = engines.Engines(short_s=5.0)
+_ENGINES = engines.Engines(short_call_timeout_s=5.0)
 _OLD_ORDER = backends.Order(kind='load', value='model-a', fence=5)
 _NEW_ORDER = backends.Order(kind='load', value='model-b', fence=9)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -9,7 +9,7 @@
 
 from foxtaildale import errors
 from foxtaildale import values
-from foxtaildale_adapters import exchange
+from foxtaildale_adapters import http_client
 from foxtaildale_adapters import platform
 from tests import fleet
 from tests.standins import control
@@ -110,7 +110,7 @@
     Without a breaker each request of a caller waits for the whole timeout.
     """
     store = procs.standin('platform')
-    client = platform.Platform(store.address, 0.3, hold_off_s=3600.0)
+    client = platform.Platform(store.address, 0.3, retry_delay_s=3600.0)
     client.append('s', [b'a'])
     store.freeze()
     with pytest.raises(errors.NoReplyError):
@@ -127,7 +127,7 @@
     If that opened the breaker too, claims would be refused after its restart.
     """
     store = procs.standin('platform')
-    client = platform.Platform(store.address, 5.0, hold_off_s=3600.0)
+    client = platform.Platform(store.address, 5.0, retry_delay_s=3600.0)
     store.kill()
     with pytest.raises(errors.UnreachableError):
         client.append('s', [b'a'])
@@ -141,7 +141,7 @@
     A client that waits on the old one hangs for good, call after call.
     """
     with relay.Relay(store.address) as middle:
-        client = exchange.Exchange()
+        client = http_client.HttpClient()
         failed: list[errors.PortError] = []
 
         def call() -> None:
@@ -176,10 +176,10 @@
     """
     now = 0.0
     with relay.Relay(store.address) as middle:
-        client = exchange.Exchange(lambda: now)
+        client = http_client.HttpClient(lambda: now)
         for _ in range(2):
             client.send(middle.address, 'GET', '/vms', timeout_s=5.0)
         assert middle.accepted == 1
-        now = exchange.IDLE_S + 1.0
+        now = http_client.MAX_IDLE_S + 1.0
         client.send(middle.address, 'GET', '/vms', timeout_s=5.0)
         assert middle.accepted == 2
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -15,12 +15,12 @@
 from foxtaildale import errors
 from foxtaildale import forwarding
 from foxtaildale import routes
-from foxtaildale_platform import boot
-from foxtaildale_platform import calls
+from foxtaildale_platform import caller_requests
 from foxtaildale_platform import names
 from foxtaildale_platform import records
+from foxtaildale_platform import server_client
+from foxtaildale_platform import settings_file
 from foxtaildale_platform import store
-from foxtaildale_platform import workers
 from tests import exchanges
 
 _ROUTE: dict[str, Any] = {
@@ -72,7 +72,7 @@
 
 
 def test_a_configuration_is_decoded_with_units_in_seconds() -> None:
-    table = records.table(_json(_CONFIG))
+    table = records.decode_table(_json(_CONFIG))
     assert table.version == 7
     assert table.routes[0] == routes.Route(
         name='r1',
@@ -100,7 +100,9 @@
     Taken for one that may be repeated, a request could run twice.
     """
     config = _CONFIG | {'routes': [_ROUTE | {'kind': 'new'}]}
-    assert records.table(_json(config)).routes[0].kind == 'non_idempotent'
+    assert (
+        records.decode_table(_json(config)).routes[0].kind == 'non_idempotent'
+    )
 
 
 @pytest.mark.parametrize(
@@ -117,12 +119,12 @@
     value: bytes, field: str
 ) -> None:
     with pytest.raises(errors.DecodeError, match=field):
-        records.table(value)
+        records.decode_table(value)
 
 
 def test_a_server_is_decoded() -> None:
     draining = _SERVER | {'state': 'draining'}
-    assert records.server('i-1', _json(draining)) == forwarding.Backend(
+    assert records.decode_server('i-1', _json(draining)) == forwarding.Backend(
         id='i-1',
         service='s1',
         address='10.0.0.9:8080',
@@ -136,12 +138,12 @@
 @hypothesis.given(strategies.binary(max_size=60))
 def test_no_bytes_raise_anything_else(data: bytes) -> None:
     for decode in (
-        records.table,
-        lambda value: records.server('k', value),
-        lambda value: records.member('k', value),
+        records.decode_table,
+        lambda value: records.decode_server('k', value),
+        lambda value: records.decode_member('k', value),
         lambda value: store._decode_log(value, 0),
         store._decode_page,
-        workers.Workers().decode_handle,
+        server_client.ServerClient().decode_handle,
     ):
         try:
             decode(data)
@@ -180,20 +182,20 @@
     page = store._decode_page(
         _json({'items': [{'key': 'k', 'value': value, 'offset': 3}], 'end': 4})
     )
-    assert store._entry(page.items[0], 0).value == b'v'
+    assert store._decode_entry(page.items[0], 0).value == b'v'
     with pytest.raises(errors.DecodeError):
-        store._entry(store._Item(key='k', offset=1, value='?'), 0)
+        store._decode_entry(store._Item(key='k', offset=1, value='?'), 0)
 
 
 def _decode(headers: dict[str, str]) -> forwarding.CallerRequest:
-    return calls.decode(exchanges.make(headers))
+    return caller_requests.decode_request(exchanges.make(headers))
 
 
 def test_a_request_keeps_its_bytes() -> None:
     call = _decode(
         {
-            names.DEADLINE: '1500',
-            names.TOKENS: '1460,80',
+            names.DEADLINE_MS: '1500',
+            names.TOKEN_COUNTS: '1460,80',
             names.LAST_EVENT: '12',
             names.LENGTH_HINT: '77',
         }
@@ -204,7 +206,7 @@
     assert (call.after_event, call.hinted_tokens) == (12, 77)
 
 
-@pytest.mark.parametrize('name', sorted(names.OURS))
+@pytest.mark.parametrize('name', sorted(names.RESERVED_HEADERS))
 def test_a_caller_can_not_set_what_is_ours(name: str) -> None:
     """A caller names another's KV handle, or a server to run on.
 
@@ -217,17 +219,17 @@
     found = dict(
         _decode(
             {
-                'connection': f'keep-alive, x-hop, {names.TOKENS}',
+                'connection': f'keep-alive, x-hop, {names.TOKEN_COUNTS}',
                 'x-hop': '1',
                 'x-kept': '2',
                 'transfer-encoding': 'chunked',
                 'content-length': '9',
-                names.TOKENS: '1,2',
+                names.TOKEN_COUNTS: '1,2',
             }
         ).headers
     )
     assert found['x-kept'] == '2'
-    assert found[names.TOKENS] == '1,2'
+    assert found[names.TOKEN_COUNTS] == '1,2'
     assert not {'connection', 'x-hop', 'transfer-encoding'} & set(found)
     assert 'content-length' not in found
 
@@ -237,10 +239,10 @@
     [
         (names.ATTEMPT, ''),
         (names.ATTEMPT, 'a b'),
-        (names.DEADLINE, '-5'),
-        (names.DEADLINE, '1e3'),
-        (names.TOKENS, '5'),
-        (names.TOKENS, 'x,y'),
+        (names.DEADLINE_MS, '-5'),
+        (names.DEADLINE_MS, '1e3'),
+        (names.TOKEN_COUNTS, '5'),
+        (names.TOKEN_COUNTS, 'x,y'),
         (names.LAST_EVENT, '0x1'),
     ],
 )
@@ -270,7 +272,7 @@
 
 
 def test_settings_are_decoded() -> None:
-    cfg = boot.read(_BOOT, 'f')
+    cfg = settings_file.decode_settings(_BOOT, 'f')
     assert cfg.entry_vm == 'n1'
     assert cfg.leaving_s == 2.0
     assert cfg.retry_burst == 56
@@ -280,7 +282,7 @@
 @pytest.mark.parametrize('text', ['', 'x', _BOOT.replace('[platform]', '[p]')])
 def test_broken_settings_name_their_file(text: str) -> None:
     with pytest.raises(errors.SettingsError, match='f: '):
-        boot.read(text, 'f')
+        settings_file.decode_settings(text, 'f')
 
 
 def _trickle(listener: socket.socket, body: bytes, pauses: list[float]) -> None:
@@ -303,7 +305,7 @@
         # Slow all along, as over a link that all VMs fill after a power loss.
         ([0.3] * 4, True),
         # Silent in the middle.
-        ([0.0, store.ANSWER_S + 0.5], False),
+        ([0.0, store.RESPONSE_TIMEOUT_S + 0.5], False),
     ],
 )
 def test_a_page_that_goes_on_coming_is_waited_for(
--- a/tests/test_preset_processes.py
+++ b/tests/test_preset_processes.py
@@ -98,18 +98,20 @@
     def operator(self) -> submit.Submitter:
         return submit.Submitter(
             platform.Platform(
-                self.dep.platform.address, deployment.WAIT_S, hold_off_s=0.0
+                self.dep.platform.address, deployment.WAIT_S, retry_delay_s=0.0
             ),
             clock=time.monotonic,
-            pause=time.sleep,
+            sleep=time.sleep,
             new_id=lambda: uuid.uuid4().hex,
             patience_s=deployment.WAIT_S,
         )
 
-    def publish(self, name: str) -> submit.Learnt:
+    def publish(self, name: str) -> submit.ChangeOutcome:
         return self.operator().publish(_preset(name))
 
-    def switch(self, name: str, expects: int | None = None) -> submit.Learnt:
+    def switch(
+        self, name: str, expects: int | None = None
+    ) -> submit.ChangeOutcome:
         digest = changes.digest_of(changes.canonical_form(_preset(name)))
         return self.operator().switch(name, digest, expects)
 
--- a/tests/test_flow.py
+++ b/tests/test_response_relay.py
@@ -17,10 +17,10 @@
 from foxtaildale import backends
 from foxtaildale import errors
 from foxtaildale import streams
-from foxtaildale_adapters import callers
+from foxtaildale_adapters import caller_server
 from foxtaildale_adapters import engines
-from foxtaildale_adapters import flow
-from foxtaildale_adapters import pump
+from foxtaildale_adapters import response_relay
+from foxtaildale_adapters import stream_reader
 
 # Far above what any test needs; reached only by a failing one.
 PATIENCE_S = 20.0
@@ -32,7 +32,7 @@
     def __init__(self) -> None:
         self.data = b''
 
-    def offer(self, data: bytes) -> bool:
+    def send_nonblocking(self, data: bytes) -> bool:
         self.data += data
         return True
 
@@ -57,20 +57,22 @@
     return b''.join(pieces) + b'data: %b\n\n' % msgspec.json.encode(last)
 
 
-def make(caller: flow.Caller, rest: bytes = b'') -> flow.Flow:
-    return flow.Flow(
+def make(
+    caller: response_relay.Caller, rest: bytes = b''
+) -> response_relay.Flow:
+    return response_relay.Flow(
         exchange=caller,
         checker=streams.Checker('r', 1, 's'),
         framer=streams.Framer('r', 'w', 's', 'm', 7),
         clock=time.monotonic,
-        times=[],
-        rest=rest,
+        sent_times=[],
+        partial_event=rest,
     )
 
 
 @pytest.fixture
-def carrier() -> Iterator[pump.Pump]:
-    found = pump.Pump()
+def carrier() -> Iterator[stream_reader.StreamReader]:
+    found = stream_reader.StreamReader()
     found.start()
     yield found
     found.close()
@@ -94,7 +96,7 @@
     places = [0, *sorted(cut for cut in cuts if cut < len(data)), len(data)]
     for start, end in itertools.pairwise(places):
         found.feed(data[start:end])
-    assert found.last is not None
+    assert found.stream_end is not None
     assert kept.data == whole.data
     assert kept.data.count(b'"content":') == len(texts)
 
@@ -119,7 +121,9 @@
             found.feed(b'x' * 65536)
 
 
-def test_many_streams_share_one_thread(carrier: pump.Pump) -> None:
+def test_many_streams_share_one_thread(
+    carrier: stream_reader.StreamReader,
+) -> None:
     texts = [f' {number}' for number in range(50)]
     with contextlib.ExitStack() as stack:
         pool = stack.enter_context(concurrent.futures.ThreadPoolExecutor(40))
@@ -139,11 +143,13 @@
         for near, far in pairs:
             near.close()
             far.close()
-    assert all(found.last is not None for found in flows)
+    assert all(found.stream_end is not None for found in flows)
     assert len({caller.data for caller in kept}) == 1
 
 
-def test_a_stream_that_breaks_off_is_lost(carrier: pump.Pump) -> None:
+def test_a_stream_that_breaks_off_is_lost(
+    carrier: stream_reader.StreamReader,
+) -> None:
     """An engine dies in mid-answer; half a summary must not look whole."""
     near, far = socket.socketpair()
     far.sendall(piece(0, 'a'))
@@ -151,17 +157,19 @@
     found = make(Kept())
     with near, pytest.raises(errors.NoReplyError, match='ended'):
         found.run(carrier, near, PATIENCE_S)
-    assert found.last is None
+    assert found.stream_end is None
 
 
-def test_a_silent_stream_is_lost(carrier: pump.Pump) -> None:
+def test_a_silent_stream_is_lost(carrier: stream_reader.StreamReader) -> None:
     """Something between forgot the connection; no end will ever come."""
     near, far = socket.socketpair()
     with near, far, pytest.raises(errors.NoReplyError, match='silent'):
         make(Kept()).run(carrier, near, 0.1)
 
 
-def test_a_shutdown_from_elsewhere_ends_a_stream(carrier: pump.Pump) -> None:
+def test_a_shutdown_from_elsewhere_ends_a_stream(
+    carrier: stream_reader.StreamReader,
+) -> None:
     """The caller went away; the slot must come free without another token."""
     near, far = socket.socketpair()
     with near, far, concurrent.futures.ThreadPoolExecutor(1) as pool:
@@ -174,7 +182,9 @@
         handle.close()
 
 
-def test_a_fault_of_one_stream_leaves_the_others(carrier: pump.Pump) -> None:
+def test_a_fault_of_one_stream_leaves_the_others(
+    carrier: stream_reader.StreamReader,
+) -> None:
     """One engine sends garbage; every other caller reads on."""
     near, far = socket.socketpair()
     other_near, other_far = socket.socketpair()
@@ -193,7 +203,7 @@
 
 
 def test_close_ends_every_stream() -> None:
-    carrier = pump.Pump()
+    carrier = stream_reader.StreamReader()
     carrier.start()
     near, far = socket.socketpair()
     with near, far, concurrent.futures.ThreadPoolExecutor(1) as pool:
@@ -202,23 +212,23 @@
         with pytest.raises(errors.NoReplyError):
             fut.result(PATIENCE_S)
         with pytest.raises(errors.NoReplyError):
-            carrier.carry(near, make(Kept()), PATIENCE_S)
+            carrier.read_stream(near, make(Kept()), PATIENCE_S)
 
 
 class Spy:
     """Notes when a caller lags behind."""
 
     def __init__(
-        self, exchange: callers.Exchange, lagged: threading.Event
+        self, exchange: caller_server.Exchange, lagged: threading.Event
     ) -> None:
         self._exchange = exchange
         self._lagged = lagged
         self._behind = False
 
-    def offer(self, data: bytes) -> bool:
+    def send_nonblocking(self, data: bytes) -> bool:
         # Else the engine's whole answer would pile up here.
         assert not self._behind
-        sent = self._exchange.offer(data)
+        sent = self._exchange.send_nonblocking(data)
         if not sent:
             self._behind = True
             self._lagged.set()
@@ -248,7 +258,7 @@
             conn.sendall(data[cut:])
 
     taken = threading.Event()
-    carrier = pump.Pump()
+    carrier = stream_reader.StreamReader()
     carrier.start()
     with socket.create_server(('127.0.0.1', 0)) as listener:
         engine = threading.Thread(target=serve, args=(listener,))
@@ -259,18 +269,18 @@
         address = f'127.0.0.1:{listener.getsockname()[1]}'
         stream = engines.Engines().decode(address, req, PATIENCE_S)
         first = next(stream)
-        found = flow.take_over(stream)
+        found = response_relay.detach(stream)
         taken.set()
         assert found.sock is not None
         kept = Kept()
-        relayed = make(kept, found.rest)
-        assert relayed.take([first, *found.items])
+        relayed = make(kept, found.partial_event)
+        assert relayed.relay([first, *found.buffered_events])
         with found.sock:
             relayed.run(carrier, found.sock, PATIENCE_S)
         stream.close()
         engine.join()
     carrier.close()
-    assert relayed.last is not None
+    assert relayed.stream_end is not None
     assert kept.data.count(b'"content":') == 3
 
 
@@ -295,14 +305,14 @@
         next(stream)
         stream.close()
         with pytest.raises(errors.NoReplyError):
-            flow.take_over(stream)
+            response_relay.detach(stream)
         engine.join()
 
 
 class Relayed:
     """A handler that relays from one end of a socket pair."""
 
-    def __init__(self, carrier: pump.Pump) -> None:
+    def __init__(self, carrier: stream_reader.StreamReader) -> None:
         self._carrier = carrier
         # Engines' ends by path.
         self.engines: dict[str, socket.socket] = {}
@@ -314,7 +324,7 @@
         self._near[path], self.engines[path] = socket.socketpair()
         return self.engines[path]
 
-    def handle(self, exchange: callers.Exchange) -> None:
+    def handle(self, exchange: caller_server.Exchange) -> None:
         exchange.start(200, {'Content-Type': 'text/event-stream'})
         found = make(Spy(exchange, self.lagged))
         with self._near[exchange.path] as near:
@@ -324,7 +334,7 @@
 
 
 def test_a_slow_caller_holds_up_nobody_and_loses_nothing(
-    carrier: pump.Pump,
+    carrier: stream_reader.StreamReader,
 ) -> None:
     """One caller stops reading for a while, with its window full.
 
@@ -332,7 +342,7 @@
     wait with it.
     """
     handler = Relayed(carrier)
-    server = callers.Server('127.0.0.1:0', handler, 4, PATIENCE_S, 1000)
+    server = caller_server.Server('127.0.0.1:0', handler, 4, PATIENCE_S, 1000)
     host, _, port = server.start().rpartition(':')
     slow_engine, quick_engine = handler.add('/slow'), handler.add('/quick')
     texts = ['x' * 1000] * 12_000
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -147,7 +147,7 @@
 def test_an_entry_that_lacks_a_field_names_no_server(field: str) -> None:
     value = {name: it for name, it in _ENTRY.items() if name != field}
     with pytest.raises(errors.DecodeError):
-        records.server('i-1', msgspec.json.encode(value))
+        records.decode_server('i-1', msgspec.json.encode(value))
 
 
 @hypothesis.given(
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -189,7 +189,7 @@
         asked.append(msg)
         return ask(self, msg)
 
-    monkeypatch.setattr(placement_client.PlacementClient, 'ask', note)
+    monkeypatch.setattr(placement_client.PlacementClient, 'request', note)
     for name in ('d1', 'd2'):
         calm.workers[name].events = 8
         calm.workers[name].break_after = 6
--- a/tests/test_sendlimits_path.py
+++ b/tests/test_sendlimits_path.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from foxtaildale_platform import workers as platform_workers
+from foxtaildale_platform import server_client as platform_workers
 from tests import loads
 from tests import site as sites
 
@@ -126,5 +126,5 @@
 ) -> None:
     """Guards against a server spared, or flooded, for a header of garbage."""
     headers = {} if text is None else {'server-limit': text}
-    said = platform_workers._self_report(200, headers)
+    said = platform_workers._decode_self_report(200, headers)
     assert said.limit == limit
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -16,7 +16,7 @@
 from tests.standins import relay
 from tests.standins import serving
 
-_MODELS = engines.Engines(short_s=5.0)
+_MODELS = engines.Engines(short_call_timeout_s=5.0)
 _PROMPT = 'is stand four clear ' * 10
 
 
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -7,8 +7,8 @@
 
 from foxtaildale_client import exits
 from foxtaildale_client import main
+from foxtaildale_client import request_trace
 from foxtaildale_client import results
-from foxtaildale_client import story
 
 
 def _line(at: float, event: str, **fields: object) -> str:
@@ -46,8 +46,8 @@
 
 def test_a_refused_request_is_followed_to_its_cause() -> None:
     """A caller complains of a refusal; on-call has the lines of all VMs."""
-    found = story.tell(story.parse(_LINES), 'r')
-    assert isinstance(found, story.Story)
+    found = request_trace.trace_request(request_trace.parse(_LINES), 'r')
+    assert isinstance(found, request_trace.RequestTrace)
     sentences = [sentence for _, _, sentence, _ in found.steps]
     assert sentences == [
         'd1 may get work of s, told by store',
@@ -85,13 +85,13 @@
 def test_the_conclusion_says_what_the_caller_was_told(
     last: str, conclusion: str
 ) -> None:
-    found = story.tell(story.parse([last]), 'r')
-    assert isinstance(found, story.Story)
+    found = request_trace.trace_request(request_trace.parse([last]), 'r')
+    assert isinstance(found, request_trace.RequestTrace)
     assert found.conclusion == conclusion
 
 
 def test_an_unknown_request_is_said_so() -> None:
-    found = story.tell(story.parse(_LINES), 'none')
+    found = request_trace.trace_request(request_trace.parse(_LINES), 'none')
     assert isinstance(found, results.Problem)
     assert found.status == exits.Exit.NOT_FOUND
 
@@ -129,8 +129,8 @@
         retry_after_s=0.25,
         **figures,
     )
-    found = story.tell(story.parse([line]), 'r')
-    assert isinstance(found, story.Story)
+    found = request_trace.trace_request(request_trace.parse([line]), 'r')
+    assert isinstance(found, request_trace.RequestTrace)
     assert 'client account pad-7 may take 29000.0 tokens' in found.conclusion
     assert 'counts as 7400 and 310 are left' in found.conclusion
     assert 'by=home' in found.text()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,7 +14,7 @@
 
 from foxtaildale import errors
 from foxtaildale import messages
-from foxtaildale_adapters import wire
+from foxtaildale_adapters import zmq_responder
 from tests.standins import relay
 
 HEARTBEAT_S = 0.05
@@ -45,19 +45,19 @@
 
 
 @pytest.fixture
-def peers() -> Iterator[wire.Peers]:
-    found = wire.Peers(HEARTBEAT_S, SILENCE_S)
+def peers() -> Iterator[zmq_responder.Peers]:
+    found = zmq_responder.Peers(HEARTBEAT_S, SILENCE_S)
     yield found
     found.close()
 
 
 @pytest.fixture
-def serve() -> Iterator[Callable[[wire.Handler], str]]:
+def serve() -> Iterator[Callable[[zmq_responder.Handler], str]]:
     """Starts a responder for each handler it is called with."""
     started = []
 
-    def start(handler: wire.Handler) -> str:
-        responder = wire.Responder('127.0.0.1:0', handler)
+    def start(handler: zmq_responder.Handler) -> str:
+        responder = zmq_responder.Responder('127.0.0.1:0', handler)
         started.append(responder)
         return responder.start()
 
@@ -67,14 +67,14 @@
 
 
 @pytest.fixture
-def responder() -> Iterator[tuple[wire.Responder, str]]:
-    found = wire.Responder('127.0.0.1:0', echo)
+def responder() -> Iterator[tuple[zmq_responder.Responder, str]]:
+    found = zmq_responder.Responder('127.0.0.1:0', echo)
     yield found, found.start()
     found.close()
 
 
 def test_an_ask_gets_its_reply(
-    peers: wire.Peers, serve: Callable[[wire.Handler], str]
+    peers: zmq_responder.Peers, serve: Callable[[zmq_responder.Handler], str]
 ) -> None:
     address = serve(echo)
     reply = peers.request(address, messages.StateRequest(offset=7), PATIENCE_S)
@@ -82,7 +82,7 @@
 
 
 def test_a_failing_handler_is_a_rejection(
-    peers: wire.Peers, serve: Callable[[wire.Handler], str]
+    peers: zmq_responder.Peers, serve: Callable[[zmq_responder.Handler], str]
 ) -> None:
     """A handler meets a fault of its own; the process must live on."""
 
@@ -102,8 +102,8 @@
 
 def test_a_broken_invariant_reaches_the_process(
     monkeypatch: pytest.MonkeyPatch,
-    peers: wire.Peers,
-    serve: Callable[[wire.Handler], str],
+    peers: zmq_responder.Peers,
+    serve: Callable[[zmq_responder.Handler], str],
 ) -> None:
     """Two outcomes stand for one identity: going on would make it worse."""
     seen: list[object] = []
@@ -121,7 +121,7 @@
 
 
 def test_garbage_on_the_port_harms_nobody(
-    peers: wire.Peers, responder: tuple[wire.Responder, str]
+    peers: zmq_responder.Peers, responder: tuple[zmq_responder.Responder, str]
 ) -> None:
     """A scanner or a misdirected browser writes to the port.
 
@@ -150,7 +150,7 @@
     )
 )
 def test_wrong_frames_are_dropped_and_counted(
-    responder: tuple[wire.Responder, str], frames: list[bytes]
+    responder: tuple[zmq_responder.Responder, str], frames: list[bytes]
 ) -> None:
     """A process of another version sends what this one can't read."""
     found, address = responder
@@ -172,7 +172,7 @@
 
 
 def test_an_oversized_message_is_dropped_and_counted(
-    responder: tuple[wire.Responder, str],
+    responder: tuple[zmq_responder.Responder, str],
 ) -> None:
     """A peer gone wrong sends more than a process can hold in memory."""
     found, address = responder
@@ -187,7 +187,7 @@
 
 
 def test_an_oversized_message_is_not_sent(
-    peers: wire.Peers, responder: tuple[wire.Responder, str]
+    peers: zmq_responder.Peers, responder: tuple[zmq_responder.Responder, str]
 ) -> None:
     found, address = responder
     msg = messages.DumpReply(state=bytes(messages.MAX_BYTES))
@@ -198,13 +198,15 @@
 
 @pytest.mark.parametrize('address', ['nonsense', '127.0.0.1:0', ''])
 def test_a_wrong_address_is_unreachable(
-    peers: wire.Peers, address: str
+    peers: zmq_responder.Peers, address: str
 ) -> None:
     with pytest.raises(errors.UnreachableError):
         peers.request(address, messages.DumpRequest(), PATIENCE_S)
 
 
-def test_a_closed_port_is_unreachable_at_once(peers: wire.Peers) -> None:
+def test_a_closed_port_is_unreachable_at_once(
+    peers: zmq_responder.Peers,
+) -> None:
     """The other process is down; nobody should wait out a timeout for it."""
     with socket.socket() as sock:
         sock.bind(('127.0.0.1', 0))
@@ -214,7 +216,7 @@
 
 
 def test_a_port_that_never_shakes_hands_is_unreachable(
-    peers: wire.Peers,
+    peers: zmq_responder.Peers,
 ) -> None:
     """Something accepts connections and says nothing: nothing was sent."""
     with socket.create_server(('127.0.0.1', 0)) as sock:
@@ -226,7 +228,7 @@
 
 
 def test_a_late_reply_reaches_nobody(
-    peers: wire.Peers, serve: Callable[[wire.Handler], str]
+    peers: zmq_responder.Peers, serve: Callable[[zmq_responder.Handler], str]
 ) -> None:
     """A reply comes after its asker gave up and another one asked.
 
@@ -259,7 +261,7 @@
     endpoint = router.getsockopt(zmq.LAST_ENDPOINT)
     assert isinstance(endpoint, bytes)
     address = endpoint.decode().removeprefix('tcp://').rstrip('\x00')
-    peers = wire.Peers(60, 60)
+    peers = zmq_responder.Peers(60, 60)
 
     def answer_crossed() -> None:
         asks = [router.recv_multipart() for _ in range(4)]
@@ -292,7 +294,7 @@
 
 
 def test_a_silent_connection_is_replaced(
-    peers: wire.Peers, serve: Callable[[wire.Handler], str]
+    peers: zmq_responder.Peers, serve: Callable[[zmq_responder.Handler], str]
 ) -> None:
     """Something between two processes forgets an open connection for good.
 
@@ -312,7 +314,7 @@
 
 
 def test_a_busy_handler_does_not_look_silent(
-    peers: wire.Peers, serve: Callable[[wire.Handler], str]
+    peers: zmq_responder.Peers, serve: Callable[[zmq_responder.Handler], str]
 ) -> None:
     """A keeper works on one long question while heartbeats go on."""
     release = threading.Event()
@@ -333,7 +335,9 @@
     assert peers.counts.silent == 0
 
 
-def test_a_peer_that_dies_ends_what_was_asked_of_it(peers: wire.Peers) -> None:
+def test_a_peer_that_dies_ends_what_was_asked_of_it(
+    peers: zmq_responder.Peers,
+) -> None:
     """A process is killed with a question in hand; its effect is unknown."""
     arrived = threading.Event()
     release = threading.Event()
@@ -343,7 +347,7 @@
         release.wait(PATIENCE_S)
         return echo(msg)
 
-    responder = wire.Responder('127.0.0.1:0', hang)
+    responder = zmq_responder.Responder('127.0.0.1:0', hang)
     with (
         relay.Relay(responder.start()) as between,
         concurrent.futures.ThreadPoolExecutor(1) as pool,
@@ -363,7 +367,7 @@
 
 
 def test_many_threads_each_get_their_own_reply(
-    peers: wire.Peers, serve: Callable[[wire.Handler], str]
+    peers: zmq_responder.Peers, serve: Callable[[zmq_responder.Handler], str]
 ) -> None:
     addresses = [serve(echo), serve(echo)]
 
@@ -387,12 +391,12 @@
         arrived.append(offset_of(echo(msg)))
         return echo(msg)
 
-    responder = wire.Responder('127.0.0.1:0', note)
+    responder = zmq_responder.Responder('127.0.0.1:0', note)
     answered: list[int] = []
     unreachable: list[int] = []
     lost: list[int] = []
     with relay.Relay(responder.start()) as between:
-        peers = wire.Peers(HEARTBEAT_S, SILENCE_S)
+        peers = zmq_responder.Peers(HEARTBEAT_S, SILENCE_S)
 
         def ask(number: int) -> None:
             msg = messages.StateRequest(offset=number)
@@ -434,14 +438,16 @@
     assert len(answered) + len(unreachable) + len(lost) == 1200
 
 
-def test_close_ends_every_ask(serve: Callable[[wire.Handler], str]) -> None:
+def test_close_ends_every_ask(
+    serve: Callable[[zmq_responder.Handler], str],
+) -> None:
     release = threading.Event()
 
     def hang(msg: messages.Message) -> messages.Message:
         release.wait(PATIENCE_S)
         return echo(msg)
 
-    peers = wire.Peers(HEARTBEAT_S, SILENCE_S)
+    peers = zmq_responder.Peers(HEARTBEAT_S, SILENCE_S)
     address = serve(hang)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(
