--- a/packages/adapters/foxtaildale_adapters/admin.py
+++ b/packages/adapters/foxtaildale_adapters/admin.py
@@ -27,7 +27,7 @@
         ready: Returns why the process is not ready; empty if it is ready.
         state: Returns the state of the process as JSON.
         metrics: Returns the metrics in the text exposition format.
-        look_s: Time between checks for expired idle connections, seconds.
+        idle_check_s: Time between checks for expired idle connections, seconds.
     """
 
     __slots__ = ('_metrics', '_ready', '_server', '_state')
--- a/packages/adapters/foxtaildale_adapters/backend_request.py
+++ b/packages/adapters/foxtaildale_adapters/backend_request.py
@@ -1,9 +1,9 @@
 """One request to one backend server, on a connection used by it alone.
 
 After a complete response, the connection may be reused for another request that
-is safe to send twice (`idle`). A request that must not run twice uses a new
-connection: if the backend server has just closed an idle connection, it is
-unknown whether the request arrived.
+is safe to send twice (`idle_connections`). A request that must not run twice
+uses a new connection: if the backend server has just closed an idle connection,
+it is unknown whether the request arrived.
 
 `cancel` may be called from any thread at any time. It shuts the connection
 down, which wakes the thread that waits on it and notifies the backend server.
@@ -151,7 +151,7 @@
             )
         except BrokenPipeError:
             # The backend server responded before it had read a long body;
-            # `answer` reads the response.
+            # `read_head` reads the response.
             pass
         except _CONNECTION_ERRORS as exc:
             self.cancel()
--- a/packages/adapters/foxtaildale_adapters/body.py
+++ b/packages/adapters/foxtaildale_adapters/body.py
@@ -79,7 +79,7 @@
             self.release_socket()
 
     def acquire_socket(self) -> socket.socket | None:
-        """Passes the socket to an external reader, until `give_back`.
+        """Passes the socket to an external reader, until `release_socket`.
 
         Returns None if the library may hold buffered bytes, or if the body is
         closed.
--- a/packages/adapters/foxtaildale_adapters/caller_exchange.py
+++ b/packages/adapters/foxtaildale_adapters/caller_exchange.py
@@ -134,7 +134,7 @@
         # Whether the response is an event stream.
         self._events = False
         self._disconnected = False
-        # Bytes that `offer` has not sent yet.
+        # Bytes that `send_nonblocking` has not sent yet.
         self._unsent = b''
 
     @property
@@ -209,7 +209,7 @@
         return not self._unsent
 
     def flush(self) -> bool:
-        """Waits until all chunks passed to `offer` are sent.
+        """Waits until all chunks passed to `send_nonblocking` are sent.
 
         Returns:
             False if the caller disconnected or does not read.
@@ -230,7 +230,7 @@
         return True
 
     def is_disconnected(self) -> bool:
-        """Whether TCP reports that the caller disconnected; see `hangups`."""
+        """Whether TCP reports a disconnect of the caller; see `disconnects`."""
         if not self._disconnected:
             reset, fin = disconnects.poll_state(self._sock)
             if reset or (fin and not self._still_reads()):
--- a/packages/adapters/foxtaildale_adapters/caller_server.py
+++ b/packages/adapters/foxtaildale_adapters/caller_server.py
@@ -34,7 +34,7 @@
         half_close: Whether a caller that closed its sending side may still
             read; it is probed then. If callers never do that, a FIN alone
             means that the caller disconnected.
-        look_s: Interval between checks for idle connections, seconds.
+        idle_check_s: Interval between checks for idle connections, seconds.
     """
 
     __slots__ = ('_server', '_thread')
--- a/packages/adapters/foxtaildale_adapters/events.py
+++ b/packages/adapters/foxtaildale_adapters/events.py
@@ -37,7 +37,7 @@
         """
 
     def acquire_socket(self) -> socket.socket | None:
-        """Passes the socket to an external reader, until `give_back`.
+        """Passes the socket to an external reader, until `release_socket`.
 
         Returns None if blocks must be read through `read`.
         """
@@ -146,7 +146,7 @@
             self._ready[:0] = new_events
 
     def acquire_socket(self) -> socket.socket | None:
-        """Passes the socket to a reader that calls `feed`, until `give_back`.
+        """Passes the socket to a caller of `feed`, until `release_socket`.
 
         Returns None while events are pending, after the end of the stream, and
         while the HTTP library may hold buffered bytes.
--- a/packages/adapters/foxtaildale_adapters/peers.py
+++ b/packages/adapters/foxtaildale_adapters/peers.py
@@ -103,7 +103,7 @@
         """Sends a message and waits for its reply.
 
         Args:
-            address: 'IP:PORT' of a `wire.Responder`.
+            address: 'IP:PORT' of a `zmq_responder.Responder`.
             msg: The request.
             timeout_s: Maximum wait, seconds.
 
@@ -122,7 +122,7 @@
         """Sends a message to several addresses and waits for the replies.
 
         Args:
-            addresses: Each 'IP:PORT' of a `wire.Responder`.
+            addresses: Each 'IP:PORT' of a `zmq_responder.Responder`.
             msg: The request.
             timeout_s: Maximum wait for all replies together, seconds.
 
--- a/packages/adapters/foxtaildale_adapters/response_relay.py
+++ b/packages/adapters/foxtaildale_adapters/response_relay.py
@@ -32,8 +32,8 @@
         # Start of an event that was received in part.
         self.partial_event = partial_event
         # A duplicate descriptor of the connection for `Flow.run`, which the
-        # caller of `take_over` closes; None if the stream must be read through
-        # its iterator.
+        # caller of `detach` closes; None if the stream must be read through its
+        # iterator.
         self.sock = sock
 
 
@@ -66,7 +66,7 @@
 
 
 class Caller(Protocol):
-    """Receives the framed chunks; `incoming.Exchange` implements it."""
+    """Receives the framed chunks; `caller_exchange.Exchange` implements it."""
 
     def send_nonblocking(self, data: bytes) -> bool:
         """Sends without blocking; returns False if `flush` must follow."""
@@ -81,18 +81,18 @@
 class Flow:
     """Checks, frames and sends the chunks of one response.
 
-    All chunks of a block are sent in one call. `run` reads through the pump.
-    While the caller reads more slowly than the engine writes, `run` itself
-    sends the rest, in the stream's own thread.
+    All chunks of a block are sent in one call. `run` reads through the stream
+    reader. While the caller reads more slowly than the engine writes, `run`
+    itself sends the rest, in the stream's own thread.
 
     Args:
         exchange: The caller's exchange, on which the response was started.
         checker: Checks which chunks belong to the response.
         framer: Frames chunks for the caller.
         clock: Monotonic seconds.
-        times: List to which the time of sending of each chunk is appended,
+        sent_times: List to which the time of sending of each chunk is appended,
             seconds of `clock`.
-        rest: Start of an event that was already received in part.
+        partial_event: Start of an event that was already received in part.
     """
 
     __slots__ = (
@@ -150,7 +150,7 @@
         return self.stream_end is not None or bool(self.fault)
 
     def feed(self, block: bytes) -> bool:
-        """Processes bytes from the engine; see `pump.Feed`."""
+        """Processes bytes of the engine; see `stream_reader.StreamConsumer`."""
         parts = (self._partial_event + block).split(_EVENT_SEPARATOR)
         self._partial_event = parts.pop()
         if len(self._partial_event) > events.MAX_EVENT_BYTES:
--- a/packages/adapters/foxtaildale_adapters/stream_reader.py
+++ b/packages/adapters/foxtaildale_adapters/stream_reader.py
@@ -6,9 +6,9 @@
 all streams in turn.
 
 This thread must never wait for a single stream: it receives without blocking,
-and the `Feed` objects that it calls must not block either. A stream whose
-caller reads too slowly is returned to its own thread, which may wait; see
-`flow`.
+and the `StreamConsumer` objects that it calls must not block either. A stream
+whose caller reads too slowly is returned to its own thread, which may wait; see
+`response_relay`.
 """
 
 import select
@@ -64,7 +64,7 @@
 
 
 class StreamReader:
-    """Reads registered streams and passes their bytes to `Feed` objects.
+    """Reads registered streams; passes the bytes to `StreamConsumer` objects.
 
     Args:
         clock: Returns monotonic seconds.
--- a/packages/client/foxtaildale_client/config_reader.py
+++ b/packages/client/foxtaildale_client/config_reader.py
@@ -57,7 +57,7 @@
         """Reads to the end of the stream.
 
         Args:
-            watched: Id of a record whose verdict is stored in `seen`.
+            watched: Id of a record whose verdict is stored in `verdicts`.
 
         Raises:
             errors.PortError: The log could not be read to its end.
--- a/packages/client/foxtaildale_client/submit.py
+++ b/packages/client/foxtaildale_client/submit.py
@@ -79,7 +79,8 @@
 
         Raises:
             errors.PortError: The log could not be read; nothing was sent.
-            reading.UnknownStateError: The state can't be derived from the log.
+            config_reader.UnknownStateError: The state can't be derived from the
+                log.
         """
         return self._submit(
             lambda base, _: changes.make_publish(self._new_id(), base, preset)
@@ -97,7 +98,8 @@
 
         Raises:
             errors.PortError: The log could not be read; nothing was sent.
-            reading.UnknownStateError: The state can't be derived from the log.
+            config_reader.UnknownStateError: The state can't be derived from the
+                log.
         """
         return self._submit(
             lambda base, state: changes.Switch(
@@ -114,7 +116,8 @@
 
         Raises:
             errors.PortError: The log could not be read.
-            reading.UnknownStateError: The state can't be derived from the log.
+            config_reader.UnknownStateError: The state can't be derived from the
+                log.
         """
         self.reader.catch_up(change_id)
         return self._derive_outcome(change_id, base)
--- a/packages/core/foxtaildale/mirror.py
+++ b/packages/core/foxtaildale/mirror.py
@@ -53,9 +53,9 @@
 
     Args:
         rank: Returns the rank of a key's value.
-        keeps: Whether a record that a restored store lacks is kept until it is
-            written again or removed by `remove_carried`; otherwise it is
-            removed at once.
+        retain_carried: Whether a record that a restored store lacks is kept
+            until it is written again or removed by `remove_carried`; otherwise
+            it is removed at once.
     """
 
     __slots__ = (
--- a/packages/daemon/foxtaildaled/response_reading.py
+++ b/packages/daemon/foxtaildaled/response_reading.py
@@ -1,9 +1,10 @@
 """Reads the chunks of one response, checks each and forwards it.
 
-A response that is streamed to its caller is handled by the pump, one thread for
-all streams. A response that is collected before it is sent, or that does not
-come from a connection, is read by the thread of its request. Both run once per
-token, so work that can be done once per stream is done outside of them.
+A response that is streamed to its caller is handled by the stream reader, one
+thread for all streams. A response that is collected before it is sent, or that
+does not come from a connection, is read by the thread of its request. Both run
+once per token, so work that can be done once per stream is done outside of
+them.
 """
 
 from collections.abc import Iterable
