--- a/packages/adapters/foxtaildale_adapters/caller_exchange.py
+++ b/packages/adapters/foxtaildale_adapters/caller_exchange.py
@@ -323,7 +323,7 @@
 
     def _still_reads(self) -> bool:
         """Whether a caller that sent a FIN still reads."""
-        return self._req.server.half_close and self._probe()
+        return self._req.server.allows_half_close and self._probe()
 
     def _probe(self) -> bool:
         """Sends bytes that callers ignore; False if the caller disconnected."""
--- a/packages/adapters/foxtaildale_adapters/httpd.py
+++ b/packages/adapters/foxtaildale_adapters/httpd.py
@@ -121,10 +121,10 @@
         if self.sent_headers:
             return
         self.sent_headers = True
-        self.conn.drop_input = True
+        self.conn.discard_input = True
         header_lines = b''.join(b'%b:\r\n' % name for name in self.inheaders)
         sure = not caller_exchange.has_key_or_ticket(header_lines)
-        self.conn.answer(code, figures, sure=sure)
+        self.conn.send_error(code, figures, sure=sure)
 
 
 class _Connection(server.HTTPConnection):
@@ -145,11 +145,13 @@
 
     def communicate(self) -> bool:
         try:
-            self.rfile.begin(self.server.read_s or self.server.timeout)
+            self.rfile.set_deadline(
+                self.server.request_timeout_s or self.server.timeout
+            )
             keep: bool = super().communicate()  # type: ignore[no-untyped-call]
             return keep and not self.server.draining
         finally:
-            self.server.count(-1)
+            self.server.add_active_requests(-1)
 
     def send_error(
         self, code: codes.Code, figures: caller_exchange.Figures, *, sure: bool
@@ -185,7 +187,7 @@
         """
         try:
             self.socket.shutdown(socket.SHUT_WR)
-            self.rfile.begin(DISCARD_INPUT_S)
+            self.rfile.set_deadline(DISCARD_INPUT_S)
             while self.rfile.read1(connection_files.MAX_HEAD_BYTES):
                 pass
         except OSError:
@@ -407,7 +409,7 @@
             conn.close()
 
     def _reject_busy(self, conn: _Connection) -> None:
-        head = conn.rfile.head()
+        head = conn.rfile.peek_unread()
         conn.send_error(
             codes.ENTRY_BUSY,
             {'limit': self.max_threads},
--- a/tests/test_logevents.py
+++ b/tests/test_logevents.py
@@ -43,7 +43,7 @@
 def _events_in_code() -> set[str]:
     event_names = set()
     paths = [_DAEMON / f'{module}.py' for module in _MODULES]
-    adapter_names = ('records', 'store', 'workers')
+    adapter_names = ('records', 'store', 'server_client')
     adapter_paths = [_PLATFORM / f'{name}.py' for name in adapter_names]
     for path in (*paths, *adapter_paths):
         text = path.read_text()
