--- a/packages/core/foxtaildale/pool.py
+++ b/packages/core/foxtaildale/pool.py
@@ -1,15 +1,16 @@
-"""The home of a service: one place that plans all its workers jointly.
+"""Joint scheduling of all workers of one service at its coordinator.
 
-The keeper that is home (see `homes`) runs one pool for the service. An entry
-asks once and learns at once: granted (workers, and when to start the prefill),
-queued (when to ask again) or refused (why, and when to come back). A grant
-covers prefill time, link time and a decode slot together, and prefill starts
-so that its end meets the slot: an engine evicts a result within a second, and
-a result that nobody fetched was work for nobody.
+The keeper that coordinates a service (see `coordinator_choice`) runs one pool
+for it. An entry sends one request and gets the reply at once: granted (workers,
+and when to start the prefill), queued (when to request again) or refused (why,
+and when to retry). A grant covers prefill time, link time and a decode slot
+together. The prefill is started so that it ends when the slot becomes free: an
+engine evicts a prefill result within a second, and a result that is not fetched
+by then is wasted.
 
-Flow: `ask` -> `planning` finds the earliest joint time -> `admission` grants,
-queues or refuses -> `_book`. `end` gives back and feeds the estimates. `keep`
-and `expire` keep the ledger true to the holders.
+Flow: `request_slot` -> `planning` finds the earliest joint time -> `admission`
+grants, queues or refuses -> `_book`. `release` releases a grant and updates the
+estimates. `renew` and `expire` make the ledger match what the holders report.
 """
 
 from collections.abc import Sequence
@@ -25,7 +26,7 @@
 from foxtaildale import values
 from foxtaildale import workers
 
-# Time between looks for lapsed grants and waiters, seconds.
+# Time between checks for expired grants and waiting requests, seconds.
 _EXPIRE_S: Final = 0.1
 
 
@@ -37,7 +38,7 @@
     _name: str
     _planner: planning.Planner
     _admission: admission.Admission
-    # When lapsed grants and waiters are next looked for, seconds.
+    # Time of the next check for expired grants and waiting requests, seconds.
     _expire_at: float
 
     def __init__(self, service_name: str) -> None:
@@ -49,7 +50,7 @@
     def on_service(
         self, service: values.Service, weights: values.Weights
     ) -> None:
-        """Takes what the preset in force says."""
+        """Applies the service settings of the preset in force."""
         planner = self._planner
         if service.expected_tokens != planner.service.expected_tokens:
             planner.rates = estimates.Estimates(service.expected_tokens)
@@ -59,162 +60,169 @@
     def on_servers(
         self, now: float, servers: Sequence[values.BackendServer]
     ) -> None:
-        """Takes the service's backend servers from the newest list."""
+        """Updates the workers of the service from the newest list."""
         listed = {}
         for server in servers:
             if server.service != self._name:
                 continue
-            worker = self._planner.listed.get(server.name)
+            worker = self._planner.workers_by_name.get(server.name)
             if worker is None or worker.server.address != server.address:
                 worker = workers.Worker(server)
             worker.server = server
             listed[server.name] = worker
-        self._planner.listed = listed
-        if self._planner.born_at is None and listed:
-            self._planner.born_at = now
+        self._planner.workers_by_name = listed
+        if self._planner.first_worker_at is None and listed:
+            self._planner.first_worker_at = now
 
     def on_load(self, now: float, server: str, load: backends.Load) -> None:
-        """Takes a lagging report of one backend server."""
-        worker = self._planner.listed.get(server)
+        """Applies a delayed load report of one backend server."""
+        worker = self._planner.workers_by_name.get(server)
         if worker is None:
             return
         worker.load = load
         reported_at = now - load.age_ms / 1000
         busy_s = self._planner.rates.prefill_s(server, load.backlog_tokens)
-        # Prefills that run slower than planned show up here only.
-        worker.free_at = max(worker.free_at, reported_at + busy_s)
+        # Only the load report shows that prefills run slower than planned.
+        worker.prefills_end_at = max(
+            worker.prefills_end_at, reported_at + busy_s
+        )
 
     def on_cache(
         self, server: str, events: Sequence[backends.CacheEvent]
     ) -> None:
-        """Takes cache events of one prefill worker, late and with gaps."""
+        """Applies cache events of one worker; they are late and have gaps."""
         for event in events:
             self._planner.hints.on_event(server, event)
 
-    def ask(
-        self, now: float, msg: messages.AskSlot
-    ) -> messages.Granted | messages.Queued | messages.Refused:
-        """Grants, queues or refuses; asking again is harmless."""
+    def request_slot(
+        self, now: float, msg: messages.SlotRequest
+    ) -> messages.SlotGrant | messages.Queued | messages.Refused:
+        """Grants, queues or refuses a request for a slot; idempotent."""
         planner = self._planner
-        grant = planner.grants.get(ledger.name(msg.request, msg.attempt))
-        if grant is not None and grant.decode in planner.listed:
-            if msg.ready_at:
-                self._move(now, grant)
-            return self._granted(now, grant)
+        grant = planner.grants.get(ledger.grant_name(msg.request, msg.attempt))
+        if grant is not None and grant.decode in planner.workers_by_name:
+            if msg.prefilled_at:
+                self._move_to_free_worker(now, grant)
+            return self._granted_reply(now, grant)
         if now >= self._expire_at:
-            # Lapsing matters at the scale of a beat; done at every ask it
-            # would cost more than all the rest in a large pool.
+            # Grants expire on the time scale of a heartbeat. In a large pool,
+            # a check at every request would cost more than everything else.
             self._expire_at = now + _EXPIRE_S
             self.expire(now)
-        waiting = self._admission.waiting
+        waiting = self._admission.queue
         arrived_at = now - msg.waited_ms / 1000
-        count, tokens = waiting.ahead(msg.request, arrived_at)
-        plan = planner.plan(now, msg, count, tokens)
+        ahead_count, ahead_tokens = waiting.count_ahead(msg.request, arrived_at)
+        plan = planner.plan(now, msg, ahead_count, ahead_tokens)
         if plan is None:
-            waiting.drop(msg.request)
+            waiting.remove(msg.request)
             return messages.Refused(
                 code=codes.NO_BACKEND.name, figures=(), retry_after_ms=1000
             )
-        answer = self._admission.decide(now, msg, plan)
-        return answer or self._granted(now, self._book(now, msg, plan))
+        reply = self._admission.decide(now, msg, plan)
+        return reply or self._granted_reply(now, self._book(now, msg, plan))
 
-    def end(self, now: float, msg: messages.EndSlot) -> None:
-        """Takes a grant back, with what its holder measured."""
+    def release(self, now: float, msg: messages.SlotRelease) -> None:
+        """Releases a grant and applies the times that its holder measured."""
         grant = self._planner.grants.get(msg.grant)
         if grant is None:
             request, _, _ = msg.grant.rpartition('/')
-            self._admission.waiting.drop(request)
+            self._admission.queue.remove(request)
             return
-        batch = self._planner.grants.held(grant.decode)
+        batch = self._planner.grants.granted_slots(grant.decode)
         self._planner.grants.remove(msg.grant)
-        self._give_back(now, grant)
-        self._learn(grant, msg, batch)
-        self._judge(now, grant, msg.result)
+        self._release_booked_time(now, grant)
+        self._update_estimates(grant, msg, batch)
+        self._update_suspensions(now, grant, msg.result)
 
-    def keep(self, now: float, msg: messages.KeepSlots) -> None:
-        """Takes a holder's repeat of what it holds."""
-        self._planner.grants.keep(now, msg.holder, msg.grants)
+    def renew(self, now: float, msg: messages.SlotRenewal) -> None:
+        """Renews the grants that a holder reports."""
+        self._planner.grants.renew(now, msg.holder, msg.grants)
 
     def expire(self, now: float) -> tuple[str, ...]:
-        """Ends lapsed grants, forgets late waiters; returns the grants."""
-        self._admission.waiting.expire(now)
+        """Removes expired grants and waiting requests; returns the grants."""
+        self._admission.queue.expire(now)
         return self._planner.grants.expire(now)
 
     def dump(self) -> dict[str, object]:
-        """Returns the state for a person to read."""
+        """Returns the state for the state dump."""
         planner = self._planner
         return {
             'service': self._name,
             'granted': len(planner.grants),
-            'waiting': len(self._admission.waiting),
-            'decode_s': round(planner.rates.decode.value, 3),
+            'waiting': len(self._admission.queue),
+            'decode_s': round(planner.rates.decode_time.value, 3),
             'workers': {
                 name: {
                     'role': worker.server.role,
                     'state': worker.server.state,
-                    'held': planner.grants.held(name),
-                    'limit': planner.limit(worker),
+                    'held': planner.grants.granted_slots(name),
+                    'limit': planner.slot_limit(worker),
                 }
-                for name, worker in sorted(planner.listed.items())
+                for name, worker in sorted(planner.workers_by_name.items())
             },
         }
 
     def _book(
-        self, now: float, msg: messages.AskSlot, plan: planning.Plan
+        self, now: float, msg: messages.SlotRequest, plan: planning.Plan
     ) -> ledger.Grant:
         prefill = plan.prefill
         grant = ledger.Grant(
             request=msg.request,
             attempt=msg.attempt,
             holder=msg.holder,
-            prefill=prefill.server.name if prefill else msg.ready_at,
+            prefill=prefill.server.name if prefill else msg.prefilled_at,
             decode=plan.decode.server.name,
             prompt_tokens=msg.prompt_tokens,
-            given_at=now,
+            granted_at=now,
             start_at=plan.start_at,
             transfer_at=plan.transfer_at,
             decode_at=plan.decode_at,
         )
         self._planner.grants.add(grant)
         if prefill is not None:
-            prefill.free_at = plan.transfer_at
-            grant.prefixes = msg.prefixes
-            self._planner.hints.placed(prefill.server.name, msg.prefixes)
-        source = prefill or self._planner.listed.get(msg.ready_at)
+            prefill.prefills_end_at = plan.transfer_at
+            grant.prefixes = msg.prefix_digests
+            self._planner.hints.record_placement(
+                prefill.server.name, msg.prefix_digests
+            )
+        source = prefill or self._planner.workers_by_name.get(msg.prefilled_at)
         if source is not None:
-            source.link_at = plan.decode_at
+            source.link_free_at = plan.decode_at
         return grant
 
-    def _granted(self, now: float, grant: ledger.Grant) -> messages.Granted:
-        prefill = self._planner.listed.get(grant.prefill)
-        decode = self._planner.listed[grant.decode]
-        return messages.Granted(
-            grant=grant.grant,
-            prefill=grant.prefill,
+    def _granted_reply(
+        self, now: float, grant: ledger.Grant
+    ) -> messages.SlotGrant:
+        prefill = self._planner.workers_by_name.get(grant.prefill)
+        decode = self._planner.workers_by_name[grant.decode]
+        return messages.SlotGrant(
+            grant=grant.name,
+            prefill_worker=grant.prefill,
             prefill_address=prefill.server.address if prefill else '',
-            decode=grant.decode,
+            decode_worker=grant.decode,
             decode_address=decode.server.address,
             start_in_ms=max(0, round((grant.start_at - now) * 1000)),
-            lapses_ms=round(ledger.LAPSE_S * 1000),
+            expires_ms=round(ledger.GRANT_TTL_S * 1000),
         )
 
-    def _move(self, now: float, grant: ledger.Grant) -> None:
+    def _move_to_free_worker(self, now: float, grant: ledger.Grant) -> None:
         """Moves a grant whose prefill is done to a worker with a free slot.
 
-        Which of the full workers frees a slot first is not known when a
-        prefill starts. Left at the granted one, the result would be evicted
-        while a slot stands empty elsewhere.
+        Which of the full workers frees a slot first is not known when the
+        prefill starts. If the grant stayed at its first worker, the result
+        could be evicted while another worker has a free slot.
         """
-        grant.parked = True
-        worker = self._planner.free_now(now)
+        grant.awaiting_slot = True
+        worker = self._planner.worker_with_free_slot(now)
         if worker is not None:
-            # What is booked there and not yet done moves in its turn.
-            grant.parked = False
+            # Grants booked there whose prefill still runs are moved when
+            # their own prefill is done.
+            grant.awaiting_slot = False
             self._planner.grants.move(now, grant, worker.server.name)
 
-    def _give_back(self, now: float, grant: ledger.Grant) -> None:
-        """Frees booked time that was not used."""
-        worker = self._planner.listed.get(grant.prefill)
+    def _release_booked_time(self, now: float, grant: ledger.Grant) -> None:
+        """Frees the unused booked time of a grant's prefill worker."""
+        worker = self._planner.workers_by_name.get(grant.prefill)
         if worker is None or grant.transfer_at <= now:
             return
         booked = [
@@ -222,46 +230,48 @@
             for other in self._planner.grants.grants()
             if other.prefill == grant.prefill and other.transfer_at > now
         ]
-        worker.free_at = max((g.transfer_at for g in booked), default=now)
-        worker.link_at = max((g.decode_at for g in booked), default=now)
+        worker.prefills_end_at = max(
+            (g.transfer_at for g in booked), default=now
+        )
+        worker.link_free_at = max((g.decode_at for g in booked), default=now)
 
-    def _learn(
-        self, grant: ledger.Grant, msg: messages.EndSlot, batch: int
+    def _update_estimates(
+        self, grant: ledger.Grant, msg: messages.SlotRelease, batch: int
     ) -> None:
         rates = self._planner.rates
         if grant.prefill and grant.prompt_tokens:
             if msg.prefill_ms:
-                self._planner.hints.checked(
+                self._planner.hints.update_accuracy(
                     grant.prefill, grant.prefixes, msg.cached_tokens
                 )
-                rates.measured_prefill(
+                rates.record_prefill(
                     grant.prefill,
                     grant.prompt_tokens - msg.cached_tokens,
                     msg.prefill_ms / 1000,
                 )
             if msg.transfer_ms:
-                rates.measured_transfer(
+                rates.record_transfer(
                     grant.prefill, grant.prompt_tokens, msg.transfer_ms / 1000
                 )
         if msg.result == 'done' and msg.decode_ms:
-            rates.measured_decode(
-                batch, msg.output_tokens, msg.decode_ms / 1000
-            )
+            rates.record_decode(batch, msg.output_tokens, msg.decode_ms / 1000)
 
-    def _judge(self, now: float, grant: ledger.Grant, result: str) -> None:
-        """Suspends workers that fail and trusts those that work."""
-        prefill = self._planner.listed.get(grant.prefill)
-        decode = self._planner.listed.get(grant.decode)
-        blamed: tuple[workers.Worker | None, ...] = {
+    def _update_suspensions(
+        self, now: float, grant: ledger.Grant, result: str
+    ) -> None:
+        """Suspends workers that failed and reinstates those that succeeded."""
+        prefill = self._planner.workers_by_name.get(grant.prefill)
+        decode = self._planner.workers_by_name.get(grant.decode)
+        suspects: tuple[workers.Worker | None, ...] = {
             'prefill-failed': (prefill,),
-            # Whose side failed can't be told from one transfer. The worker
-            # that is well clears its name with the next success.
+            # One failed transfer does not show which side failed. The next
+            # success of the working side ends its suspension.
             'transfer-failed': (prefill, decode),
             'decode-failed': (decode,),
         }.get(result, ())
         for worker in (prefill, decode) if result == 'done' else ():
             if worker is not None:
-                worker.worked()
-        for worker in blamed:
+                worker.record_success()
+        for worker in suspects:
             if worker is not None:
-                worker.failed(now)
+                worker.record_failure(now)
--- /dev/null
+++ b/packages/daemon/foxtaildaled/routed_request.py
@@ -0,0 +1,223 @@
+"""One request of a caller while a router serves it.
+
+The object holds the deadline of the request and whether its caller is still
+connected. The request that is in flight to a backend server is registered here,
+so that it is cancelled as soon as the caller disconnects, whatever its stage.
+"""
+
+from collections.abc import Callable
+from collections.abc import Mapping
+import logging
+import math
+import threading
+from typing import Final
+
+from foxtaildale import accounts
+from foxtaildale import codes
+from foxtaildale import fingerprint
+from foxtaildale import forwarding
+from foxtaildale import ports
+from foxtaildale import routes
+from foxtaildale_adapters import caller_exchange
+from foxtaildale_adapters import logs
+from foxtaildale_adapters import metrics
+
+# Minimum time left for a send, seconds. With less, a backend server can only
+# time out.
+MIN_SEND_TIME_S: Final = 0.03
+
+
+class RoutedRequest:
+    """A request with its route, deadline and connection to the caller."""
+
+    __slots__ = (
+        '_clock',
+        '_flight',
+        '_lock',
+        '_quarantine_left_s',
+        'account',
+        'caller_disconnected',
+        'caller_request',
+        'config_version',
+        'crashed_stages',
+        'deadline',
+        'entry_vm',
+        'exchange',
+        'fingerprint',
+        'on_not_run',
+        'request_metrics',
+        'route',
+        'service',
+        'started_at',
+    )
+
+    def __init__(
+        self,
+        exchange: caller_exchange.Exchange,
+        *,
+        caller_request: forwarding.CallerRequest,
+        route: routes.Route,
+        service: routes.Service,
+        config_version: int,
+        entry_vm: str,
+        request_metrics: metrics.Metrics,
+        clock: ports.Clock,
+        process_ends_at: float = math.inf,
+        account: accounts.Account | None = None,
+        quarantine_left_s: Callable[[int], float] = lambda _: 0.0,
+    ) -> None:
+        self.exchange = exchange
+        self.caller_request = caller_request
+        # The same for every attempt of this request, at all entry VMs.
+        self.fingerprint = fingerprint.compute(caller_request)
+        self._quarantine_left_s = quarantine_left_s
+        # The client account of the caller; None if no accounts are configured.
+        self.account = account
+        # Called when the request is refused: it has not run and will not run.
+        self.on_not_run: Callable[[], None] = _no_op
+        self.route = route
+        self.service = service
+        # Version of the configuration that the request is served with.
+        self.config_version = config_version
+        self.entry_vm = entry_vm
+        self.request_metrics = request_metrics
+        self._clock = clock
+        self.started_at = clock()
+        timeout_s = route.timeout_s
+        if caller_request.patience_s is not None:
+            timeout_s = min(timeout_s, caller_request.patience_s)
+        # Deadline of the final response. It is not later than the end of this
+        # process: a request that would be cut off then is refused instead, and
+        # can run to its end at another VM.
+        self.deadline = min(self.started_at + timeout_s, process_ends_at)
+        # Stages of the servers that crashed while they ran this request.
+        self.crashed_stages: set[forwarding.Stage] = set()
+        # Set when the caller has disconnected.
+        self.caller_disconnected = threading.Event()
+        # Guards `_flight`: the caller may disconnect while a flight is set.
+        self._lock = threading.Lock()
+        self._flight: ports.ServerExchange | None = None
+
+    @property
+    def priority(self) -> int:
+        """Returns the priority; 0 is the most urgent."""
+        if self.account is None or self.account.priority is None:
+            return self.route.priority
+        return self.account.priority
+
+    def watch_caller(self) -> None:
+        """Starts to watch the caller's connection."""
+        self.exchange.on_disconnect(self._on_disconnected)
+
+    def time_left_s(self) -> float:
+        """Returns the time left until the deadline, seconds."""
+        return self.deadline - self._clock()
+
+    def age_s(self) -> float:
+        """Returns the time since the request arrived, seconds."""
+        return self._clock() - self.started_at
+
+    def quarantine_left_s(self) -> float:
+        """Returns the quarantine time left, seconds; 0 if it may be sent."""
+        return self._quarantine_left_s(self.fingerprint)
+
+    def check_disconnected(self) -> bool:
+        """Checks the connection; whether the caller has disconnected."""
+        if (
+            not self.caller_disconnected.is_set()
+            and self.exchange.is_disconnected()
+        ):
+            self.caller_disconnected.set()
+        return self.caller_disconnected.is_set()
+
+    def set_flight(self, flight: ports.ServerExchange | None) -> None:
+        """Sets the flight to cancel when the caller disconnects, if any."""
+        with self._lock:
+            self._flight = flight
+            disconnected = self.caller_disconnected.is_set()
+        if disconnected and flight is not None:
+            flight.cancel()
+
+    def refuse(
+        self,
+        code: codes.Code,
+        figures: Mapping[str, float | str] | None = None,
+        retry_after_s: float = 0.0,
+    ) -> None:
+        """Sends the final response if no backend server gave one."""
+        figures = figures or {}
+        self.log(
+            'refused' if code.ran == 'no' else 'failed',
+            code=code.name,
+            status=code.status,
+            retry_after_s=round(retry_after_s, 2),
+            **figures,
+        )
+        self.request_metrics.requests.add(1, self.service.name, code.name)
+        if code.ran == 'no':
+            self.on_not_run()
+        if code.status == codes.CANCELLED.status:
+            self.exchange.abort()
+            return
+        send_error(self.exchange, code, figures, self.entry_vm, retry_after_s)
+
+    def refuse_quarantined(self) -> None:
+        """Refuses the request because it is quarantined."""
+        left_s = self.quarantine_left_s()
+        self.refuse(codes.QUARANTINED, {'left_s': math.ceil(left_s)}, left_s)
+
+    def record_response(
+        self, status: int, *, complete: bool, **fields: object
+    ) -> None:
+        """Records that the caller was sent a backend server's response.
+
+        Args:
+            status: HTTP status of the response.
+            complete: Whether the caller received the complete response.
+            **fields: Further fields of the log event.
+        """
+        self.log('answered', status=status, whole=complete, **fields)
+        name = self.service.name
+        code = codes.OK if 200 <= status < 300 and complete else codes.FAILED
+        self.request_metrics.requests.add(1, name, code.name)
+        self.request_metrics.answer_seconds.observe((self.age_s(),), name)
+
+    def log(self, event: str, **fields: object) -> None:
+        """Logs an event of this request."""
+        logs.event(
+            logging.INFO,
+            event,
+            request=self.caller_request.id,
+            route=self.route.name,
+            version=self.config_version,
+            age_ms=int(self.age_s() * 1000),
+            **fields,
+        )
+
+    def _on_disconnected(self) -> None:
+        with self._lock:
+            self.caller_disconnected.set()
+            flight = self._flight
+        if flight is not None:
+            flight.cancel()
+
+
+def _no_op() -> None:
+    """Default callback that does nothing."""
+
+
+def send_error(
+    exchange: caller_exchange.Exchange,
+    code: codes.Code,
+    figures: Mapping[str, float | str],
+    entry_vm: str,
+    retry_after_s: float = 0.0,
+) -> None:
+    """Sends an error response, with a retry delay if that is positive."""
+    body = caller_exchange.error_body(code, figures, entry_vm, retry_after_s)
+    headers = dict(caller_exchange.JSON_HEADERS)
+    if code.status == codes.UNAUTHORIZED.status:
+        headers['WWW-Authenticate'] = 'Bearer'
+    if retry_after_s > 0:
+        headers['Retry-After'] = f'{retry_after_s:.2f}'
+    exchange.respond(code.status, headers, body)
--- a/packages/daemon/foxtaildaled/start.py
+++ b/packages/daemon/foxtaildaled/start.py
@@ -1,9 +1,8 @@
-"""Starts the router of a platform that writes its settings itself.
+"""Starts the router with settings that the platform writes.
 
-How soon a VM serves again after it lost power is, for the most part, how long
-its process takes to load what it runs on. So this module loads the router and
-nothing else: the command line's parser, the settings' schema and the other
-roles stand in `main`.
+After a power loss of a VM, most of the time until it serves again is spent on
+loading modules. So this module imports only what the router needs; the command
+line parser, the schema of the settings and the other roles are in `main`.
 """
 
 import logging
@@ -14,32 +13,32 @@
 from foxtaildale import errors
 from foxtaildale import options
 from foxtaildale_adapters import logs
-from foxtaildale_platform import boot
-from foxtaildale_platform import calls
+from foxtaildale_platform import caller_requests
 from foxtaildale_platform import records
+from foxtaildale_platform import server_client
+from foxtaildale_platform import settings_file
 from foxtaildale_platform import store
-from foxtaildale_platform import workers
 from foxtaildaled import process
-from foxtaildaled import routing
+from foxtaildaled import router_daemon
 
-# Where a router serves metrics, state and liveness, unless told otherwise.
+# Default port on which a router serves metrics, state and liveness.
 METRICS_PORT = 9100
-# Status for settings that are wrong, as sysexits names it.
+# Exit status for invalid settings, EX_CONFIG of sysexits.h.
 CONFIG_STATUS = 78
 
 
 def run(metrics_port: int = METRICS_PORT, *, check: bool = False) -> int:
-    """Runs the router until it is told to stop.
+    """Runs the router until it receives SIGTERM or SIGINT.
 
     Args:
-        metrics_port: Where it serves metrics, state and liveness.
-        check: Whether to check the settings only.
+        metrics_port: Port on which it serves metrics, state and liveness.
+        check: Whether to only check the settings.
 
     Returns:
-        Exit status: 0, 78 for wrong settings.
+        Exit status: 0, or 78 for invalid settings.
     """
     try:
-        cfg = _settings()
+        cfg = _read_settings()
     except (OSError, errors.SettingsError) as exc:
         print(exc, file=sys.stderr)
         return CONFIG_STATUS
@@ -47,37 +46,41 @@
         return 0
     process.stop_on_broken_invariants()
     logs.setup_bounded('router', cfg.entry_vm, 'info')
-    adapters = routing.Adapters(
+    adapters = router_daemon.Adapters(
         codec=records.Codec(),
-        store=store.Store,
-        decode=calls.decode,
-        workers=workers.Workers(),
+        make_store=store.Store,
+        decode=caller_requests.decode_request,
+        workers=server_client.ServerClient(),
     )
-    daemon = routing.RouterDaemon(cfg, adapters, metrics_port)
+    daemon = router_daemon.RouterDaemon(cfg, adapters, metrics_port)
     daemon.start()
     process.wait_for_stop(lambda: _reload(daemon))
     daemon.stop()
     return 0
 
 
-def _reload(daemon: routing.RouterDaemon) -> None:
-    """Reads the platform's settings anew; wrong ones change nothing."""
+def _reload(daemon: router_daemon.RouterDaemon) -> None:
+    """Reads the platform's settings again; invalid ones are not applied."""
     try:
-        daemon.reload(_settings())
+        daemon.reload(_read_settings())
     except (OSError, errors.SettingsError) as exc:
         logs.event(logging.ERROR, 'reload failed', error=str(exc))
 
 
-def _settings() -> options.RouterOptions:
+def _read_settings() -> options.RouterOptions:
     """Reads the settings file that the platform wrote.
 
     Raises:
-        errors.SettingsError: It is wrong, or not named.
-        OSError: It can't be read.
+        errors.SettingsError: The file is invalid, or its path is not given.
+        OSError: The file can't be read.
     """
-    name = os.environ.get(boot.VARIABLE)
+    name = os.environ.get(settings_file.SETTINGS_PATH_VARIABLE)
     if not name:
         raise errors.SettingsError(
-            (f'neither a settings file nor {boot.VARIABLE} is given',)
+            (
+                f'neither a settings file nor {settings_file.SETTINGS_PATH_VARIABLE} is given',
+            )
         )
-    return boot.read(pathlib.Path(name).read_text(encoding='utf-8'), name)
+    return settings_file.decode_settings(
+        pathlib.Path(name).read_text(encoding='utf-8'), name
+    )
--- a/tests/fakelog.py
+++ b/tests/fakelog.py
@@ -1,38 +1,38 @@
-"""A fake of one stream of the platform's log, driven by hand."""
+"""An in-memory fake of one stream of the platform log."""
 
 from foxtaildale import claims
 from foxtaildale import ports
 
 
 class FakeLog:
-    """Keeps records; `keep` lets the oldest ones lapse."""
+    """Holds the appended records; `expire_all_but` expires the oldest ones."""
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
         self.first = 0
-        self.appends = 0
+        self.append_count = 0
 
     def append(self, records: list[bytes]) -> None:
         self.records += records
-        self.appends += 1
+        self.append_count += 1
 
-    def keep(self, count: int) -> None:
+    def expire_all_but(self, count: int) -> None:
         self.first = max(self.first, len(self.records) - count)
 
     def read(self, offset: int) -> ports.Batch:
         start = max(offset, self.first)
         records = tuple(
-            ports.Record(start + n, data)
-            for n, data in enumerate(self.records[start:])
+            ports.Record(start + index, data)
+            for index, data in enumerate(self.records[start:])
         )
         return ports.Batch(self.first, len(self.records), records)
 
 
-def step(
+def append_and_read(
     log: FakeLog, keeper: claims.Claims, now: float
-) -> list[claims.Settled]:
-    """Appends what a keeper has to say and lets it read."""
-    records = keeper.batch(now)
+) -> list[claims.SettledClaim]:
+    """Appends the pending records of a `Claims` object and reads the log."""
+    records = keeper.take_batch(now)
     if records:
         log.append(records)
         keeper.on_appended(now)
--- a/tests/test_preset_processes.py
+++ b/tests/test_preset_processes.py
@@ -98,19 +98,21 @@
     def operator(self) -> submit.Submitter:
         return submit.Submitter(
             platform.Platform(
-                self.dep.platform.address, deployment.WAIT_S, hold_off_s=0.0
+                self.dep.platform.address, deployment.WAIT_S, retry_delay_s=0.0
             ),
             clock=time.monotonic,
-            pause=time.sleep,
+            sleep=time.sleep,
             new_id=lambda: uuid.uuid4().hex,
             patience_s=deployment.WAIT_S,
         )
 
-    def publish(self, name: str) -> submit.Learnt:
+    def publish(self, name: str) -> submit.ChangeOutcome:
         return self.operator().publish(_preset(name))
 
-    def switch(self, name: str, expects: int | None = None) -> submit.Learnt:
-        digest = changes.digest_of(changes.canonical(_preset(name)))
+    def switch(
+        self, name: str, expects: int | None = None
+    ) -> submit.ChangeOutcome:
+        digest = changes.digest_of(changes.canonical_form(_preset(name)))
         return self.operator().switch(name, digest, expects)
 
     def works_by(self, proc: fleet.Proc, revision: int) -> bool:
@@ -256,7 +258,7 @@
 def _starts_from(log: platform.Platform) -> int:
     """Returns what the newest checkpoint kept in the log stands for."""
     end = log.read(changes.STREAM, 2**40, 1).end
-    batch = log.read(changes.STREAM, max(0, end - fold.WINDOW // 8))
+    batch = log.read(changes.STREAM, max(0, end - fold.VERDICT_WINDOW // 8))
     found = [changes.decode(one.data) for one in batch.records]
     offsets = [
         one.offset for one in found if isinstance(one, changes.Checkpoint)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route and service a request gets."""
+"""Selection of the route and the service of a request."""
 
 import collections
 
@@ -19,14 +19,14 @@
     )
 
 
-_TABLE = routes.Table(
+_TABLE = routes.RoutingTable(
     version=3,
     routes=(_route('/a/'), _route('/a/b/'), _route('/', 'b.example')),
 )
 
 
 @pytest.mark.parametrize(
-    ('host', 'path', 'found'),
+    ('host', 'path', 'expected'),
     [
         ('a.example', '/a/x', '/a/'),
         ('a.example', '/a/b/x', '/a/b/'),
@@ -38,14 +38,14 @@
         ('', '/a/x', None),
     ],
 )
-def test_the_longest_prefix_of_the_host_decides(
-    host: str, path: str, found: str | None
+def test_longest_prefix_of_the_host_is_selected(
+    host: str, path: str, expected: str | None
 ) -> None:
-    route = routes.Matcher(_TABLE).find(host, path)
-    assert (route.name if route else None) == found
+    route = routes.Matcher(_TABLE).match(host, path)
+    assert (route.name if route else None) == expected
 
 
-def test_a_split_follows_its_weights_and_stays_with_a_request() -> None:
+def test_split_follows_weights_and_is_stable_per_request() -> None:
     route = routes.Route(
         name='r',
         host='h',
@@ -61,7 +61,7 @@
     assert routes.pick_service(route, 'x') == routes.pick_service(route, 'x')
 
 
-def test_a_split_without_weight_goes_to_its_first_service() -> None:
+def test_split_without_weight_selects_first_service() -> None:
     route = routes.Route(
         name='r',
         host='h',
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,48 +1,48 @@
-"""Homes that fail are passed over until they answer a probe."""
+"""Failing coordinators are skipped until they reply to a probe."""
 
 from foxtaildale import suspects
 
 
-def test_one_lost_answer_is_no_reason_to_leave_a_home() -> None:
-    """An answer is lost with a broken connection.
+def test_one_lost_reply_does_not_replace_coordinator() -> None:
+    """A reply is lost with a broken connection.
 
-    Were the home given up at once, two homes would give the same memory.
+    If the coordinator were replaced at once, two would grant the same memory.
     """
-    known = suspects.Suspects()
-    assert not known.failed(1.0, 'a', lost=True)
-    known.answered('a')
-    assert not known.failed(2.0, 'a', lost=True)
-    assert known.failed(2.1, 'a', lost=True)
-    assert known.passed() == {'a'}
+    coordinators = suspects.Suspects()
+    assert not coordinators.record_failure(1.0, 'a', lost=True)
+    coordinators.record_success('a')
+    assert not coordinators.record_failure(2.0, 'a', lost=True)
+    assert coordinators.record_failure(2.1, 'a', lost=True)
+    assert coordinators.excluded() == {'a'}
 
 
-def test_a_home_that_is_fit_again_is_taken_back_at_once() -> None:
-    """A VM was replaced, and some VMs had asked it meanwhile.
+def test_recovered_coordinator_is_used_again_at_once() -> None:
+    """A VM was replaced, and some VMs sent it requests meanwhile.
 
-    Those that pass it over for longer than others would go on with another
-    home, and both would give the same memory away.
+    Those that skipped it for longer than others would use another coordinator,
+    and both coordinators would grant the same memory.
     """
-    known = suspects.Suspects()
+    coordinators = suspects.Suspects()
     for at in (0.0, 3.0, 9.0):
-        assert known.failed(at, 'a', lost=False)
-        assert known.due(at + 0.3) == []
-        assert known.due(at + 0.4) == ['a']
-        known.probed(at + 0.4, 'a', fit=False)
-        assert known.passed() == {'a'}
-        known.probed(at + 0.9, 'a', fit=True)
-        assert known.passed() == frozenset()
-
-
-def test_a_home_that_is_overrun_is_left_for_longer_each_time() -> None:
-    """Its answers are lost again and again, although it answers probes."""
-    known = suspects.Suspects()
+        assert coordinators.record_failure(at, 'a', lost=False)
+        assert coordinators.due_probes(at + 0.3) == []
+        assert coordinators.due_probes(at + 0.4) == ['a']
+        coordinators.record_probe(at + 0.4, 'a', fit=False)
+        assert coordinators.excluded() == {'a'}
+        coordinators.record_probe(at + 0.9, 'a', fit=True)
+        assert coordinators.excluded() == frozenset()
+
+
+def test_overloaded_coordinator_is_skipped_longer_each_time() -> None:
+    """Its replies are lost repeatedly although it replies to probes."""
+    coordinators = suspects.Suspects()
     now, spans = 0.0, []
     for _ in range(6):
-        known.failed(now, 'a', lost=True)
-        known.failed(now, 'a', lost=True)
+        coordinators.record_failure(now, 'a', lost=True)
+        coordinators.record_failure(now, 'a', lost=True)
         began = now
-        while not known.due(now):
+        while not coordinators.due_probes(now):
             now += 0.01
         spans.append(round(now - began, 1))
-        known.probed(now, 'a', fit=True)
+        coordinators.record_probe(now, 'a', fit=True)
     assert spans == [0.4, 0.8, 1.6, 3.2, 6.4, 6.4]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,7 +14,7 @@
 
 from foxtaildale import errors
 from foxtaildale import messages
-from foxtaildale_adapters import wire
+from foxtaildale_adapters import zmq_responder
 from tests.standins import relay
 
 HEARTBEAT_S = 0.05
@@ -23,16 +23,16 @@
 PATIENCE_S = 20.0
 
 
-def echo(msg: messages.Any) -> messages.Any:
-    """Answers a `Pull` with its own offset."""
-    assert isinstance(msg, messages.Pull)
-    return messages.PullReply(
+def echo(msg: messages.Message) -> messages.Message:
+    """Answers a `StateRequest` with its own offset."""
+    assert isinstance(msg, messages.StateRequest)
+    return messages.StateReply(
         offset=msg.offset, digest='', state=b'', listing=None
     )
 
 
-def offset_of(reply: messages.Any) -> int:
-    assert isinstance(reply, messages.PullReply)
+def offset_of(reply: messages.Message) -> int:
+    assert isinstance(reply, messages.StateReply)
     return reply.offset
 
 
@@ -45,19 +45,19 @@
 
 
 @pytest.fixture
-def peers() -> Iterator[wire.Peers]:
-    found = wire.Peers(HEARTBEAT_S, SILENCE_S)
+def peers() -> Iterator[zmq_responder.Peers]:
+    found = zmq_responder.Peers(HEARTBEAT_S, SILENCE_S)
     yield found
     found.close()
 
 
 @pytest.fixture
-def serve() -> Iterator[Callable[[wire.Handler], str]]:
+def serve() -> Iterator[Callable[[zmq_responder.Handler], str]]:
     """Starts a responder for each handler it is called with."""
     started = []
 
-    def start(handler: wire.Handler) -> str:
-        responder = wire.Responder('127.0.0.1:0', handler)
+    def start(handler: zmq_responder.Handler) -> str:
+        responder = zmq_responder.Responder('127.0.0.1:0', handler)
         started.append(responder)
         return responder.start()
 
@@ -67,43 +67,43 @@
 
 
 @pytest.fixture
-def responder() -> Iterator[tuple[wire.Responder, str]]:
-    found = wire.Responder('127.0.0.1:0', echo)
+def responder() -> Iterator[tuple[zmq_responder.Responder, str]]:
+    found = zmq_responder.Responder('127.0.0.1:0', echo)
     yield found, found.start()
     found.close()
 
 
 def test_an_ask_gets_its_reply(
-    peers: wire.Peers, serve: Callable[[wire.Handler], str]
+    peers: zmq_responder.Peers, serve: Callable[[zmq_responder.Handler], str]
 ) -> None:
     address = serve(echo)
-    reply = peers.ask(address, messages.Pull(offset=7), PATIENCE_S)
+    reply = peers.request(address, messages.StateRequest(offset=7), PATIENCE_S)
     assert offset_of(reply) == 7
 
 
 def test_a_failing_handler_is_a_rejection(
-    peers: wire.Peers, serve: Callable[[wire.Handler], str]
+    peers: zmq_responder.Peers, serve: Callable[[zmq_responder.Handler], str]
 ) -> None:
     """A handler meets a fault of its own; the process must live on."""
 
-    def fail(msg: messages.Any) -> messages.Any:
-        if isinstance(msg, messages.Dump):
+    def fail(msg: messages.Message) -> messages.Message:
+        if isinstance(msg, messages.DumpRequest):
             raise errors.RejectedError('full', 'no room')
         raise KeyError('x')
 
     address = serve(fail)
     with pytest.raises(errors.RejectedError) as caught:
-        peers.ask(address, messages.Dump(), PATIENCE_S)
+        peers.request(address, messages.DumpRequest(), PATIENCE_S)
     assert caught.value.code == 'full'
     with pytest.raises(errors.RejectedError) as caught:
-        peers.ask(address, messages.Pull(offset=1), PATIENCE_S)
+        peers.request(address, messages.StateRequest(offset=1), PATIENCE_S)
     assert caught.value.code == 'error'
 
 
 def test_a_broken_invariant_reaches_the_process(
     monkeypatch: pytest.MonkeyPatch,
-    peers: wire.Peers,
-    serve: Callable[[wire.Handler], str],
+    peers: zmq_responder.Peers,
+    serve: Callable[[zmq_responder.Handler], str],
 ) -> None:
     """Two outcomes stand for one identity: going on would make it worse."""
     seen: list[object] = []
@@ -111,17 +111,17 @@
         threading, 'excepthook', lambda args: seen.append(args.exc_type)
     )
 
-    def broken(msg: messages.Any) -> messages.Any:
+    def broken(msg: messages.Message) -> messages.Message:
         raise errors.InvariantError('two outcomes')
 
     address = serve(broken)
-    with pytest.raises(errors.AnswerLostError):
-        peers.ask(address, messages.Dump(), 0.2)
+    with pytest.raises(errors.NoReplyError):
+        peers.request(address, messages.DumpRequest(), 0.2)
     until(lambda: seen == [errors.InvariantError])
 
 
 def test_garbage_on_the_port_harms_nobody(
-    peers: wire.Peers, responder: tuple[wire.Responder, str]
+    peers: zmq_responder.Peers, responder: tuple[zmq_responder.Responder, str]
 ) -> None:
     """A scanner or a misdirected browser writes to the port.
 
@@ -132,7 +132,7 @@
     for data in (b'GET / HTTP/1.1\r\n\r\n' * 50, bytes(500), b'\xff' * 500):
         with socket.create_connection((host, int(port))) as sock:
             sock.sendall(data)
-    reply = peers.ask(address, messages.Pull(offset=1), PATIENCE_S)
+    reply = peers.request(address, messages.StateRequest(offset=1), PATIENCE_S)
     assert offset_of(reply) == 1
 
 
@@ -150,7 +150,7 @@
     )
 )
 def test_wrong_frames_are_dropped_and_counted(
-    responder: tuple[wire.Responder, str], frames: list[bytes]
+    responder: tuple[zmq_responder.Responder, str], frames: list[bytes]
 ) -> None:
     """A process of another version sends what this one can't read."""
     found, address = responder
@@ -172,7 +172,7 @@
 
 
 def test_an_oversized_message_is_dropped_and_counted(
-    responder: tuple[wire.Responder, str],
+    responder: tuple[zmq_responder.Responder, str],
 ) -> None:
     """A peer gone wrong sends more than a process can hold in memory."""
     found, address = responder
@@ -187,46 +187,48 @@
 
 
 def test_an_oversized_message_is_not_sent(
-    peers: wire.Peers, responder: tuple[wire.Responder, str]
+    peers: zmq_responder.Peers, responder: tuple[zmq_responder.Responder, str]
 ) -> None:
     found, address = responder
     msg = messages.DumpReply(state=bytes(messages.MAX_BYTES))
     with pytest.raises(errors.UnreachableError):
-        peers.ask(address, msg, PATIENCE_S)
+        peers.request(address, msg, PATIENCE_S)
     assert found.counts.received == 0
 
 
 @pytest.mark.parametrize('address', ['nonsense', '127.0.0.1:0', ''])
 def test_a_wrong_address_is_unreachable(
-    peers: wire.Peers, address: str
+    peers: zmq_responder.Peers, address: str
 ) -> None:
     with pytest.raises(errors.UnreachableError):
-        peers.ask(address, messages.Dump(), PATIENCE_S)
+        peers.request(address, messages.DumpRequest(), PATIENCE_S)
 
 
-def test_a_closed_port_is_unreachable_at_once(peers: wire.Peers) -> None:
+def test_a_closed_port_is_unreachable_at_once(
+    peers: zmq_responder.Peers,
+) -> None:
     """The other process is down; nobody should wait out a timeout for it."""
     with socket.socket() as sock:
         sock.bind(('127.0.0.1', 0))
         address = f'127.0.0.1:{sock.getsockname()[1]}'
         with pytest.raises(errors.UnreachableError, match='closed'):
-            peers.ask(address, messages.Dump(), PATIENCE_S)
+            peers.request(address, messages.DumpRequest(), PATIENCE_S)
 
 
 def test_a_port_that_never_shakes_hands_is_unreachable(
-    peers: wire.Peers,
+    peers: zmq_responder.Peers,
 ) -> None:
     """Something accepts connections and says nothing: nothing was sent."""
     with socket.create_server(('127.0.0.1', 0)) as sock:
         address = f'127.0.0.1:{sock.getsockname()[1]}'
         with pytest.raises(errors.UnreachableError):
-            peers.ask(address, messages.Dump(), 0.1)
+            peers.request(address, messages.DumpRequest(), 0.1)
         with pytest.raises(errors.UnreachableError, match='silent'):
-            peers.ask(address, messages.Dump(), PATIENCE_S)
+            peers.request(address, messages.DumpRequest(), PATIENCE_S)
 
 
 def test_a_late_reply_reaches_nobody(
-    peers: wire.Peers, serve: Callable[[wire.Handler], str]
+    peers: zmq_responder.Peers, serve: Callable[[zmq_responder.Handler], str]
 ) -> None:
     """A reply comes after its asker gave up and another one asked.
 
@@ -234,17 +236,19 @@
     """
     release = threading.Event()
 
-    def slow(msg: messages.Any) -> messages.Any:
-        if msg == messages.Pull(offset=1):
+    def slow(msg: messages.Message) -> messages.Message:
+        if msg == messages.StateRequest(offset=1):
             release.wait(PATIENCE_S)
         return echo(msg)
 
     address = serve(slow)
-    with pytest.raises(errors.AnswerLostError):
-        peers.ask(address, messages.Pull(offset=1), 0.05)
+    with pytest.raises(errors.NoReplyError):
+        peers.request(address, messages.StateRequest(offset=1), 0.05)
     release.set()
     for offset in range(2, 50):
-        reply = peers.ask(address, messages.Pull(offset=offset), PATIENCE_S)
+        reply = peers.request(
+            address, messages.StateRequest(offset=offset), PATIENCE_S
+        )
         assert offset_of(reply) == offset
     until(lambda: peers.counts.late == 1)
 
@@ -257,7 +261,7 @@
     endpoint = router.getsockopt(zmq.LAST_ENDPOINT)
     assert isinstance(endpoint, bytes)
     address = endpoint.decode().removeprefix('tcp://').rstrip('\x00')
-    peers = wire.Peers(60, 60)
+    peers = zmq_responder.Peers(60, 60)
 
     def answer_crossed() -> None:
         asks = [router.recv_multipart() for _ in range(4)]
@@ -276,8 +280,8 @@
     try:
         with concurrent.futures.ThreadPoolExecutor(4) as pool:
             replies = pool.map(
-                lambda offset: peers.ask(
-                    address, messages.Pull(offset=offset), PATIENCE_S
+                lambda offset: peers.request(
+                    address, messages.StateRequest(offset=offset), PATIENCE_S
                 ),
                 range(4),
             )
@@ -290,7 +294,7 @@
 
 
 def test_a_silent_connection_is_replaced(
-    peers: wire.Peers, serve: Callable[[wire.Handler], str]
+    peers: zmq_responder.Peers, serve: Callable[[zmq_responder.Handler], str]
 ) -> None:
     """Something between two processes forgets an open connection for good.
 
@@ -298,31 +302,31 @@
     timeout until somebody restarted the process.
     """
     with relay.Relay(serve(echo)) as between:
-        msg = messages.Pull(offset=1)
-        peers.ask(between.address, msg, PATIENCE_S)
+        msg = messages.StateRequest(offset=1)
+        peers.request(between.address, msg, PATIENCE_S)
         between.silence()
-        with pytest.raises(errors.AnswerLostError, match='silent'):
-            peers.ask(between.address, msg, PATIENCE_S)
-        reply = peers.ask(between.address, msg, PATIENCE_S)
+        with pytest.raises(errors.NoReplyError, match='silent'):
+            peers.request(between.address, msg, PATIENCE_S)
+        reply = peers.request(between.address, msg, PATIENCE_S)
         assert offset_of(reply) == 1
         assert between.accepted == 2
     assert peers.counts.silent == 1
 
 
 def test_a_busy_handler_does_not_look_silent(
-    peers: wire.Peers, serve: Callable[[wire.Handler], str]
+    peers: zmq_responder.Peers, serve: Callable[[zmq_responder.Handler], str]
 ) -> None:
     """A keeper works on one long question while heartbeats go on."""
     release = threading.Event()
 
-    def slow(msg: messages.Any) -> messages.Any:
+    def slow(msg: messages.Message) -> messages.Message:
         release.wait(PATIENCE_S)
         return echo(msg)
 
     address = serve(slow)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(
-            peers.ask, address, messages.Pull(offset=1), PATIENCE_S
+            peers.request, address, messages.StateRequest(offset=1), PATIENCE_S
         )
         beats = int(2 * SILENCE_S / HEARTBEAT_S)
         until(lambda: peers.counts.received >= beats)
@@ -331,40 +335,45 @@
     assert peers.counts.silent == 0
 
 
-def test_a_peer_that_dies_ends_what_was_asked_of_it(peers: wire.Peers) -> None:
+def test_a_peer_that_dies_ends_what_was_asked_of_it(
+    peers: zmq_responder.Peers,
+) -> None:
     """A process is killed with a question in hand; its effect is unknown."""
     arrived = threading.Event()
     release = threading.Event()
 
-    def hang(msg: messages.Any) -> messages.Any:
+    def hang(msg: messages.Message) -> messages.Message:
         arrived.set()
         release.wait(PATIENCE_S)
         return echo(msg)
 
-    responder = wire.Responder('127.0.0.1:0', hang)
+    responder = zmq_responder.Responder('127.0.0.1:0', hang)
     with (
         relay.Relay(responder.start()) as between,
         concurrent.futures.ThreadPoolExecutor(1) as pool,
     ):
         fut = pool.submit(
-            peers.ask, between.address, messages.Pull(offset=1), PATIENCE_S
+            peers.request,
+            between.address,
+            messages.StateRequest(offset=1),
+            PATIENCE_S,
         )
         assert arrived.wait(PATIENCE_S)
         between.cut()
-        with pytest.raises(errors.AnswerLostError, match='closed'):
+        with pytest.raises(errors.NoReplyError, match='closed'):
             fut.result()
         release.set()
         responder.close()
 
 
 def test_many_threads_each_get_their_own_reply(
-    peers: wire.Peers, serve: Callable[[wire.Handler], str]
+    peers: zmq_responder.Peers, serve: Callable[[zmq_responder.Handler], str]
 ) -> None:
     addresses = [serve(echo), serve(echo)]
 
     def ask(number: int) -> bool:
-        msg = messages.Pull(offset=number)
-        reply = peers.ask(addresses[number % 2], msg, PATIENCE_S)
+        msg = messages.StateRequest(offset=number)
+        reply = peers.request(addresses[number % 2], msg, PATIENCE_S)
         return offset_of(reply) == number
 
     with concurrent.futures.ThreadPoolExecutor(32) as pool:
@@ -378,26 +387,26 @@
     """
     arrived: list[int] = []
 
-    def note(msg: messages.Any) -> messages.Any:
+    def note(msg: messages.Message) -> messages.Message:
         arrived.append(offset_of(echo(msg)))
         return echo(msg)
 
-    responder = wire.Responder('127.0.0.1:0', note)
+    responder = zmq_responder.Responder('127.0.0.1:0', note)
     answered: list[int] = []
     unreachable: list[int] = []
     lost: list[int] = []
     with relay.Relay(responder.start()) as between:
-        peers = wire.Peers(HEARTBEAT_S, SILENCE_S)
+        peers = zmq_responder.Peers(HEARTBEAT_S, SILENCE_S)
 
         def ask(number: int) -> None:
-            msg = messages.Pull(offset=number)
+            msg = messages.StateRequest(offset=number)
             try:
-                reply = peers.ask(between.address, msg, 2 * SILENCE_S)
+                reply = peers.request(between.address, msg, 2 * SILENCE_S)
                 assert offset_of(reply) == number
                 answered.append(number)
             except errors.UnreachableError:
                 unreachable.append(number)
-            except errors.AnswerLostError:
+            except errors.NoReplyError:
                 lost.append(number)
 
         with concurrent.futures.ThreadPoolExecutor(16) as pool:
@@ -429,23 +438,25 @@
     assert len(answered) + len(unreachable) + len(lost) == 1200
 
 
-def test_close_ends_every_ask(serve: Callable[[wire.Handler], str]) -> None:
+def test_close_ends_every_ask(
+    serve: Callable[[zmq_responder.Handler], str],
+) -> None:
     release = threading.Event()
 
-    def hang(msg: messages.Any) -> messages.Any:
+    def hang(msg: messages.Message) -> messages.Message:
         release.wait(PATIENCE_S)
         return echo(msg)
 
-    peers = wire.Peers(HEARTBEAT_S, SILENCE_S)
+    peers = zmq_responder.Peers(HEARTBEAT_S, SILENCE_S)
     address = serve(hang)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(
-            peers.ask, address, messages.Pull(offset=1), PATIENCE_S
+            peers.request, address, messages.StateRequest(offset=1), PATIENCE_S
         )
         until(lambda: peers.counts.sent >= 1)
         peers.close()
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             fut.result()
     with pytest.raises(errors.UnreachableError):
-        peers.ask(address, messages.Dump(), PATIENCE_S)
+        peers.request(address, messages.DumpRequest(), PATIENCE_S)
     release.set()
