--- a/bench/relay.py
+++ b/bench/relay.py
@@ -29,11 +29,11 @@
 from foxtaildale import backends
 from foxtaildale import ports
 from foxtaildale import streams
-from foxtaildale_adapters import callers
+from foxtaildale_adapters import caller_server
 from foxtaildale_adapters import engines
 from foxtaildale_adapters import events
-from foxtaildale_adapters import pump
-from foxtaildaled import reading
+from foxtaildale_adapters import stream_reader
+from foxtaildaled import response_reading
 from foxtaildaled import sinks
 
 # Streams that one engine decodes in step.
@@ -88,7 +88,7 @@
 
 
 def _piece(index: int, position: int, text: str) -> bytes:
-    piece = backends.Piece(
+    piece = backends.Chunk(
         request='r', attempt=1, stream='s', position=position, text=text
     )
     data = msgspec.json.encode(piece)
@@ -96,7 +96,7 @@
 
 
 def _last(index: int, count: int, digest: str) -> bytes:
-    last = backends.Last(
+    last = backends.StreamEnd(
         request='r', attempt=1, stream='s', count=count, digest=digest
     )
     data = msgspec.json.encode(last)
@@ -117,10 +117,10 @@
         self._cpu = 0.0
         self.done = threading.Event()
         self._pumped = pumped
-        self._pump = pump.Pump()
+        self._pump = stream_reader.StreamReader()
         self._pump.start()
 
-    def handle(self, exchange: callers.Exchange) -> None:
+    def handle(self, exchange: caller_server.Exchange) -> None:
         """Relays one stream."""
         req = backends.DecodeReq(
             request='r', attempt=1, holder='h', stream='s', max_tokens=1
@@ -134,17 +134,19 @@
         times: list[float] = []
         checker = streams.Checker('r', 1, 's')
         sink = sinks.EventSink(exchange, 'r', 'm')
-        sink.begin('w', 's')
-        reader = reading.Reader(
-            gone=threading.Event(),
+        sink.begin_attempt('w', 's')
+        reader = response_reading.ResponseReader(
+            caller_disconnected=threading.Event(),
             sink=sink,
             checker=checker,
             clock=time.monotonic,
-            times=times,
-            carrier=self._pump,
-            silence_s=_LIMIT_S,
+            sent_times=times,
+            stream_pump=self._pump,
+            max_silence_s=_LIMIT_S,
+        )
+        pumped: ports.EventStream = (
+            pieces if self._pumped else _Iterated(pieces)
         )
-        pumped: ports.Pieces = pieces if self._pumped else _Iterated(pieces)
         fault = reader.read(pumped)
         exchange.finish()
         pieces.close()
@@ -168,10 +170,10 @@
     def __init__(self, pieces: events.Stream) -> None:
         self._pieces = pieces
 
-    def __iter__(self) -> Iterator[backends.Piece | backends.Last]:
+    def __iter__(self) -> Iterator[backends.Chunk | backends.StreamEnd]:
         return iter(self._pieces)
 
-    def __next__(self) -> backends.Piece | backends.Last:
+    def __next__(self) -> backends.Chunk | backends.StreamEnd:
         return next(self._pieces)
 
     def close(self) -> None:
@@ -181,7 +183,7 @@
 def run_relay(source: str, count: int, *, pumped: bool) -> None:
     """Serves until every stream was relayed whole."""
     relay = Relay(source, count, pumped=pumped)
-    server = callers.Server('127.0.0.1:0', relay, count + 4, 30.0, 1024)
+    server = caller_server.Server('127.0.0.1:0', relay, count + 4, 30.0, 1024)
     print(server.start(), flush=True)
     if not relay.done.wait(_LIMIT_S):
         print('{"us": null, "pieces": 0}', flush=True)
--- a/packages/adapters/foxtaildale_adapters/httpd.py
+++ b/packages/adapters/foxtaildale_adapters/httpd.py
@@ -1,15 +1,16 @@
-"""Cheroot's request, connection, gateway and server, made strict.
-
-A connection waits in the library's selector until its caller sends something;
-then a worker thread reads one whole request, calls the handler, and puts the
-connection back. What is not a request of ours is answered with a typed JSON
-error where an answer is possible, and the connection is closed.
-
-Four things differ from the library's ways. A request must arrive whole within
-one deadline, since a limit for each read lets a slow sender hold a thread for
-good. A connection takes no thread before it has sent a byte. And when every
-thread is busy the next caller is told so at once instead of waiting unseen.
-Threads are started as requests need them, since most VMs never need many.
+"""Strict versions of Cheroot's request, connection, gateway and server.
+
+A connection waits in the library's selector until its caller sends data. A
+worker thread then reads one complete request, calls the handler, and returns
+the connection to the selector. An invalid request receives a typed JSON error,
+if a response is possible, and its connection is closed.
+
+The server differs from the library in four ways. A request must arrive
+completely within one deadline, since with a timeout per read a slow sender
+could occupy a thread indefinitely. A connection occupies no thread before it
+has sent a byte. When every thread is busy, further requests are refused at
+once instead of being queued without a reply. Threads are started on demand,
+since most VMs never need many.
 """
 
 from collections.abc import Callable
@@ -25,95 +26,105 @@
 
 from foxtaildale import codes
 from foxtaildale import errors
-from foxtaildale_adapters import files
-from foxtaildale_adapters import hangups
-from foxtaildale_adapters import incoming
+from foxtaildale_adapters import caller_exchange
+from foxtaildale_adapters import connection_files
+from foxtaildale_adapters import disconnects
 from foxtaildale_adapters import logs
 
-# Idle connections kept open.
-IDLE_CONNECTIONS: Final = 1000
-# Threads that a server starts with. A VM of a site of 78 serves four requests
-# a second of a second or two each; those that need more start them.
-FIRST_THREADS: Final = 8
-# Requests that may wait for a thread for a moment.
-BURST: Final = 8
-# When a caller that met only busy threads should come back, seconds.
-BUSY_RETRY_S: Final = 1
-# How long unread input is thrown away before a close, seconds.
-LINGER_S: Final = 1.0
+# Maximum number of idle connections that stay open.
+MAX_IDLE_CONNECTIONS: Final = 1000
+# Number of threads that a server starts with. A VM of a site of 78 serves four
+# requests per second, each of which takes one or two seconds; further threads
+# are started on demand.
+INITIAL_THREADS: Final = 8
+# Maximum number of requests that wait for a thread.
+MAX_QUEUED_REQUESTS: Final = 8
+# Delay after which a caller refused for busy threads should retry, seconds.
+BUSY_RETRY_AFTER_S: Final = 1
+# How long unread input is read and discarded before a close, seconds.
+DISCARD_INPUT_S: Final = 1.0
 _READ_BYTES: Final = 4096
-# Our own headers carry identities and limits of a request.
-OWN_PREFIX: Final = b'Foxtaildale-'
+# Prefix of the headers that carry identities and limits of a request.
+HEADER_PREFIX: Final = b'Foxtaildale-'
 _HEX_DIGITS: Final = b'0123456789abcdefABCDEF'
 _STATUS_TOO_LARGE: Final = 413
 _STATUS_TIMEOUT: Final = 408
 
 
-# Headers whose repetition leaves open where the body ends or whose request it
-# is; two parties that choose differently see two different requests.
-_ONCE: Final = frozenset((b'Content-Length', b'Transfer-Encoding', b'Host'))
+# Headers that may occur only once. If they were repeated, the end of the body
+# or the target of the request would be ambiguous, and two parsers could read
+# two different requests.
+_UNIQUE_HEADERS: Final = frozenset(
+    (b'Content-Length', b'Transfer-Encoding', b'Host')
+)
 
 
-class _Headers(server.HeaderReader):
-    """Refuses heads that another parser would read otherwise."""
+class _HeaderReader(server.HeaderReader):
+    """Rejects request heads that another parser could read differently."""
 
     def __call__(
-        self, rfile: files.Reader, hdict: dict[bytes, bytes] | None = None
+        self,
+        rfile: connection_files.Reader,
+        hdict: dict[bytes, bytes] | None = None,
     ) -> dict[bytes, bytes]:
-        found: dict[bytes, bytes] = {} if hdict is None else hdict
+        headers: dict[bytes, bytes] = {} if hdict is None else hdict
         size = 0
         while (line := rfile.readline()) != b'\r\n':
             size += len(line)
-            if size > files.HEAD_BYTES:
-                raise ValueError('the head is too long')
+            if size > connection_files.MAX_HEAD_BYTES:
+                raise ValueError('the request head is too long')
             if not line.endswith(b'\r\n'):
-                raise ValueError('a line of the head does not end in CRLF')
+                raise ValueError(
+                    'a line of the request head does not end in CRLF'
+                )
             name, colon, value = line.partition(b':')
             if not colon or not name or name.strip(b' \t') != name:
-                raise ValueError('a line of the head is not a header')
+                raise ValueError('a line of the request head is not a header')
             name, value = name.title(), value.strip()
-            if name not in found:
-                found[name] = value
-            elif name in _ONCE or name.startswith(OWN_PREFIX):
-                raise ValueError(f'header {name.decode("latin-1")} comes twice')
+            if name not in headers:
+                headers[name] = value
+            elif name in _UNIQUE_HEADERS or name.startswith(HEADER_PREFIX):
+                raise ValueError(f'header {name.decode("latin-1")} is repeated')
             else:
-                found[name] += b', ' + value
-        return found
+                headers[name] += b', ' + value
+        return headers
 
 
 class _Request(server.HTTPRequest):
-    """Says with typed JSON what the library says with plain text."""
+    """Sends errors as typed JSON where the library sends plain text."""
 
-    header_reader = _Headers()
+    header_reader = _HeaderReader()
 
     def simple_response(self, status: str, msg: str = '') -> None:
         number = int(str(status)[:3])
         if number == _STATUS_TIMEOUT:
             self.refuse(codes.SLOW_REQUEST, limit_s=self.server.timeout)
         elif number == _STATUS_TOO_LARGE and 'headers' not in msg:
-            found = self.inheaders.get(b'Content-Length', b'').decode('latin-1')
-            self.too_large(found)
+            length = self.inheaders.get(b'Content-Length', b'').decode(
+                'latin-1'
+            )
+            self.refuse_too_large(length)
         else:
             text = f'{str(status)[4:]}: {msg}' if msg else str(status)[4:]
             self.refuse(codes.BAD_REQUEST, reason=text.rstrip('.'))
 
-    def too_large(self, found: str) -> None:
-        """Refuses a body, with the limit."""
+    def refuse_too_large(self, length: str) -> None:
+        """Refuses a body that is too large and reports the limit."""
         limit = self.server.max_request_body_size
         self.refuse(
-            codes.TOO_LARGE, found=found or f'over {limit}', limit=limit
+            codes.TOO_LARGE, found=length or f'over {limit}', limit=limit
         )
 
     def refuse(self, code: codes.Code, **figures: float | str) -> None:
-        """Sends an error and closes, throwing away what else is sent."""
+        """Sends an error, discards further input and closes the connection."""
         self.close_connection = True
         if self.sent_headers:
             return
         self.sent_headers = True
-        self.conn.drop_input = True
-        names = b''.join(b'%b:\r\n' % name for name in self.inheaders)
-        sure = not incoming.has_identity(names)
-        self.conn.answer(code, figures, sure=sure)
+        self.conn.discard_input = True
+        header_lines = b''.join(b'%b:\r\n' % name for name in self.inheaders)
+        sure = not caller_exchange.has_key_or_ticket(header_lines)
+        self.conn.send_error(code, figures, sure=sure)
 
 
 class _Connection(server.HTTPConnection):
@@ -124,29 +135,31 @@
     def __init__(
         self, http_server: 'HttpServer', sock: socket.socket, _make: object
     ) -> None:
-        super().__init__(http_server, sock, files.make)
+        super().__init__(http_server, sock, connection_files.make_file)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        hangups.keep_alive(sock)
-        files.bound_sends(sock, http_server.timeout)
-        # False until it has been put with the idle ones once.
-        self.parked = False
-        self.drop_input = False
+        disconnects.enable_keepalive(sock)
+        connection_files.set_send_timeout(sock, http_server.timeout)
+        # Whether the connection was ever added to the idle connections.
+        self.was_idle = False
+        self.discard_input = False
 
     def communicate(self) -> bool:
         try:
-            self.rfile.begin(self.server.read_s or self.server.timeout)
+            self.rfile.set_deadline(
+                self.server.request_timeout_s or self.server.timeout
+            )
             keep: bool = super().communicate()  # type: ignore[no-untyped-call]
             return keep and not self.server.draining
         finally:
-            self.server.count(-1)
+            self.server.add_active_requests(-1)
 
-    def answer(
-        self, code: codes.Code, figures: incoming.Figures, *, sure: bool
+    def send_error(
+        self, code: codes.Code, figures: caller_exchange.Figures, *, sure: bool
     ) -> None:
-        """Sends an error and nothing after it."""
-        retry_s = BUSY_RETRY_S if code is codes.ENTRY_BUSY else 0
-        body = incoming.error_body(
-            code, figures, self.server.entry_vm, retry_s, sure=sure
+        """Sends an error as the last response of the connection."""
+        retry_s = BUSY_RETRY_AFTER_S if code is codes.ENTRY_BUSY else 0
+        body = caller_exchange.error_body(
+            code, figures, self.server.entry_vm, retry_s, certain=sure
         )
         head = (
             f'HTTP/1.1 {code.status} {code.name}\r\n'
@@ -162,35 +175,35 @@
             pass
 
     def close(self) -> None:
-        if self.drop_input:
-            self._drop_input()
+        if self.discard_input:
+            self._discard_input()
         super().close()
 
-    def _drop_input(self) -> None:
-        """Reads on for a moment after an early error.
+    def _discard_input(self) -> None:
+        """Reads and discards input for a short time after an early error.
 
-        A close with unread input sends a reset, and the caller's system then
-        throws the error away before the caller has read it.
+        Closing a socket with unread input sends a reset, and the caller's
+        operating system then discards the error before the caller reads it.
         """
         try:
             self.socket.shutdown(socket.SHUT_WR)
-            self.rfile.begin(LINGER_S)
-            while self.rfile.read1(files.HEAD_BYTES):
+            self.rfile.set_deadline(DISCARD_INPUT_S)
+            while self.rfile.read1(connection_files.MAX_HEAD_BYTES):
                 pass
         except OSError:
             pass
 
 
-class _ChunkFile:
-    """Checks the size lines of a chunked body.
+class _ChunkReader:
+    """Validates the size lines of a chunked body.
 
-    The library's int() takes '-5' for the end of the body and '0x5' for a
-    size, so a broken body would pass for a whole one.
+    The library's int() accepts '-5' as the end of the body and '0x5' as a
+    size, so a malformed body would be accepted as complete.
     """
 
     __slots__ = ('_reader', 'read')
 
-    def __init__(self, reader: files.Reader) -> None:
+    def __init__(self, reader: connection_files.Reader) -> None:
         self._reader = reader
         self.read = reader.read
 
@@ -204,20 +217,20 @@
 
 
 class _Gateway(server.Gateway):
-    """Reads the body, calls the handler, and cuts what it left open."""
+    """Reads the body, calls the handler, and aborts unfinished responses."""
 
     req: _Request
 
     def respond(self) -> None:
         req = self.req
-        body = self._body()
+        body = self._read_body()
         if body is None:
             return
-        exchange = incoming.Exchange(req, body, req.server.watcher)
+        exchange = caller_exchange.Exchange(req, body, req.server.watcher)
         try:
             req.server.handler.handle(exchange)
         except errors.InvariantError as exc:
-            exchange.cut()
+            exchange.abort()
             threading.excepthook(
                 threading.ExceptHookArgs(
                     (type(exc), exc, exc.__traceback__, None)
@@ -226,43 +239,47 @@
         except Exception as exc:
             logs.event(logging.ERROR, 'handler failed', exc=exc)
         finally:
-            exchange.end()
-            self._close(exchange)
+            exchange.stop_watching()
+            self._finish_response(exchange)
 
-    def _close(self, exchange: incoming.Exchange) -> None:
+    def _finish_response(self, exchange: caller_exchange.Exchange) -> None:
         if not exchange.started:
             code = codes.FAILED
             entry_vm = self.req.server.entry_vm
             exchange.respond(
                 code.status,
-                incoming.JSON,
-                incoming.error_body(code, {}, entry_vm),
+                caller_exchange.JSON_HEADERS,
+                caller_exchange.error_body(code, {}, entry_vm),
             )
         if not exchange.finished:
-            exchange.cut()
+            exchange.abort()
             self.req.close_connection = True
 
-    def _body(self) -> bytes | None:
-        """Returns the whole body, or None after answering with an error."""
+    def _read_body(self) -> bytes | None:
+        """Returns the complete body, or None after sending an error."""
         req = self.req
         try:
-            return self._read_chunks() if req.chunked_read else self._read()
+            return (
+                self._read_chunked_body()
+                if req.chunked_read
+                else self._read_sized_body()
+            )
         except TimeoutError:
             req.refuse(codes.SLOW_REQUEST, limit_s=req.server.timeout)
         except cheroot_errors.MaxSizeExceeded:
-            req.too_large('')
+            req.refuse_too_large('')
         except ValueError as exc:
             req.refuse(codes.BAD_REQUEST, reason=str(exc))
         except OSError as exc:
             if exc.errno is not None:
                 raise
             # The library raises a bare OSError for a chunk that is too large.
-            req.too_large('')
+            req.refuse_too_large('')
         return None
 
-    def _read(self) -> bytes:
+    def _read_sized_body(self) -> bytes:
         length = self.req.inheaders.get(b'Content-Length', b'0')
-        # The library's int() also takes '-1', which reads to the end.
+        # The library's int() also accepts '-1', which reads to the end.
         if not length.isdigit():
             raise ValueError('the Content-Length header is not a number')
         data: bytes = self.req.rfile.read()
@@ -272,136 +289,142 @@
             )
         return data
 
-    def _read_chunks(self) -> bytes:
+    def _read_chunked_body(self) -> bytes:
         if b'Content-Length' in self.req.inheaders:
-            raise ValueError('Content-Length and Transfer-Encoding exclude')
-        # Small reads: the library joins what a read takes chunk by chunk,
-        # which is quadratic in the size of the read.
-        parts = []
-        self.req.rfile.rfile = _ChunkFile(self.req.conn.rfile)
-        while part := self.req.rfile.read(_READ_BYTES):
-            parts.append(part)
+            raise ValueError(
+                'Content-Length and Transfer-Encoding exclude each other'
+            )
+        # The reads are small because the library concatenates the chunks of a
+        # read one by one, which is quadratic in the size of the read.
+        chunks = []
+        self.req.rfile.rfile = _ChunkReader(self.req.conn.rfile)
+        while chunk := self.req.rfile.read(_READ_BYTES):
+            chunks.append(chunk)
         self.req.rfile.rfile = self.req.conn.rfile
         for _ in self.req.rfile.read_trailer_lines():
             pass
-        # Whatever this caller takes for the end of a body, no second
-        # request is read behind it.
+        # No second request is read from this connection, since the caller
+        # might see the end of the body at another position.
         self.req.close_connection = True
-        return b''.join(parts)
+        return b''.join(chunks)
 
 
-class _Threads(threadpool.ThreadPool):
-    """The library's pool, which grows when every thread is busy.
+class _ThreadPool(threadpool.ThreadPool):
+    """Thread pool of the library that grows when every thread is busy.
 
-    Started at once, the 96 of each VM were 7,500 for 78 VMs, nearly all of them
-    idle. Those that were started stay: a burst comes again.
+    If all 96 threads of each VM were started at once, 78 VMs would have 7,500
+    threads, nearly all of them idle. Started threads are never stopped, since
+    bursts recur.
     """
 
     server: 'HttpServer'
-    # Of the library.
+    # Set by the library.
     _threads: list[threading.Thread]
     _spawn_worker: Callable[[], threading.Thread]
 
     def put(self, obj: _Connection) -> None:
-        """Queues a connection; called by the selector's thread alone."""
-        if len(self._threads) < min(self.max, self.server.busy):
-            self._add()
+        """Queues a connection; only the selector's thread calls this."""
+        if len(self._threads) < min(self.max, self.server.active_requests):
+            self._start_thread()
         super().put(obj)
 
-    def _add(self) -> None:
-        # Not the library's `grow`, which sleeps until the thread runs and
-        # would hold up every other connection meanwhile.
+    def _start_thread(self) -> None:
+        # The library's `grow` is not used: it sleeps until the thread runs,
+        # which would delay every other connection.
         try:
             self._threads.append(self._spawn_worker())
         except RuntimeError as exc:
-            # The request waits for one of the threads that there are.
+            # The request waits for one of the running threads.
             logs.event(logging.WARNING, 'thread not started', exc=exc)
 
 
 class HttpServer(server.HTTPServer):
-    """The library's server with our connections."""
+    """HTTP server of the library with strict connections."""
 
     # Set by the library.
     _connections: Any
 
     ConnectionClass = _Connection
     request_queue_size = 512
-    # After this the connections in use are shut down, seconds.
+    # Delay after which a closing server shuts down the connections in use,
+    # seconds.
     shutdown_timeout = 1
-    keep_alive_conn_limit = IDLE_CONNECTIONS
-    max_request_header_size = files.HEAD_BYTES
+    keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
+    max_request_header_size = connection_files.MAX_HEAD_BYTES
 
     def __init__(
         self,
         address: tuple[str, int],
-        handler: incoming.Handler,
+        handler: caller_exchange.Handler,
         threads: int,
-        look_s: float,
+        idle_check_s: float,
     ) -> None:
         super().__init__(address, _Gateway, server_name='foxtaildale')
-        self.expiration_interval = look_s
-        first = min(FIRST_THREADS, threads)
-        self.requests = _Threads(self, min=first, max=threads)
+        self.expiration_interval = idle_check_s
+        initial_threads = min(INITIAL_THREADS, threads)
+        self.requests = _ThreadPool(self, min=initial_threads, max=threads)
         self.handler = handler
-        self.threads = threads
+        self.max_threads = threads
         self.entry_vm = ''
-        # Whether answers close their connections.
+        # Whether each response closes its connection.
         self.draining = False
         self.accepting = True
-        # Time for a request to arrive whole, seconds; 0: the idle timeout.
-        self.read_s = 0.0
-        # Whether a caller that closed its sending side may still listen.
-        self.half_close = True
-        self.watcher = hangups.Watcher(
+        # Deadline for a request to arrive completely, seconds; 0 selects the
+        # idle timeout.
+        self.request_timeout_s = 0.0
+        # Whether a caller that closed its sending side may still wait for its
+        # response.
+        self.allows_half_close = True
+        self.watcher = disconnects.Watcher(
             lambda exc: logs.event(logging.ERROR, 'watch failed', exc=exc)
         )
-        # Requests that a thread works on or that wait for one.
-        self.busy = 0
-        self.idle_again = threading.Condition()
+        # Number of requests that a thread handles or that wait for a thread.
+        self.active_requests = 0
+        self.became_idle = threading.Condition()
 
-    def count(self, change: int) -> None:
-        """Counts requests in progress."""
-        with self.idle_again:
-            self.busy += change
-            if not self.busy:
-                self.idle_again.notify_all()
+    def add_active_requests(self, change: int) -> None:
+        """Changes the number of requests in progress."""
+        with self.became_idle:
+            self.active_requests += change
+            if not self.active_requests:
+                self.became_idle.notify_all()
 
     def process_conn(self, conn: _Connection) -> None:
-        """Parks a new connection; hands one that sent something on."""
-        if not conn.parked:
-            conn.parked = True
+        """Adds a new connection to the selector; queues one that sent data."""
+        if not conn.was_idle:
+            conn.was_idle = True
             self._connections.put(conn)
             return
-        if self.busy >= self.threads + BURST:
-            self._turn_away(conn)
+        if self.active_requests >= self.max_threads + MAX_QUEUED_REQUESTS:
+            self._reject_busy(conn)
             return
-        self.count(1)
+        self.add_active_requests(1)
         self.requests.put(conn)
 
     def put_conn(self, conn: _Connection) -> None:
-        """Parks a connection again, unless the server closed meanwhile."""
+        """Returns a connection to the selector, unless the server closed."""
         try:
             super().put_conn(conn)
         except (ValueError, OSError, KeyError):
             conn.close()
 
-    def _turn_away(self, conn: _Connection) -> None:
-        head = conn.rfile.head()
-        conn.answer(
+    def _reject_busy(self, conn: _Connection) -> None:
+        head = conn.rfile.peek_unread()
+        conn.send_error(
             codes.ENTRY_BUSY,
-            {'limit': self.threads},
-            sure=not incoming.has_identity(head),
+            {'limit': self.max_threads},
+            sure=not caller_exchange.has_key_or_ticket(head),
         )
         conn.close()
 
     def stop_accepting(self) -> None:
-        """Takes what the kernel has accepted already, then closes the port.
+        """Processes connections that the kernel accepted, then closes the port.
 
-        Closing at once would reset callers whose request is under way.
+        Closing at once would reset callers whose requests are in transit.
         """
         self.draining = True
-        # The attribute stays: the selector's thread may be about to use it,
-        # and the library passes over a closed socket, but not over None.
+        # The attribute is not set to None: the selector's thread may be about
+        # to use it, and the library ignores a closed socket, but not None.
         sock = self.socket
         self._connections._selector.unregister(sock.fileno())
         sock.setblocking(False)
@@ -412,5 +435,5 @@
     def error_log(
         self, msg: str = '', level: int = 20, traceback: bool = False
     ) -> None:
-        """Logs what the library has to say."""
+        """Logs a message of the library."""
         logs.event(level, 'http server', message=msg)
--- /dev/null
+++ b/packages/adapters/foxtaildale_adapters/idle_connections.py
@@ -0,0 +1,149 @@
+"""Idle connections to backend servers, for reuse by later requests.
+
+A new connection briefly occupies a slot of the engine and costs the caller a
+round trip; on a small site half of all sends can reuse a connection. Reuse has
+two risks, and both are limited. The server closes idle connections, so a
+connection is reused only well within the server's idle timeout. Bytes that the
+server sends after a response would be taken for the next response, so a
+connection is reused only after a minimum idle time, and closed if it received
+anything. A connection may still close or stop responding just when it is
+reused. This delays a request that may be sent again. A request that must not be
+sent twice therefore never reuses a connection.
+"""
+
+import contextlib
+import select
+import threading
+from typing import Final
+
+import urllib3.connection
+
+from foxtaildale import ports
+
+# Minimum and maximum idle time of a connection that is reused, seconds. Surplus
+# bytes after a response arrive within some milliseconds of it.
+MIN_IDLE_S: Final = 0.03
+MAX_IDLE_S: Final = 3.0
+# Fraction of the idle timeout reported by a server in which a connection is
+# reused.
+IDLE_TIMEOUT_FRACTION: Final = 0.5
+# Maximum number of idle connections to one address. All entry VMs share the
+# connections that a server accepts, and a request without an idle connection
+# opens a new one.
+MAX_CONNECTIONS_PER_ADDRESS: Final = 4
+# Maximum number of addresses with idle connections; the least recently used
+# address is evicted.
+MAX_ADDRESSES: Final = 256
+
+
+class _IdleConnection:
+    __slots__ = ('conn', 'idle_since', 'usable_until')
+
+    def __init__(
+        self,
+        conn: urllib3.connection.HTTPConnection,
+        idle_since: float,
+        usable_until: float,
+    ) -> None:
+        self.conn = conn
+        self.idle_since = idle_since
+        self.usable_until = usable_until
+
+
+class IdleConnections:
+    """Idle connections by address; safe for concurrent use."""
+
+    __slots__ = ('_clock', '_idle', '_lock')
+
+    def __init__(self, clock: ports.Clock) -> None:
+        self._clock = clock
+        self._lock = threading.Lock()
+        # By address; each list is sorted by `idle_since`.
+        self._idle: dict[str, list[_IdleConnection]] = {}
+
+    def pop(self, address: str) -> urllib3.connection.HTTPConnection | None:
+        """Removes and returns a reusable connection; None if there is none."""
+        now = self._clock()
+        with self._lock:
+            entries = self._idle.get(address, [])
+            candidates = [
+                entry
+                for entry in entries
+                if now - entry.idle_since >= MIN_IDLE_S
+            ]
+            too_recent = [
+                entry
+                for entry in entries
+                if now - entry.idle_since < MIN_IDLE_S
+            ]
+            self._idle[address] = too_recent
+        reusable = None
+        # The connection with the shortest idle time is the least likely to be
+        # closed.
+        for entry in reversed(candidates):
+            if (
+                reusable is None
+                and now < entry.usable_until
+                and _is_quiet(entry.conn)
+            ):
+                reusable = entry
+            elif now >= entry.usable_until or reusable is None:
+                entry.conn.close()
+            else:
+                self._add(address, entry)
+        return reusable.conn if reusable is not None else None
+
+    def add(
+        self,
+        address: str,
+        conn: urllib3.connection.HTTPConnection,
+        server_timeout_s: float | None,
+    ) -> None:
+        """Stores an idle connection, or closes it if the address has enough.
+
+        Args:
+            address: Address of the server.
+            conn: Connection whose last response was read completely.
+            server_timeout_s: Idle timeout that the server reported, seconds; None if it
+                reported none.
+        """
+        now = self._clock()
+        max_idle_s = (
+            MAX_IDLE_S
+            if server_timeout_s is None
+            else min(MAX_IDLE_S, IDLE_TIMEOUT_FRACTION * server_timeout_s)
+        )
+        self._add(address, _IdleConnection(conn, now, now + max_idle_s))
+
+    def close(self) -> None:
+        """Closes all idle connections."""
+        with self._lock:
+            evicted = [
+                entry for entries in self._idle.values() for entry in entries
+            ]
+            self._idle.clear()
+        for entry in evicted:
+            entry.conn.close()
+
+    def _add(self, address: str, entry: _IdleConnection) -> None:
+        with self._lock:
+            entries = self._idle.pop(address, [])
+            entries.append(entry)
+            entries.sort(key=lambda item: item.idle_since)
+            evicted = entries[:-MAX_CONNECTIONS_PER_ADDRESS]
+            self._idle[address] = entries[-MAX_CONNECTIONS_PER_ADDRESS:]
+            if len(self._idle) > MAX_ADDRESSES:
+                evicted += self._idle.pop(next(iter(self._idle)))
+        for item in evicted:
+            item.conn.close()
+
+
+def _is_quiet(conn: urllib3.connection.HTTPConnection) -> bool:
+    """Returns whether the server neither sent data nor closed."""
+    if conn.sock is None:
+        return False
+    poll = select.poll()
+    with contextlib.suppress(OSError, ValueError):
+        poll.register(conn.sock, select.POLLIN)
+        return not poll.poll(0)
+    return False
--- a/packages/adapters/foxtaildale_adapters/platform.py
+++ b/packages/adapters/foxtaildale_adapters/platform.py
@@ -4,8 +4,8 @@
     GET  /log/STREAM?from=N&limit=K -> msgpack [first, end, [[offset, data]]]
     GET  /vms          JSON of `values.Listing`
 
-A read of lapsed records is answered 410 with {"first": n}. 503 means that the
-store is down and did nothing.
+A read of expired records returns status 410 with {"first": n}. Status 503
+means that the store is down and did nothing.
 """
 
 from collections.abc import Sequence
@@ -20,10 +20,10 @@
 from foxtaildale import ports
 from foxtaildale import values
 from foxtaildale_adapters import breaker
-from foxtaildale_adapters import exchange
+from foxtaildale_adapters import http_client
 
-# How long calls fail at once after one was left without an answer, seconds.
-HOLD_OFF_S: Final = 1.0
+# Time in which calls fail without being sent, after a call timed out; seconds.
+RETRY_DELAY_S: Final = 1.0
 
 
 class _First(msgspec.Struct):
@@ -38,13 +38,13 @@
 
 _T = TypeVar('_T')
 
-_first: Final = msgspec.json.Decoder(_First)
-_batch: Final = msgspec.msgpack.Decoder(_Batch)
+_first_decoder: Final = msgspec.json.Decoder(_First)
+_batch_decoder: Final = msgspec.msgpack.Decoder(_Batch)
 _listing: Final = msgspec.json.Decoder(values.Listing)
 
 
 class Platform:
-    """Implements `ports.Log` and `ports.Directory`."""
+    """Implements `ports.Log` and `ports.Directory` over HTTP."""
 
     __slots__ = (
         '_address',
@@ -60,79 +60,87 @@
         address: str,
         timeout_s: float,
         clock: ports.Clock = time.monotonic,
-        hold_off_s: float = HOLD_OFF_S,
+        retry_delay_s: float = RETRY_DELAY_S,
     ) -> None:
         self._address = address
         self._timeout_s = timeout_s
         self._clock = clock
-        self._exchange = exchange.Exchange(clock)
-        self._breaker = breaker.Breaker(hold_off_s)
+        self._exchange = http_client.HttpClient(clock)
+        self._breaker = breaker.Breaker(retry_delay_s)
         self._lock = threading.Lock()
 
     def append(self, stream: str, records: Sequence[bytes]) -> int:
-        """Appends all records at once and returns the first one's offset."""
+        """Appends all records atomically; returns the offset of the first."""
         body = msgspec.msgpack.encode(list(records))
-        answer = self._send('POST', f'/log/{exchange.quote(stream)}', body)
-        return _decode(_first, answer.body).first
+        response = self._send('POST', f'/log/{http_client.quote(stream)}', body)
+        return _decode(_first_decoder, response.body).first
 
     def read(self, stream: str, offset: int, limit: int = 1000) -> ports.Batch:
-        """Reads from an offset.
+        """Reads up to `limit` records from an offset.
 
         Raises:
-            errors.LapsedError: The offset is older than what is kept.
+            errors.RecordsExpiredError: The record at the offset has expired.
         """
-        path = f'/log/{exchange.quote(stream)}?from={offset}&limit={limit}'
-        answer = self._send('GET', path)
-        found = _decode(_batch, answer.body)
+        path = f'/log/{http_client.quote(stream)}?from={offset}&limit={limit}'
+        response = self._send('GET', path)
+        batch = _decode(_batch_decoder, response.body)
         return ports.Batch(
-            found.first,
-            found.end,
-            tuple(ports.Record(at, data) for at, data in found.records),
+            batch.first,
+            batch.end,
+            tuple(
+                ports.Record(record_offset, data)
+                for record_offset, data in batch.records
+            ),
         )
 
     def listing(self) -> values.Listing:
-        """Reads the list."""
+        """Reads the list of VMs."""
         return _decode(_listing, self._send('GET', '/vms').body)
 
     def _send(
         self, method: str, path: str, body: bytes | None = None
-    ) -> exchange.Answer:
+    ) -> http_client.Response:
         with self._lock:
-            if not self._breaker.admits(self._clock()):
+            if not self._breaker.try_admit(self._clock()):
                 raise errors.UnreachableError('the platform is not answering')
         try:
-            answer = self._exchange.send(
+            response = self._exchange.send(
                 self._address,
                 method,
                 path,
                 timeout_s=self._timeout_s,
                 body=body,
             )
-        except (exchange.TimeoutLostError, exchange.SilentError):
+        except (
+            http_client.ResponseTimeoutError,
+            http_client.ConnectTimeoutError,
+        ):
             with self._lock:
-                self._breaker.timed_out(self._clock())
+                self._breaker.record_timeout(self._clock())
             raise
         except BaseException:
-            # Refused or cut at once: costs nobody a wait.
+            # A connection that was refused or closed at once delays no caller.
             with self._lock:
-                self._breaker.answered()
+                self._breaker.record_response()
             raise
         with self._lock:
-            self._breaker.answered()
-        _check(answer)
-        return answer
+            self._breaker.record_response()
+        _check(response)
+        return response
 
 
-def _check(answer: exchange.Answer) -> None:
-    if answer.status == 200:
+def _check(response: http_client.Response) -> None:
+    if response.status == 200:
         return
-    if answer.status == 503:
+    if response.status == 503:
         raise errors.RejectedError('down')
-    if answer.status == 410:
-        raise errors.LapsedError(_decode(_first, answer.body).first)
-    if 400 <= answer.status < 500:
-        raise errors.RejectedError('bad-request', f'status {answer.status}')
-    raise errors.AnswerLostError(f'status {answer.status}')
+    if response.status == 410:
+        raise errors.RecordsExpiredError(
+            _decode(_first_decoder, response.body).first
+        )
+    if 400 <= response.status < 500:
+        raise errors.RejectedError('bad-request', f'status {response.status}')
+    raise errors.NoReplyError(f'status {response.status}')
 
 
 def _decode(
@@ -142,5 +150,5 @@
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        # Something answered, so the request may have had its effect.
-        raise errors.AnswerLostError(f'not understood: {exc}') from exc
+        # A response arrived, so the request may have been executed.
+        raise errors.NoReplyError(f'response cannot be decoded: {exc}') from exc
--- a/packages/adapters/foxtaildale_adapters/probe.py
+++ b/packages/adapters/foxtaildale_adapters/probe.py
@@ -1,12 +1,12 @@
-"""Asks whether anything listens at a backend server's address."""
+"""Checks whether a process listens at a backend server's address."""
 
 import socket
 from typing import Final
 
 from foxtaildale import ports
 
-# Longest wait for a connection, seconds.
-PROBE_S: Final = 0.15
+# Maximum wait for a connection, seconds.
+CONNECT_TIMEOUT_S: Final = 0.15
 
 
 class Probe:
@@ -14,11 +14,13 @@
 
     __slots__ = ()
 
-    def reach(self, address: str) -> ports.Reach:
-        """Returns what became of a connection to 'IP:PORT'."""
+    def check(self, address: str) -> ports.ProbeResult:
+        """Returns the result of connecting to 'IP:PORT'."""
         host, _, port = address.rpartition(':')
         try:
-            socket.create_connection((host, int(port)), PROBE_S).close()
+            socket.create_connection(
+                (host, int(port)), CONNECT_TIMEOUT_S
+            ).close()
         except ConnectionRefusedError:
             return 'refused'
         except OSError:
--- a/packages/adapters/foxtaildale_adapters/services.py
+++ b/packages/adapters/foxtaildale_adapters/services.py
@@ -2,17 +2,18 @@
 
     POST /CALL, header `Foxtaildale-Request` -> any status and body
 
-A call may be one that must not run twice, so nothing is repeated and every
-call takes a connection of its own: an idle one that closes, or that something
-in between has forgotten, would leave a request's fate unknown for nothing.
+A call may be one that must not run twice, so no call is retried and every call
+opens its own connection. If a call reused an idle connection that the service
+closes, or that a middlebox on the path has dropped, it would be needlessly
+unknown whether the request ran.
 """
 
 from typing import Final
 
 from foxtaildale import ports
-from foxtaildale_adapters import exchange
+from foxtaildale_adapters import http_client
 
-# Lets the service recognise a request.
+# Carries the request id, by which the service recognises a request.
 REQUEST_HEADER: Final = 'Foxtaildale-Request'
 
 
@@ -22,7 +23,7 @@
     __slots__ = ('_exchange',)
 
     def __init__(self) -> None:
-        self._exchange = exchange.Exchange()
+        self._exchange = http_client.HttpClient()
 
     def call(
         self,
@@ -32,11 +33,11 @@
         request: str,
         timeout_s: float,
     ) -> ports.Reply:
-        """Sends one call; `request` lets the service recognise it."""
-        answer = self._exchange.send(
+        """Sends one call; the service recognises it by the id `request`."""
+        response = self._exchange.send(
             address,
             'POST',
-            '/' + exchange.quote(call),
+            '/' + http_client.quote(call),
             timeout_s=timeout_s,
             body=body,
             headers={
@@ -46,4 +47,4 @@
             },
             reuse=False,
         )
-        return ports.Reply(answer.status, answer.body)
+        return ports.Reply(response.status, response.body)
--- a/packages/client/foxtaildale_client/text.py
+++ b/packages/client/foxtaildale_client/text.py
@@ -1,16 +1,16 @@
-"""Text for people: tables, times and figures."""
+"""Formats tables, times and numbers as human-readable text."""
 
 from collections.abc import Sequence
 import datetime
 from typing import Final
 
-# Characters of a digest that are shown to people.
-DIGEST: Final = 12
+# Number of leading characters of a digest in human-readable output.
+DIGEST_CHARS: Final = 12
 
 Cell = str | float | None
 
 
-def table(rows: Sequence[tuple[str, ...]]) -> str:
+def format_table(rows: Sequence[tuple[str, ...]]) -> str:
     """Returns rows of cells in aligned columns."""
     columns = zip(*rows, strict=True)
     widths = [max(len(cell) for cell in column) for column in columns]
@@ -22,8 +22,8 @@
     return '\n'.join(lines)
 
 
-def shown(value: Cell) -> str:
-    """Returns a value without needless decimals; `-` for none."""
+def format_value(value: Cell) -> str:
+    """Formats a value without trailing zero decimals; `-` for None."""
     if value is None:
         return '-'
     if isinstance(value, float) and value.is_integer():
@@ -31,7 +31,7 @@
     return str(value)
 
 
-def timestamp(at: float) -> str:
-    """Returns seconds since the epoch as UTC."""
+def format_timestamp(at: float) -> str:
+    """Formats seconds since the Unix epoch as UTC time."""
     moment = datetime.datetime.fromtimestamp(at, datetime.UTC)
     return moment.strftime('%Y-%m-%d %H:%M:%S UTC')
--- a/packages/daemon/foxtaildaled/job.py
+++ b/packages/daemon/foxtaildaled/job.py
@@ -1,4 +1,4 @@
-"""One caller's request for a model's answer, while it is worked on."""
+"""The state of one request to a model service while it is served."""
 
 from collections.abc import Iterator
 import contextlib
@@ -13,63 +13,64 @@
 
 
 class Job:
-    """Everything about one request that its steps share."""
+    """The state that all stages and attempts of one request share."""
 
     __slots__ = (
         '_cancels',
-        '_held',
+        '_engine_addresses',
         '_lock',
-        '_pieces',
-        '_resume_s',
+        '_open_stream',
+        '_resume_window_s',
         'arrived_at',
         'attempt',
+        'caller_disconnected',
+        'chunk_times',
         'first_answer_ms',
-        'gone',
         'holder',
-        'max_tokens',
-        'name',
+        'max_output_tokens',
+        'may_have_run',
         'prefixes',
         'prompt',
         'prompt_tokens',
         'request',
-        'sent',
         'service',
+        'service_name',
         'snapshot',
-        'times',
     )
 
     # Identifies the request for callers and operators.
     request: str
-    # Name of the service, and what the preset says of it.
-    name: str
+    # Name of the service, and its settings in the preset.
+    service_name: str
     service: values.Service
-    # What was known when the request came; it works by it to its end.
+    # Configuration and servers at the arrival of the request. The request uses
+    # this snapshot until its end.
     snapshot: view.Snapshot
-    # Incarnation of this entry.
+    # Incarnation of this entry process.
     holder: str
     prompt: str
     prompt_tokens: int
     prefixes: tuple[str, ...]
-    max_tokens: int
-    # Target for the first answer, milliseconds; 0 means none.
+    max_output_tokens: int
+    # Target time to the first token, milliseconds; 0 means none.
     first_answer_ms: int
-    # Seconds, monotonic.
+    # Arrival of the request; seconds, monotonic.
     arrived_at: float
-    # Counts tries at backend servers, from 1.
+    # Number of the current attempt, from 1; 0 before the first one.
     attempt: int
-    # Whether a backend server may have acted on it.
-    sent: bool
-    # When each piece of the answer was sent on; seconds, monotonic.
-    times: list[float]
-    # Set when the caller has gone.
-    gone: threading.Event
-    # Addresses of engines that hold something for this request.
-    _held: set[str]
-    # The stream that is being read, if any.
-    _pieces: ports.Pieces | None
-    _cancels: cancels.Cancels
-    # How long a gone caller's stream is kept for its return, seconds.
-    _resume_s: float
+    # Whether a backend server may have run the request.
+    may_have_run: bool
+    # When each chunk was sent to the caller; seconds, monotonic.
+    chunk_times: list[float]
+    # Set when the caller has disconnected.
+    caller_disconnected: threading.Event
+    # Addresses of engines that may hold resources for this request.
+    _engine_addresses: set[str]
+    # The open stream, if any.
+    _open_stream: ports.EventStream | None
+    _cancels: cancels.CancelQueue
+    # How long a caller may resume its stream after a disconnect, seconds.
+    _resume_window_s: float
     _lock: threading.Lock
 
     def __init__(
@@ -80,95 +81,99 @@
         service: values.Service,
         snapshot: view.Snapshot,
         holder: str,
-        cancel_queue: cancels.Cancels,
+        cancel_queue: cancels.CancelQueue,
         arrived_at: float,
         first_answer_ms: int,
-        resume_s: float,
+        resume_window_s: float,
     ) -> None:
         self.request = request
-        self.name = req.model
+        self.service_name = req.model
         self.service = service
         self.snapshot = snapshot
         self.holder = holder
         self.prompt = req.prompt
-        self.prompt_tokens = chat.count_tokens(self.prompt)
+        self.prompt_tokens = chat.estimate_tokens(self.prompt)
         self.prefixes = chat.prefixes(self.prompt)
-        self.max_tokens = req.max_tokens or service.expected_tokens
+        self.max_output_tokens = req.max_tokens or service.expected_tokens
         self.first_answer_ms = first_answer_ms
         self.arrived_at = arrived_at
         self.attempt = 0
-        self.sent = False
-        self.times = []
-        self.gone = threading.Event()
-        self._held = set()
-        self._pieces = None
+        self.may_have_run = False
+        self.chunk_times = []
+        self.caller_disconnected = threading.Event()
+        self._engine_addresses = set()
+        self._open_stream = None
         self._cancels = cancel_queue
-        self._resume_s = resume_s
+        self._resume_window_s = resume_window_s
         self._lock = threading.Lock()
 
     @property
-    def stream(self) -> str:
-        """Names the stream of this attempt at the engine."""
+    def stream_name(self) -> str:
+        """The name of the stream of this attempt at the engine."""
         return f'{self.request}.{self.attempt}'
 
-    def hold(self, address: str) -> bool:
-        """Notes that an engine is about to hold something.
+    def try_add_reservation(self, address: str) -> bool:
+        """Records that an engine is about to hold resources for the request.
 
-        Returns False when the caller has gone: then nothing may be sent. The
-        check and the note are one step, since a caller that leaves between
-        them would leave work behind that nobody cancels.
+        Returns False if the caller has disconnected; then nothing may be sent.
+        The check and the record are atomic: if the caller disconnected between
+        them, the work at the engine would never be cancelled.
         """
         with self._lock:
-            if self.gone.is_set():
+            if self.caller_disconnected.is_set():
                 return False
-            self._held.add(address)
+            self._engine_addresses.add(address)
             return True
 
-    def let_go(self, address: str) -> None:
-        """Notes that an engine holds nothing any more."""
+    def remove_reservation(self, address: str) -> None:
+        """Records that an engine no longer holds resources."""
         with self._lock:
-            self._held.discard(address)
+            self._engine_addresses.discard(address)
 
-    def on_gone(self) -> None:
-        """The caller went away: cancels all that is held for it."""
+    def on_disconnected(self) -> None:
+        """Cancels all work for the caller, which has disconnected."""
         with self._lock:
-            self.gone.set()
-            held = list(self._held)
-            pieces = self._pieces
-        if pieces is not None:
-            pieces.close()
-        for address in held:
-            self._cancel(address, 0, self._resume_s)
+            self.caller_disconnected.set()
+            addresses = list(self._engine_addresses)
+            stream = self._open_stream
+        if stream is not None:
+            stream.close()
+        for address in addresses:
+            self._cancel(address, 0, self._resume_window_s)
 
     @contextlib.contextmanager
-    def reading(self, pieces: ports.Pieces) -> Iterator[None]:
-        """Closes a stream at the end, or at once when the caller goes.
+    def closing_stream(self, stream: ports.EventStream) -> Iterator[None]:
+        """Closes a stream at its end, or when the caller disconnects.
 
-        A thread that waits for the next piece would otherwise learn of the
-        caller only with that piece, and hold its slot until then.
+        Otherwise a thread that waits for the next chunk would notice the
+        disconnect only when that chunk arrives, and keep its slot until then.
         """
         with self._lock:
-            self._pieces = pieces
-            gone = self.gone.is_set()
-        if gone:
-            pieces.close()
+            self._open_stream = stream
+            disconnected = self.caller_disconnected.is_set()
+        if disconnected:
+            stream.close()
         try:
             yield
         finally:
             with self._lock:
-                self._pieces = None
-            pieces.close()
+                self._open_stream = None
+            stream.close()
 
-    def abandon(self, kept: str = '') -> None:
-        """Cancels this attempt at every engine that holds a part of it.
+    def cancel_attempt(self, excluded_address: str = '') -> None:
+        """Cancels this attempt at all engines that hold resources for it.
 
         Args:
-            kept: Address of an engine whose part is still wanted; or ''.
+            excluded_address: Address of an engine whose result is still needed; or ''.
         """
         with self._lock:
-            held = [address for address in self._held if address != kept]
-            self._held.difference_update(held)
-        for address in held:
+            addresses = [
+                address
+                for address in self._engine_addresses
+                if address != excluded_address
+            ]
+            self._engine_addresses.difference_update(addresses)
+        for address in addresses:
             self._cancel(address, self.attempt, 0.0)
 
     def _cancel(self, address: str, attempt: int, after_s: float) -> None:
--- a/packages/daemon/foxtaildaled/router.py
+++ b/packages/daemon/foxtaildaled/router.py
@@ -1,9 +1,9 @@
-"""The router role: requests that pass through as callers sent them.
+"""The router role: passes requests through as callers sent them.
 
-Each request is decoded, matched with the configuration in force and the client
-account that has its key, let in by the account's limit, and handed to `forward`
-or `generate`. A refusal names its reason, its figures and when to
-come back.
+Each request is decoded, matched with a route of the configuration in force and
+with the client account of its key, admitted by the limit of the account, and
+passed to `plain_forwarder` or `generation`. A refusal states its reason, its
+figures and when to retry.
 """
 
 from collections.abc import Callable
@@ -17,32 +17,35 @@
 from foxtaildale import forwarding
 from foxtaildale import ports
 from foxtaildale import routes
-from foxtaildale_adapters import callers
+from foxtaildale_adapters import caller_server
 from foxtaildale_adapters import logs
 from foxtaildale_adapters import metrics
-from foxtaildaled import forward
-from foxtaildaled import generate
-from foxtaildaled import limits
-from foxtaildaled import passage
+from foxtaildaled import account_limits
+from foxtaildaled import generation
+from foxtaildaled import plain_forwarder
+from foxtaildaled import routed_request
 
-# When to come back to an entry VM that knows no configuration yet, seconds.
-UNREADY_S: Final = 0.3
+# Delay after which callers retry while the entry VM has no configuration yet,
+# seconds.
+NOT_READY_RETRY_S: Final = 0.3
 
 
 class Decode(Protocol):
-    """Decodes what a caller sent."""
+    """Decodes a request of a caller."""
 
     def __call__(
-        self, exchange: callers.Exchange, *, keyed: bool = False
-    ) -> forwarding.Call:
+        self, exchange: caller_server.Exchange, *, keyed: bool = False
+    ) -> forwarding.CallerRequest:
         """Returns the request.
 
         Args:
-            exchange: What came.
-            keyed: Whether a key of a client account is expected.
+            exchange: The exchange with the caller.
+            keyed: Whether the request is expected to contain the key of a
+                client account.
 
         Raises:
-            errors.DecodeError: It is none; says why, without its key.
+            errors.DecodeError: The request is invalid; the text states the
+                reason and does not contain the key.
         """
 
 
@@ -51,15 +54,15 @@
 
     __slots__ = (
         '_clock',
-        '_counts',
         '_decode',
         '_ends_at',
         '_entry_vm',
         '_forward',
         '_generate',
-        '_held_s',
         '_limiter',
         '_matcher',
+        '_quarantine_left_s',
+        '_request_metrics',
     )
 
     def __init__(
@@ -68,113 +71,119 @@
         entry_vm: str,
         matcher: Callable[[], routes.Matcher | None],
         decode: Decode,
-        plain: forward.Forward,
-        model: generate.Generate,
-        limiter: limits.Limiter,
-        counts: metrics.Metrics,
+        forwarder: plain_forwarder.PlainForwarder,
+        generator: generation.Generation,
+        limiter: account_limits.Limiter,
+        request_metrics: metrics.Metrics,
         clock: ports.Clock,
         ends_at: Callable[[], float],
-        held_s: Callable[[int], float],
+        quarantine_left_s: Callable[[int], float],
     ) -> None:
         self._entry_vm = entry_vm
-        # Returns when this process ends at the latest; infinity while it is not
-        # being stopped.
+        # Returns the time at which this process ends at the latest; infinity
+        # while the process is not being stopped.
         self._ends_at = ends_at
-        # Returns how long a request must be sent to no server, seconds, by its
-        # fingerprint.
-        self._held_s = held_s
+        # Returns how long a request stays in quarantine, seconds, by its
+        # fingerprint; a quarantined request must not be sent to any server.
+        self._quarantine_left_s = quarantine_left_s
         self._matcher = matcher
         self._decode = decode
-        self._forward = plain
-        self._generate = model
-        # Keeps client accounts to their limits.
+        self._forward = forwarder
+        self._generate = generator
+        # Enforces the limits of client accounts.
         self._limiter = limiter
-        self._counts = counts
+        self._request_metrics = request_metrics
         self._clock = clock
 
-    def handle(self, exchange: callers.Exchange) -> None:
-        """Serves one request."""
+    def handle(self, exchange: caller_server.Exchange) -> None:
+        """Serves or refuses one request."""
         matcher = self._matcher()
         if matcher is None:
-            self._refuse(exchange, codes.NO_PRESET, UNREADY_S)
+            self._refuse(exchange, codes.NO_PRESET, NOT_READY_RETRY_S)
             return
         try:
-            call = self._decode(exchange, keyed=matcher.keyed)
+            call = self._decode(exchange, keyed=matcher.requires_key)
         except errors.DecodeError as exc:
             self._refuse(exchange, codes.BAD_REQUEST, reason=str(exc))
             return
         version = matcher.table.version
-        route = matcher.find(call.host, call.path)
+        route = matcher.match(call.host, call.path)
         if route is None:
             self._refuse(exchange, codes.NO_ROUTE, version=version)
             return
-        req = self._passage(exchange, call, matcher, route)
-        if self._is_let_in(req, matcher):
+        req = self._make_passage(exchange, call, matcher, route)
+        if self._is_admitted(req, matcher):
             self._serve(req)
 
-    def _passage(
+    def _make_passage(
         self,
-        exchange: callers.Exchange,
-        call: forwarding.Call,
+        exchange: caller_server.Exchange,
+        call: forwarding.CallerRequest,
         matcher: routes.Matcher,
         route: routes.Route,
-    ) -> passage.Passage:
-        account = matcher.client_accounts.holder(call.key)
+    ) -> routed_request.RoutedRequest:
+        account = matcher.client_accounts.by_key(call.key)
         call.account = account.name if account is not None else ''
         name = routes.pick_service(route, call.id)
-        return passage.Passage(
+        return routed_request.RoutedRequest(
             exchange,
-            call=call,
+            caller_request=call,
             route=route,
             service=matcher.table.service(name),
-            version=matcher.table.version,
+            config_version=matcher.table.version,
             entry_vm=self._entry_vm,
-            counts=self._counts,
+            request_metrics=self._request_metrics,
             clock=self._clock,
-            ends_at=self._ends_at(),
+            process_ends_at=self._ends_at(),
             account=account,
-            held_s=self._held_s,
+            quarantine_left_s=self._quarantine_left_s,
         )
 
-    def _is_let_in(self, req: passage.Passage, matcher: routes.Matcher) -> bool:
-        """Refuses what has no account, or lies beyond its account's limit."""
+    def _is_admitted(
+        self, req: routed_request.RoutedRequest, matcher: routes.Matcher
+    ) -> bool:
+        """Checks the account and its limit; refuses the request if needed."""
         if req.account is not None:
-            return self._keeps_limit(req, req.account)
-        if not matcher.keyed or req.route.public:
+            return self._is_within_limit(req, req.account)
+        if not matcher.requires_key or req.route.public:
             return True
         reason = 'no client account has its key'
-        if req.call.key is None:
+        if req.caller_request.key is None:
             reason = 'it has no key of a client account'
-        self._counts.accounts.add(1, '', codes.UNAUTHORIZED.name)
+        self._request_metrics.accounts.add(1, '', codes.UNAUTHORIZED.name)
         req.refuse(codes.UNAUTHORIZED, {'reason': reason})
         return False
 
-    def _keeps_limit(
-        self, req: passage.Passage, account: accounts.Account
+    def _is_within_limit(
+        self, req: routed_request.RoutedRequest, account: accounts.Account
     ) -> bool:
         limit = account.limit
         if not limit.rate:
             return True
-        cost = limit.cost(req.call.prompt_tokens, req.call.output_tokens)
-        began = self._clock()
-        verdict = self._limiter.admit(account, cost)
-        took_ms = int((self._clock() - began) * 1000)
-        remaining = int(verdict.level)
-        if not verdict.wait_s:
-            req.on_not_run = lambda: self._limiter.give_back(
-                account, cost, verdict
+        cost = limit.cost(
+            req.caller_request.prompt_tokens, req.caller_request.output_tokens
+        )
+        started_at = self._clock()
+        decision = self._limiter.admit(account, cost)
+        took_ms = int((self._clock() - started_at) * 1000)
+        remaining = int(decision.level)
+        if not decision.wait_s:
+            req.on_not_run = lambda: self._limiter.refund(
+                account, cost, decision
             )
-            self._counts.accounts.add(1, account.name, codes.OK.name)
+            self._request_metrics.accounts.add(1, account.name, codes.OK.name)
             req.log(
                 'let in',
                 account=account.name,
                 cost=cost,
                 remaining=remaining,
-                by=verdict.by,
+                by=decision.by,
                 took_ms=took_ms,
             )
             return True
-        self._counts.accounts.add(1, account.name, codes.OVER_LIMIT.name)
+        self._request_metrics.accounts.add(
+            1, account.name, codes.OVER_LIMIT.name
+        )
         figures: dict[str, float | str] = {
             'account': account.name,
             'cost': cost,
@@ -182,17 +191,17 @@
             'rate': limit.rate,
             'burst': limit.burst,
             'unit': limit.unit,
-            'by': verdict.by,
+            'by': decision.by,
             'took_ms': took_ms,
         }
-        req.refuse(codes.OVER_LIMIT, figures, verdict.wait_s)
+        req.refuse(codes.OVER_LIMIT, figures, decision.wait_s)
         return False
 
-    def _serve(self, req: passage.Passage) -> None:
-        if req.held_s():
-            req.refuse_held()
+    def _serve(self, req: routed_request.RoutedRequest) -> None:
+        if req.quarantine_left_s():
+            req.refuse_quarantined()
             return
-        req.watch()
+        req.watch_caller()
         if req.route.kind == 'stream':
             self._generate.serve(req)
         else:
@@ -200,7 +209,7 @@
 
     def _refuse(
         self,
-        exchange: callers.Exchange,
+        exchange: caller_server.Exchange,
         code: codes.Code,
         retry_after_s: float = 0.0,
         **figures: float | str,
@@ -213,5 +222,7 @@
             target=exchange.target[:200],
             **figures,
         )
-        self._counts.requests.add(1, '', code.name)
-        passage.refuse(exchange, code, figures, self._entry_vm, retry_after_s)
+        self._request_metrics.requests.add(1, '', code.name)
+        routed_request.send_error(
+            exchange, code, figures, self._entry_vm, retry_after_s
+        )
--- a/packages/daemon/foxtaildaled/wiring.py
+++ b/packages/daemon/foxtaildaled/wiring.py
@@ -1,7 +1,8 @@
-"""Composition root of the daemon: makes every part and joins them.
+"""Composition root of the daemon: creates its parts and connects them.
 
-Nothing else constructs adapters. A role is a list of loops, a server for the
-other processes, one for operators, and for an entry one for callers.
+For these roles no other module constructs adapters. A role consists of a list
+of loops, a server for the other processes, a server for operators, and, for an
+entry, a server for callers.
 """
 
 import json
@@ -11,52 +12,54 @@
 
 from absl import logging as absl_logging
 
+from foxtaildale import abandoned_holdings
 from foxtaildale import incarnations
 from foxtaildale import messages
 from foxtaildale import options
-from foxtaildale import reaper
 from foxtaildale import tickets
 from foxtaildale import values
 from foxtaildale_adapters import admin
-from foxtaildale_adapters import callers
+from foxtaildale_adapters import caller_server
 from foxtaildale_adapters import engines
 from foxtaildale_adapters import logs
 from foxtaildale_adapters import metrics
 from foxtaildale_adapters import peers
 from foxtaildale_adapters import platform
-from foxtaildale_adapters import pump
 from foxtaildale_adapters import services
-from foxtaildale_adapters import wire
+from foxtaildale_adapters import stream_reader
+from foxtaildale_adapters import zmq_responder
+from foxtaildaled import account_limits
 from foxtaildaled import actors
-from foxtaildaled import answers
-from foxtaildaled import calls
 from foxtaildaled import cancels
-from foxtaildaled import chats
-from foxtaildaled import claiming
-from foxtaildaled import desk
+from foxtaildaled import chat_requests
+from foxtaildaled import claim_client
+from foxtaildaled import completions
 from foxtaildaled import entry
-from foxtaildaled import follow
-from foxtaildaled import gate
-from foxtaildaled import gossip
+from foxtaildaled import entry_retry_budgets
 from foxtaildaled import keeper
-from foxtaildaled import limits
-from foxtaildaled import plain
+from foxtaildaled import outcome_records
+from foxtaildaled import peer_loops
+from foxtaildaled import plain_requests
+from foxtaildaled import plain_services
+from foxtaildaled import platform_loops
 from foxtaildaled import process
-from foxtaildaled import records
-from foxtaildaled import retries
-from foxtaildaled import slots
+from foxtaildaled import request_checks
+from foxtaildaled import request_context
+from foxtaildaled import slot_acquisition
+from foxtaildaled import ticket_handler
 from foxtaildaled import view
-from foxtaildaled import visit
 
-# Threads that answer other processes. A claim holds one until the log has
-# settled it, a ticket that was passed on until its call has ended.
+# Number of threads that reply to other processes. A claim occupies a thread
+# until the log has settled the claim; a forwarded ticket occupies a thread
+# until its call has ended.
 _PEER_THREADS = 16
-# Time between two tries of cancels, seconds.
-_QUICK_S = 0.1
-# Time between two flushes of outcomes, seconds.
-_FLUSH_S = 1.0
-# Longest body that any service may take, bytes.
-_BODY_MAX = 16 * 1024 * 1024
+# Interval at which due cancels are sent, and at which a stopping keeper checks
+# for unfinished work, seconds.
+_POLL_S = 0.1
+# Interval at which outcomes are written to the store, seconds.
+_FLUSH_INTERVAL_S = 1.0
+# Maximum request body of any service, bytes.
+_MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
 class Daemon(Protocol):
@@ -66,11 +69,11 @@
         """Starts serving."""
 
     def stop(self) -> None:
-        """Ends gracefully: cuts no request in progress."""
+        """Stops gracefully: does not abort requests in progress."""
 
 
-def make(cfg: options.Options) -> Daemon:
-    """Returns the daemon that the settings ask for."""
+def make_daemon(cfg: options.Options) -> Daemon:
+    """Returns the daemon for the role in the settings."""
     return KeeperDaemon(cfg) if cfg.role == 'keeper' else EntryDaemon(cfg)
 
 
@@ -86,28 +89,28 @@
         '_owner',
         '_peers',
         '_responder',
-        '_settle',
+        '_settle_loop',
     )
 
     _cfg: options.Options
     _peers: peers.Peers
-    _responder: wire.Responder
+    _responder: zmq_responder.Responder
     _metrics: metrics.Metrics
-    _owner: actors.Owner[keeper.Keeper]
-    _gossip: gossip.Gossip
-    _settle: process.Loop
+    _owner: actors.StateOwner[keeper.Keeper]
+    _gossip: peer_loops.GossipLoop
+    _settle_loop: process.Loop
     _loops: list[process.Loop]
     _admin: admin.Admin
 
     def __init__(self, cfg: options.Options) -> None:
         self._cfg = cfg
         self._peers = peers.Peers(cfg.heartbeat_s, cfg.silence_s)
-        self._responder = wire.Responder(
+        self._responder = zmq_responder.Responder(
             cfg.peer_address, self._handle, _PEER_THREADS
         )
 
     def start(self) -> None:
-        """Binds, then starts the loops."""
+        """Binds the peer address, then starts the loops."""
         cfg = self._cfg
         address = self._responder.start()
         me = values.Keeper(
@@ -116,35 +119,51 @@
             address=address,
             data_centre=cfg.data_centre,
         )
-        self._owner = actors.Owner(keeper.Keeper(me, cfg), time.monotonic)
+        self._owner = actors.StateOwner(keeper.Keeper(me, cfg), time.monotonic)
         self._metrics = metrics.Metrics()
         store = platform.Platform(cfg.platform, cfg.platform_timeout_s)
         claims_store = platform.Platform(cfg.platform, cfg.platform_timeout_s)
         workers = engines.Engines()
-        self._gossip = gossip.Gossip(self._owner, self._peers, cfg.silence_s)
-        self._settle = process.Loop(
-            'settle', cfg.poll_s, follow.Settle(self._owner, claims_store).step
+        self._gossip = peer_loops.GossipLoop(
+            self._owner, self._peers, cfg.silence_s
+        )
+        self._settle_loop = process.Loop(
+            'settle',
+            cfg.poll_s,
+            platform_loops.ClaimSettler(
+                self._owner, claims_store
+            ).settle_waiting,
         )
         self._loops = [
-            self._settle,
+            self._settle_loop,
             process.Loop(
                 'follow',
                 cfg.poll_s,
-                follow.Follow(self._owner, store, store).step,
+                platform_loops.PlatformFollower(
+                    self._owner, store, store
+                ).read_once,
             ),
-            process.Loop('gossip', cfg.heartbeat_s, self._gossip.step),
             process.Loop(
-                'watch', cfg.poll_s, gossip.Watch(self._owner, workers).step
+                'gossip', cfg.heartbeat_s, self._gossip.send_heartbeats
             ),
             process.Loop(
-                'steer', cfg.poll_s, gossip.Steer(self._owner, workers).step
+                'watch',
+                cfg.poll_s,
+                peer_loops.LoadLoop(self._owner, workers).read_loads,
+            ),
+            process.Loop(
+                'steer',
+                cfg.poll_s,
+                peer_loops.OrderLoop(self._owner, workers).send_orders,
             ),
             process.Loop(
                 'reap',
                 cfg.heartbeat_s,
-                gossip.Reap(
-                    self._owner, workers, reaper.Reaper(cfg.grace_s)
-                ).step,
+                peer_loops.ReapLoop(
+                    self._owner,
+                    workers,
+                    abandoned_holdings.AbandonedHoldings(cfg.grace_s),
+                ).reap_workers,
             ),
         ]
         self._admin = admin.Admin(
@@ -152,17 +171,21 @@
         )
         for loop in self._loops:
             loop.start()
-        _announce(cfg, peer=address, admin=self._admin.start())
+        _report_addresses(cfg, peer=address, admin=self._admin.start())
 
     def stop(self) -> None:
-        """Stays until the entries have ended and claims are written."""
-        self._owner.run(_leave)
+        """Stops the keeper gracefully.
+
+        It waits, for `drain_s` at most, until the entries of the VM have
+        stopped and all claims are written.
+        """
+        self._owner.run(_mark_stopping)
         deadline = time.monotonic() + self._cfg.drain_s
         while time.monotonic() < deadline:
-            if not self._owner.run(_unfinished):
+            if not self._owner.run(_has_unfinished_work):
                 break
-            time.sleep(_QUICK_S)
-        self._gossip.goodbye()
+            time.sleep(_POLL_S)
+        self._gossip.announce_stop()
         for loop in self._loops:
             loop.stop()
         self._admin.close()
@@ -170,12 +193,14 @@
         self._peers.close()
         self._owner.stop()
 
-    def _handle(self, msg: messages.Any) -> messages.Any:
-        if isinstance(msg, messages.AskClaim):
-            fut = self._owner.run(lambda state, now: state.claim(now, msg))
-            self._settle.wake()
-            return fut.get(timeout=keeper.CLAIM_WAIT_S)
-        if isinstance(msg, messages.Dump):
+    def _handle(self, msg: messages.Message) -> messages.Message:
+        if isinstance(msg, messages.ClaimRequest):
+            fut = self._owner.run(
+                lambda state, now: state.handle_claim(now, msg)
+            )
+            self._settle_loop.wake()
+            return fut.get(timeout=keeper.CLAIM_TIMEOUT_S)
+        if isinstance(msg, messages.DumpRequest):
             return messages.DumpReply(state=self._state())
         return self._owner.run(lambda state, now: state.handle(now, msg))
 
@@ -186,7 +211,7 @@
         vouched = self._owner.run(
             lambda state, now: state.follower.vouched(now)
         )
-        return '' if vouched else 'no fresh word of the preset in force'
+        return '' if vouched else 'no current report of the preset in force'
 
     def _state(self) -> bytes:
         return self._owner.run(lambda state, now: state.dump(now))
@@ -215,15 +240,15 @@
     _cfg: options.Options
     _incarnation: str
     _peers: peers.Peers
-    _responder: wire.Responder
+    _responder: zmq_responder.Responder
     _metrics: metrics.Metrics
     _view: view.View
-    _desk: desk.Desk
-    _pump: pump.Pump
-    _records: records.Records
-    _cancels: cancels.Cancels
-    _gate: gate.Gate
-    _server: callers.Server
+    _desk: ticket_handler.TicketHandler
+    _pump: stream_reader.StreamReader
+    _records: outcome_records.OutcomeRecords
+    _cancels: cancels.CancelQueue
+    _gate: request_checks.RequestChecks
+    _server: caller_server.Server
     _admin: admin.Admin
     _loops: list[process.Loop]
 
@@ -231,22 +256,22 @@
         self._cfg = cfg
         self._incarnation = incarnations.make('entry', cfg.entry_vm)
         self._peers = peers.Peers(cfg.heartbeat_s, cfg.silence_s)
-        self._responder = wire.Responder(
+        self._responder = zmq_responder.Responder(
             cfg.peer_address, self._handle, _PEER_THREADS
         )
 
     def start(self) -> None:
-        """Binds, then starts the loops and serves callers."""
+        """Binds the peer address, then starts the loops and serves callers."""
         cfg = self._cfg
         address = self._responder.start()
         counts = self._metrics = metrics.Metrics()
-        self._wire(address, counts)
+        self._make_parts(address, counts)
         for loop in self._loops:
             loop.start()
         self._admin = admin.Admin(
             cfg.admin_address, self._ready, self._state, self._render
         )
-        _announce(
+        _report_addresses(
             cfg,
             peer=address,
             admin=self._admin.start(),
@@ -254,51 +279,56 @@
         )
 
     def stop(self) -> None:
-        """Not ready, no new connections, drain, flush, goodbye."""
+        """Stops gracefully.
+
+        The entry reports that it is not ready, accepts no new connections,
+        drains the requests in progress, writes the outcomes to the store and
+        notifies the keeper, in this order.
+        """
         self._gate.stopping = True
         self._server.stop_accepting()
         drained = self._server.drain(self._cfg.drain_s)
         logs.event(absl_logging.INFO, 'drained', whole=drained)
-        self._cancels.step()
+        self._cancels.send_due()
         self._records.flush()
         for loop in self._loops:
             loop.stop()
-        self._view.goodbye()
+        self._view.report_stop()
         self._server.close()
         self._pump.close()
         self._admin.close()
         self._responder.close()
         self._peers.close()
 
-    def _wire(self, address: str, counts: metrics.Metrics) -> None:
+    def _make_parts(self, address: str, counts: metrics.Metrics) -> None:
         cfg = self._cfg
         clock = time.monotonic
         store = platform.Platform(cfg.platform, cfg.platform_timeout_s)
         workers = engines.Engines()
-        budget = retries.Retries(clock)
-        self._pump = pump.Pump()
+        budgets = entry_retry_budgets.RetryBudgets(clock)
+        self._pump = stream_reader.StreamReader()
         self._pump.start()
         self._view = view.View(
             cfg, self._incarnation, address, self._peers, clock
         )
-        self._records = records.Records(store, counts)
-        replies = visit.Replies(cfg.entry_vm, self._records)
-        self._cancels = cancels.Cancels(workers, clock)
-        plain_calls = plain.Plain(services.Services(), budget)
-        own = slots.Slots(
+        self._records = outcome_records.OutcomeRecords(store, counts)
+        replies = request_context.Replies(cfg.entry_vm, self._records)
+        self._cancels = cancels.CancelQueue(workers, clock)
+        plain_calls = plain_services.PlainServices(services.Services(), budgets)
+        slot_client = slot_acquisition.SlotClient(
             self._peers, self._view, cfg.entry_vm, self._incarnation, clock
         )
-        model = answers.Answers(
+        model = completions.Completions(
             cfg=cfg,
             engines=workers,
-            seen=self._view,
-            carrier=self._pump,
-            getter=own,
-            budget=budget,
-            counts=counts,
+            current_view=self._view,
+            stream_pump=self._pump,
+            slot_client=slot_client,
+            budgets=budgets,
+            request_metrics=counts,
             clock=clock,
         )
-        executor = actors.Owner(
+        executor = actors.StateOwner(
             tickets.Executor(
                 self._incarnation,
                 address,
@@ -307,35 +337,39 @@
             ),
             clock,
         )
-        self._desk = desk.Desk(
+        self._desk = ticket_handler.TicketHandler(
             cfg=cfg,
             incarnation=self._incarnation,
             owner=executor,
             peers=self._peers,
-            calls=plain_calls,
-            seen=self._view,
-            stamp=replies.stamp,
+            service_client=plain_calls,
+            current_view=self._view,
+            make_outcome=replies.make_outcome,
+        )
+        local_shares = account_limits.LocalShares(
+            lambda: len(self._view.snapshot.keepers), clock
         )
-        parts = limits.Shares(lambda: len(self._view.now.keepers), clock)
-        self._gate = gate.Gate(self._desk, replies, parts)
-        claim_desk = claiming.Claiming(
+        self._gate = request_checks.RequestChecks(
+            self._desk, replies, local_shares
+        )
+        claim_desk = claim_client.ClaimClient(
             cfg, self._incarnation, self._peers, replies
         )
         handler = entry.Entry(
             entry_vm=cfg.entry_vm,
-            seen=self._view,
-            admission=self._gate,
-            model=chats.Chats(
+            current_view=self._view,
+            checks=self._gate,
+            chat_handler=chat_requests.ChatRequests(
                 cfg=cfg,
                 incarnation=self._incarnation,
-                admission=self._gate,
+                checks=self._gate,
                 replies=replies,
-                model=model,
+                completion_runner=model,
                 claim_desk=claim_desk,
                 cancel_queue=self._cancels,
                 clock=clock,
             ),
-            services=calls.Calls(
+            plain_handler=plain_requests.PlainRequests(
                 admission=self._gate,
                 replies=replies,
                 services=plain_calls,
@@ -343,41 +377,43 @@
                 claim_desk=claim_desk,
             ),
             replies=replies,
-            kept=self._records,
+            outcome_records=self._records,
         )
-        self._server = callers.Server(
+        self._server = caller_server.Server(
             cfg.caller_address,
             handler,
             cfg.threads,
             cfg.caller_timeout_s,
-            _BODY_MAX,
+            _MAX_BODY_BYTES,
             entry_vm=cfg.entry_vm,
         )
-        cancel_loop = process.Loop('cancels', _QUICK_S, self._cancel)
-        self._cancels.wake = cancel_loop.wake
+        cancel_loop = process.Loop('cancels', _POLL_S, self._send_due_cancels)
+        self._cancels.on_added = cancel_loop.wake
         self._loops = [
-            process.Loop('view', cfg.heartbeat_s, self._view.step),
-            process.Loop('tickets', cfg.heartbeat_s, self._desk.step),
-            process.Loop('slots', cfg.heartbeat_s, own.step),
-            process.Loop('records', _FLUSH_S, self._records.step),
+            process.Loop('view', cfg.heartbeat_s, self._view.refresh),
+            process.Loop('tickets', cfg.heartbeat_s, self._desk.refresh_clock),
+            process.Loop('slots', cfg.heartbeat_s, slot_client.renew_grants),
+            process.Loop(
+                'records', _FLUSH_INTERVAL_S, self._records.flush_once
+            ),
             cancel_loop,
         ]
 
-    def _cancel(self) -> None:
-        """Sends what cancels are due, but none to engines that are gone."""
-        listing = self._view.now.listing
+    def _send_due_cancels(self) -> None:
+        """Sends the due cancels; drops those for engines that were removed."""
+        listing = self._view.snapshot.listing
         if listing.version:
-            self._cancels.forget(
+            self._cancels.remove_unlisted(
                 frozenset(s.address for s in listing.backend_servers)
             )
-        self._cancels.step()
+        self._cancels.send_due()
 
-    def _handle(self, msg: messages.Any) -> messages.Any:
-        if isinstance(msg, messages.RunTicket):
-            return self._desk.serve(msg)
-        if isinstance(msg, messages.Dump):
+    def _handle(self, msg: messages.Message) -> messages.Message:
+        if isinstance(msg, messages.RunRequest):
+            return self._desk.handle_forwarded(msg)
+        if isinstance(msg, messages.DumpRequest):
             return messages.DumpReply(state=self._state())
-        return messages.Fail(code='not-for-an-entry')
+        return messages.ErrorReply(code='not-for-an-entry')
 
     def _render(self) -> bytes:
         return _render(self._metrics, self._peers, self._responder)
@@ -385,12 +421,12 @@
     def _ready(self) -> str:
         if self._gate.stopping:
             return 'being stopped'
-        if self._view.now.in_force is None:
+        if self._view.snapshot.in_force is None:
             return 'no preset in force is known'
         return ''
 
     def _state(self) -> bytes:
-        snapshot = self._view.now
+        snapshot = self._view.snapshot
         state = {
             'role': 'entry',
             'incarnation': self._incarnation,
@@ -410,29 +446,31 @@
         return json.dumps(state, default=str, sort_keys=True).encode()
 
 
-def _leave(state: keeper.Keeper, _now: float) -> None:
+def _mark_stopping(state: keeper.Keeper, _now: float) -> None:
     state.stopping = True
 
 
-def _unfinished(state: keeper.Keeper, _now: float) -> bool:
-    return bool(state.entries) or state.claims.unwritten() > 0
+def _has_unfinished_work(state: keeper.Keeper, _now: float) -> bool:
+    return bool(state.entries) or state.claims.pending_count() > 0
 
 
 def _render(
-    counts: metrics.Metrics, asked: peers.Peers, served: wire.Responder
+    counts: metrics.Metrics,
+    requester: peers.Peers,
+    responder: zmq_responder.Responder,
 ) -> bytes:
-    """Returns the metrics, with what passed between processes so far."""
-    sides = (asked.counts, served.counts)
+    """Returns the metrics, with the message counts between processes."""
+    all_counts = (requester.counts, responder.counts)
     for direction, total, size in (
         (
             'sent',
-            sum(side.sent for side in sides),
-            sum(side.sent_bytes for side in sides),
+            sum(item.sent for item in all_counts),
+            sum(item.sent_bytes for item in all_counts),
         ),
         (
             'received',
-            sum(side.received for side in sides),
-            sum(side.received_bytes for side in sides),
+            sum(item.received for item in all_counts),
+            sum(item.received_bytes for item in all_counts),
         ),
     ):
         counts.messages.set(total, direction)
@@ -440,13 +478,17 @@
     return counts.render()
 
 
-def _announce(cfg: options.Options, **addresses: str) -> None:
-    """Tells the addresses in use, for settings that leave them to the kernel."""
+def _report_addresses(cfg: options.Options, **addresses: str) -> None:
+    """Logs the bound addresses and writes them to the address file.
+
+    The settings may leave the choice of a port to the kernel.
+    """
     logs.event(absl_logging.INFO, 'started', **addresses)
     if not cfg.address_file:
         return
-    # Written aside and renamed: a reader must never see half of it.
-    partial = f'{cfg.address_file}.partial'
-    with open(partial, 'w', encoding='utf-8') as file:
+    # The file is written under another name and renamed, so that a reader never
+    # sees a partial file.
+    partial_path = f'{cfg.address_file}.partial'
+    with open(partial_path, 'w', encoding='utf-8') as file:
         json.dump(addresses, file)
-    os.replace(partial, cfg.address_file)
+    os.replace(partial_path, cfg.address_file)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -13,7 +13,7 @@
 from foxtaildale import backends
 from foxtaildale import errors
 from foxtaildale_adapters import engines
-from foxtaildale_adapters import exchange
+from foxtaildale_adapters import http_client
 from foxtaildale_adapters import platform
 from foxtaildale_adapters import services
 from tests import fleet
@@ -65,7 +65,7 @@
 
 def _calls(address: str) -> list[Callable[[], object]]:
     store = platform.Platform(address, 5.0)
-    models = engines.Engines(short_s=5.0)
+    models = engines.Engines(short_call_timeout_s=5.0)
     decode = backends.DecodeReq(
         request='r', attempt=1, holder='h', stream='s', max_tokens=3
     )
@@ -128,7 +128,7 @@
     """
     raw.reply = b'nonsense'
     for call in _calls(raw.address):
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             call()
 
 
@@ -185,8 +185,8 @@
     """
     raw.reply = b'HTTP/1.1 200 OK\r\n\r\nx'
     ticks = iter(range(0, 1000, 10))
-    client = exchange.Exchange(lambda: float(next(ticks)))
-    with pytest.raises(exchange.TimeoutLostError, match='in time'):
+    client = http_client.HttpClient(lambda: float(next(ticks)))
+    with pytest.raises(http_client.ResponseTimeoutError, match='in time'):
         client.send(raw.address, 'GET', '/vms', timeout_s=5.0)
 
 
@@ -196,7 +196,7 @@
     A client that repeats the call by itself logs the lineman twice.
     """
     control.faults(desk, lose_answers=1)
-    with pytest.raises(errors.AnswerLostError):
+    with pytest.raises(errors.NoReplyError):
         services.Services().call(desk.address, 'check-in', b'{}', 'lost', 5.0)
     ran = [e for e in control.record(desk, 'executions') if e.request == 'lost']
     assert len(ran) == 1
@@ -209,7 +209,7 @@
     """
     control.faults(desk, late_ms=400)
     try:
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             services.Services().call(
                 desk.address, 'check-in', b'{}', 'late', 0.1
             )
@@ -223,7 +223,7 @@
 def test_a_cut_before_the_answer_is_lost_not_unsent(desk: fleet.Proc) -> None:
     with relay.Relay(desk.address) as middle:
         middle.cut()
-        with pytest.raises(errors.AnswerLostError):
+        with pytest.raises(errors.NoReplyError):
             services.Services().call(middle.address, 'c', b'', 'cut', 5.0)
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Pieces of an answer: checked, named and framed."""
+"""Chunks of a response: verification, event ids and framing."""
 
 import json
 import random
@@ -15,13 +15,15 @@
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None)
 VERDICT = streams.Verdict
 
-Event = backends.Piece | backends.Last
+Event = backends.Chunk | backends.StreamEnd
 
 
-def answer(request: str, texts: list[str], attempt: int = 1) -> list[Event]:
-    """Returns the events of one whole answer."""
+def response_events(
+    request: str, texts: list[str], attempt: int = 1
+) -> list[Event]:
+    """Returns the events of one complete response."""
     events: list[Event] = [
-        backends.Piece(
+        backends.Chunk(
             request=request,
             attempt=attempt,
             stream='s1',
@@ -31,7 +33,7 @@
         for position, text in enumerate(texts)
     ]
     digest = xxhash.xxh64_hexdigest(''.join(texts).encode())
-    last = backends.Last(
+    last = backends.StreamEnd(
         request=request,
         attempt=attempt,
         stream='s1',
@@ -41,19 +43,19 @@
     return [*events, last]
 
 
-def read(
+def feed_events(
     checker: streams.Checker, events: list[Event]
 ) -> tuple[str, list[streams.Verdict]]:
-    """Returns the text that was let through, and every verdict."""
+    """Returns the accepted text and every verdict."""
     text = ''
     verdicts = []
     for event in events:
-        if isinstance(event, backends.Piece):
-            verdict = checker.piece(event)
+        if isinstance(event, backends.Chunk):
+            verdict = checker.check_chunk(event)
             if verdict is VERDICT.ACCEPTED:
                 text += event.text
         else:
-            verdict = checker.last(event)
+            verdict = checker.check_end(event)
         verdicts.append(verdict)
     return text, verdicts
 
@@ -63,64 +65,66 @@
 
 @SETTINGS
 @hypothesis.given(texts)
-def test_an_undisturbed_answer_is_whole(own: list[str]) -> None:
-    text, verdicts = read(streams.Checker('r1', 1, 's1'), answer('r1', own))
+def test_undisturbed_response_is_complete(own: list[str]) -> None:
+    text, verdicts = feed_events(
+        streams.Checker('r1', 1, 's1'), response_events('r1', own)
+    )
     assert text == ''.join(own)
-    assert verdicts[-1] is VERDICT.WHOLE
+    assert verdicts[-1] is VERDICT.COMPLETE
 
 
 @SETTINGS
 @hypothesis.given(
     texts, texts, texts, strategies.integers(), strategies.integers(0, 9)
 )
-def test_disturbed_pieces_never_make_a_wrong_whole(
+def test_disturbed_chunks_never_complete_a_wrong_response(
     own: list[str], other: list[str], earlier: list[str], seed: int, cut: int
 ) -> None:
-    """Answers cross, repeat themselves, overtake each other and break off.
+    """Chunks are mixed up between responses, duplicated, reordered or cut off.
 
-    A dispatcher would read another aircraft's go, or half a sentence, and
-    take it for the answer to the question.
+    The caller would take the text of another request, or a part of its own,
+    for the complete response.
     """
     rng = random.Random(seed)
     events = (
-        answer('r1', own) * 2
-        + answer('r2', other)
-        + answer('r1', earlier, attempt=2)
+        response_events('r1', own) * 2
+        + response_events('r2', other)
+        + response_events('r1', earlier, attempt=2)
     )
     rng.shuffle(events)
     events = events[: len(events) - cut]
-    text, verdicts = read(streams.Checker('r1', 1, 's1'), events)
+    text, verdicts = feed_events(streams.Checker('r1', 1, 's1'), events)
     assert ''.join(own).startswith(text)
-    if VERDICT.WHOLE in verdicts:
-        upto = verdicts.index(VERDICT.WHOLE)
-        whole, _ = read(streams.Checker('r1', 1, 's1'), events[:upto])
-        assert whole == ''.join(own)
+    if VERDICT.COMPLETE in verdicts:
+        end = verdicts.index(VERDICT.COMPLETE)
+        complete, _ = feed_events(streams.Checker('r1', 1, 's1'), events[:end])
+        assert complete == ''.join(own)
 
 
-def test_a_changed_text_is_not_whole() -> None:
-    """A fault at the engine sends another text under the right position.
+def test_changed_text_is_not_complete() -> None:
+    """A faulty engine sends a different text under the right position.
 
-    The caller would see a summary that nobody wrote.
+    The caller would receive a response that was never generated.
     """
-    events = answer('r1', ['go', ' now'])
-    events[1] = answer('r1', ['go', ' not'])[1]
-    _, verdicts = read(streams.Checker('r1', 1, 's1'), events)
+    events = response_events('r1', ['go', ' now'])
+    events[1] = response_events('r1', ['go', ' not'])[1]
+    _, verdicts = feed_events(streams.Checker('r1', 1, 's1'), events)
     assert verdicts[-1] is VERDICT.BROKEN
 
 
 def test_each_kind_of_stray_event_has_its_verdict() -> None:
     checker = streams.Checker('r1', 1, 's1')
-    own = answer('r1', ['a', 'b'])
+    own = response_events('r1', ['a', 'b'])
     strays = [
         own[1],
-        answer('r2', ['a'])[0],
+        response_events('r2', ['a'])[0],
         own[0],
         own[0],
         own[2],
-        answer('r1', [])[0],
-        answer('r1', ['a', 'b'], attempt=2)[2],
+        response_events('r1', [])[0],
+        response_events('r1', ['a', 'b'], attempt=2)[2],
     ]
-    _, verdicts = read(checker, strays)
+    _, verdicts = feed_events(checker, strays)
     assert verdicts == [
         VERDICT.GAP,
         VERDICT.FOREIGN,
@@ -133,56 +137,56 @@
 
 
 def test_a_negative_position_is_no_duplicate() -> None:
-    piece = backends.Piece(
+    chunk = backends.Chunk(
         request='r1', attempt=1, stream='s1', position=-1, text='x'
     )
-    assert streams.Checker('r1', 1, 's1').piece(piece) is VERDICT.GAP
+    assert streams.Checker('r1', 1, 's1').check_chunk(chunk) is VERDICT.GAP
 
 
-def test_a_resumed_answer_is_whole_by_its_count() -> None:
-    """An entry VM dies and the caller reads on at another one.
+def test_resumed_response_is_complete_by_its_count() -> None:
+    """An entry VM crashes and the caller resumes at another one.
 
-    That one never saw the first texts; the digest goes on to the caller.
+    That one never received the first texts; the caller gets the digest.
     """
-    events = answer('r1', ['a', 'b', 'c'])
-    text, verdicts = read(streams.Checker('r1', 1, 's1', 2), events[2:])
-    assert (text, verdicts[-1]) == ('c', VERDICT.WHOLE)
+    events = response_events('r1', ['a', 'b', 'c'])
+    text, verdicts = feed_events(streams.Checker('r1', 1, 's1', 2), events[2:])
+    assert (text, verdicts[-1]) == ('c', VERDICT.COMPLETE)
 
 
 @SETTINGS
 @hypothesis.given(strategies.text(max_size=40))
 def test_any_last_event_id_is_an_id_or_a_decode_error(text: str) -> None:
-    """A caller sends whatever it likes as Last-Event-ID.
+    """A caller sends an arbitrary Last-Event-ID.
 
-    An entry that died of it would drop every other caller's stream.
+    An entry VM that crashed on it would drop every other caller's stream.
     """
     try:
-        found = streams.parse_id(text)
+        event_id = streams.parse_event_id(text)
     except errors.DecodeError:
         return
-    assert streams.parse_id(found.text()) == found
+    assert streams.parse_event_id(event_id.text()) == event_id
 
 
-def test_an_event_id_comes_back_as_it_was_made() -> None:
+def test_event_id_round_trip() -> None:
     event_id = streams.EventId('hall-doi-d1', 'r1-1', 41)
     assert event_id.text() == 'hall-doi-d1/r1-1/41'
-    assert streams.parse_id(event_id.text()) == event_id
+    assert streams.parse_event_id(event_id.text()) == event_id
 
 
 @pytest.mark.parametrize(
     'text',
     ['', 'a/b', 'a/b/c', 'a/b/-1', 'a//1', 'a b/c/1', 'a/b/²', 'a/b/1/2'],
 )
-def test_a_wrong_event_id_is_refused(text: str) -> None:
+def test_invalid_event_id_is_rejected(text: str) -> None:
     with pytest.raises(errors.DecodeError):
-        streams.parse_id(text)
+        streams.parse_event_id(text)
 
 
 @SETTINGS
 @hypothesis.given(strategies.text(max_size=20), strategies.text(max_size=10))
 def test_framed_events_hold_the_text_and_the_id(text: str, model: str) -> None:
     framer = streams.Framer('r1', 'w1', 's1', model, 7)
-    first, second = framer.piece(0, 'x'), framer.piece(1, text)
+    first, second = framer.frame_chunk(0, 'x'), framer.frame_chunk(1, text)
     head, data, *end = second.split(b'\n')
     assert head == b'id: w1/s1/1'
     assert end == [b'', b'']
@@ -201,9 +205,9 @@
 
 def test_the_last_events_hold_count_digest_and_end() -> None:
     framer = streams.Framer('r1', 'w1', 's1', 'm', 7)
-    last = answer('r1', ['a', 'b'])[-1]
-    assert isinstance(last, backends.Last)
-    event, done, rest = framer.last(last).split(b'\n\n')
+    last = response_events('r1', ['a', 'b'])[-1]
+    assert isinstance(last, backends.StreamEnd)
+    event, done, rest = framer.frame_end(last).split(b'\n\n')
     assert (done, rest) == (b'data: [DONE]', b'')
     head, data = event.split(b'\n')
     assert head == b'id: w1/s1/2'
