--- a/packages/adapters/foxtaildale_adapters/http_client.py
+++ b/packages/adapters/foxtaildale_adapters/http_client.py
@@ -97,8 +97,8 @@
             path: Path and query, already quoted.
             timeout_s: Timeout for the head of the response and for each read of
                 its body, seconds.
-            body_timeout_s: Timeout for the complete body, seconds; `timeout_s` if
-                None.
+            body_timeout_s: Timeout for the complete body, seconds; `timeout_s`
+                if None.
             body: Bytes to send.
             headers: Headers to send.
             reuse: Whether an idle connection may be used. If an idle connection
@@ -209,8 +209,8 @@
             decode_content=False,
         )
     except (
-        # A subclass of ConnectTimeoutError, although the connection was
-        # refused.
+        # A subclass of urllib3.exceptions.ConnectTimeoutError, although the
+        # connection was refused.
         urllib3.exceptions.NewConnectionError,
         urllib3.exceptions.ClosedPoolError,
         urllib3.exceptions.EmptyPoolError,
--- a/packages/adapters/foxtaildale_adapters/idle_connections.py
+++ b/packages/adapters/foxtaildale_adapters/idle_connections.py
@@ -104,8 +104,8 @@
         Args:
             address: Address of the server.
             conn: Connection whose last response was read completely.
-            server_timeout_s: Idle timeout that the server reported, seconds; None if it
-                reported none.
+            server_timeout_s: Idle timeout that the server reported, seconds;
+                None if it reported none.
         """
         now = self._clock()
         max_idle_s = (
--- a/packages/core/foxtaildale/config_follower.py
+++ b/packages/core/foxtaildale/config_follower.py
@@ -93,10 +93,10 @@
             entry_vm: Name of the VM.
             freshness_s: Maximum time since the state was last confirmed as up
                 to date for the preset to be vouched for.
-            pull_after_s: Time without a current log after which the follower pulls
-                from peers.
-            checkpoint_interval_s: Maximum time between checkpoints; well under half
-                of the time for which the platform keeps records.
+            pull_after_s: Time without a current log after which the follower
+                pulls from peers.
+            checkpoint_interval_s: Maximum time between checkpoints; well under
+                half of the time for which the platform keeps records.
         """
         self.entry_vm = entry_vm
         self.divergences = divergence.Divergences()
--- a/packages/core/foxtaildale/fleet.py
+++ b/packages/core/foxtaildale/fleet.py
@@ -216,8 +216,8 @@
         Args:
             server: The backend server's id.
             now: Seconds.
-            store_healthy: Whether the store was reachable all the time. If it was
-                not, the entry may have expired although the server runs.
+            store_healthy: Whether the store was reachable all the time. If it
+                was not, the entry may have expired although the server runs.
         """
         state = self._states.get(server)
         if state is None:
--- a/packages/core/foxtaildale/memory_growth.py
+++ b/packages/core/foxtaildale/memory_growth.py
@@ -44,7 +44,8 @@
     Args:
         hinted_tokens: The caller's hint; 0 for none.
         max_output_tokens: The maximum that the caller set; 0 for none.
-        typical_tokens: Typical length of the service's responses; 0 if not known.
+        typical_tokens: Typical length of the service's responses; 0 if not
+            known.
     """
     if hinted_tokens and typical_tokens:
         log = math.log(hinted_tokens) * _HINT_WEIGHT
--- a/packages/core/foxtaildale/packing.py
+++ b/packages/core/foxtaildale/packing.py
@@ -95,8 +95,8 @@
         Args:
             request: The request to place.
             avoid: Workers that it must not go to.
-            preferred_data_centre: Data centre of its prefill worker; empty for none. A decode
-                worker there is preferred among those with room.
+            preferred_data_centre: Data centre of its prefill worker; empty for
+                none. A decode worker there is preferred among those with room.
         """
         best, min_peak = '', math.inf
         nearest, min_near_peak = '', math.inf
--- a/packages/core/foxtaildale/queues.py
+++ b/packages/core/foxtaildale/queues.py
@@ -103,8 +103,8 @@
 
         Args:
             now: Seconds.
-            mean_prefill_s: Mean time from a placement to the end of its prefill,
-                seconds.
+            mean_prefill_s: Mean time from a placement to the end of its
+                prefill, seconds.
         """
         waiters = [w for w in self._waiters.values() if w.placement is None]
         waiters.sort(key=lambda waiter: _rank(now, waiter, mean_prefill_s))
--- a/packages/core/foxtaildale/transfer_timeouts.py
+++ b/packages/core/foxtaildale/transfer_timeouts.py
@@ -45,7 +45,8 @@
 
         Args:
             tokens: Length of the prompt in tokens.
-            lifetime_s: Lifetime of a prefill result that is not fetched, seconds.
+            lifetime_s: Lifetime of a prefill result that is not fetched,
+                seconds.
         """
         if self._s_per_token is None:
             return _INITIAL_TIMEOUT_S
--- a/packages/daemon/foxtaildaled/account_limits.py
+++ b/packages/daemon/foxtaildaled/account_limits.py
@@ -183,11 +183,13 @@
     __slots__ = ('_coordinators', '_local_shares')
 
     def __init__(
-        self, homes: coordinator_client.CoordinatorClient, alone: LocalShares
+        self,
+        coordinators: coordinator_client.CoordinatorClient,
+        local_shares: LocalShares,
     ) -> None:
-        self._coordinators = homes
+        self._coordinators = coordinators
         # Decides if no coordinator replies.
-        self._local_shares = alone
+        self._local_shares = local_shares
 
     def admit(self, account: accounts.Account, cost: float) -> Decision:
         """Admits a request, or returns the time until it would be admitted."""
--- a/packages/daemon/foxtaildaled/crash_detection.py
+++ b/packages/daemon/foxtaildaled/crash_detection.py
@@ -55,7 +55,8 @@
             exc: The error of the send.
             began_at: When the server began to run the request, seconds; when
                 it was sent, if that is not known.
-            may_have_begun: Whether the server may have begun to run the request.
+            may_have_begun: Whether the server may have begun to run the
+                request.
         """
         if (
             not isinstance(exc, errors.ConnectionBrokenError)
--- a/packages/daemon/foxtaildaled/job.py
+++ b/packages/daemon/foxtaildaled/job.py
@@ -164,7 +164,8 @@
         """Cancels this attempt at all engines that hold resources for it.
 
         Args:
-            excluded_address: Address of an engine whose result is still needed; or ''.
+            excluded_address: Address of an engine whose result is still needed;
+                or ''.
         """
         with self._lock:
             addresses = [
--- a/packages/daemon/foxtaildaled/keeper.py
+++ b/packages/daemon/foxtaildaled/keeper.py
@@ -199,10 +199,12 @@
             stopping=self.stopping,
         )
 
-    def on_heartbeat(self, now: float, beat: messages.KeeperHeartbeat) -> bool:
+    def on_heartbeat(
+        self, now: float, heartbeat: messages.KeeperHeartbeat
+    ) -> bool:
         """Handles a peer's heartbeat; returns whether to pull its state."""
-        self.members.on_heartbeat(now, beat)
-        return self.follower.on_heartbeat(now, beat)
+        self.members.on_heartbeat(now, heartbeat)
+        return self.follower.on_heartbeat(now, heartbeat)
 
     def on_listing(self, now: float, listing: values.Listing | None) -> None:
         """Applies a list of VMs from the platform or a peer."""
@@ -273,14 +275,14 @@
         """Returns the available keepers, with this one unless it stops."""
         others = tuple(
             values.Keeper(
-                name=beat.entry_vm,
-                incarnation=beat.incarnation,
-                address=beat.address,
-                data_centre=beat.data_centre,
+                name=heartbeat.entry_vm,
+                incarnation=heartbeat.incarnation,
+                address=heartbeat.address,
+                data_centre=heartbeat.data_centre,
             )
-            for beat in self.members.keeper_heartbeats(now)
-            if not beat.stopping
-            and beat.incarnation not in self.departed_incarnations
+            for heartbeat in self.members.keeper_heartbeats(now)
+            if not heartbeat.stopping
+            and heartbeat.incarnation not in self.departed_incarnations
         )
         return others if self.stopping else (self.me, *others)
 
@@ -290,9 +292,9 @@
         """Returns which entries are alive and which VMs reported theirs."""
         alive = set(self.entries)
         heard = {self.me.name}
-        for beat in self.members.keeper_heartbeats(now):
-            heard.add(beat.entry_vm)
-            alive.update(beat.entries)
+        for heartbeat in self.members.keeper_heartbeats(now):
+            heard.add(heartbeat.entry_vm)
+            alive.update(heartbeat.entries)
         return abandoned_holdings.LivenessSnapshot(
             alive=frozenset(alive), heard=frozenset(heard), at=now
         )
--- a/packages/daemon/foxtaildaled/placement_finder.py
+++ b/packages/daemon/foxtaildaled/placement_finder.py
@@ -76,7 +76,8 @@
         Args:
             req: The request.
             sent: Ids of the servers that it was sent to.
-            response_started: Whether its caller has received part of the response.
+            response_started: Whether its caller has received part of the
+                response.
 
         Raises:
             attempt_state.RequestRefused: No placement became available in time.
--- a/packages/daemon/foxtaildaled/request_checks.py
+++ b/packages/daemon/foxtaildaled/request_checks.py
@@ -86,7 +86,8 @@
             name: Name of the requested service.
             kind: Required kind of the service, `model` or `plain`.
             call: Name of the call of the service.
-            counts_against_limit: Whether the request counts against its account's limit.
+            counts_against_limit: Whether the request counts against its
+                account's limit.
         """
         service = context.snapshot.service(name)
         rejection = self._check_request(context, service, name, kind)
--- a/packages/daemon/foxtaildaled/sinks.py
+++ b/packages/daemon/foxtaildaled/sinks.py
@@ -271,7 +271,8 @@
         request: Identity of the request.
         model: Model that the caller requested.
         stream: Whether the caller requested a stream.
-        keep_response: Whether the complete response is needed after it was sent.
+        keep_response: Whether the complete response is needed after it was
+            sent.
     """
     if not stream:
         return DocumentSink(ex, request, model)
